--- a/decisions/src/main/java/org/dahliapass/decisions/health/Counts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/Counts.java
@@ -5,8 +5,8 @@
     int mSuccesses;
     int mFailures;
 
-    /** Successes that are taken for granted; they count in {@link #goodWork} only. */
-    int mUntimed;
+    /** Successes that are taken for granted; they count in {@link #allSuccesses} only. */
+    int mAssumedSuccesses;
 
     double mLogSum;
     double mLogSquareSum;
@@ -27,7 +27,7 @@
 
     void add(Counts other) {
         add(other.mSuccesses, other.mFailures, other.mLogSum, other.mLogSquareSum);
-        mUntimed += other.mUntimed;
+        mAssumedSuccesses += other.mAssumedSuccesses;
     }
 
     void add(int successes, int failures, double logSum, double logSquareSum) {
@@ -39,35 +39,35 @@
 
     void subtract(Counts other) {
         add(-other.mSuccesses, -other.mFailures, -other.mLogSum, -other.mLogSquareSum);
-        mUntimed -= other.mUntimed;
+        mAssumedSuccesses -= other.mAssumedSuccesses;
     }
 
     /** Adds successes of which no latency is known, until there are so many pieces of work. */
-    void fillUp(int pieces) {
-        mUntimed += Math.max(0, pieces - total());
+    void assumeSuccesses(int pieces) {
+        mAssumedSuccesses += Math.max(0, pieces - total());
     }
 
     void clear() {
         mSuccesses = 0;
         mFailures = 0;
-        mUntimed = 0;
+        mAssumedSuccesses = 0;
         mLogSum = 0;
         mLogSquareSum = 0;
     }
 
-    int goodWork() {
-        return mSuccesses + mUntimed;
+    int allSuccesses() {
+        return mSuccesses + mAssumedSuccesses;
     }
 
     int total() {
-        return goodWork() + mFailures;
+        return allSuccesses() + mFailures;
     }
 
     double failureShare() {
         return total() == 0 ? 0 : (double) mFailures / total();
     }
 
-    double meanLog() {
+    double meanLogLatency() {
         return mSuccesses == 0 ? 0 : mLogSum / mSuccesses;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/Lifecycle.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EjectionController.java
@@ -23,7 +23,7 @@
  * simultaneous, can't shrink this VM's set. As each VM's set keeps the floor by itself, so does
  * what any caller reaches through any VM, and so does the union; no agreement is needed.
  */
-final class Lifecycle {
+final class EjectionController {
     /** A success older than this says nothing of the present. */
     private static final long RECENT_MILLIS = 10_000;
 
@@ -35,13 +35,13 @@
 
     private static final double LEAST_SPEED_WEIGHT = 0.3;
 
-    private final FloorRule mFloorRule;
+    private final FloorPolicy mFloorRule;
     private final EvidenceTable mTable;
     private final Map<Endpoint, TargetRecord> mRecords = new TreeMap<>();
     private final List<Explanation> mExplanations = new ArrayList<>();
     private ServiceTemplate mTemplate;
 
-    Lifecycle(ServiceTemplate template, FloorRule floorRule, EvidenceTable table, long nowMillis) {
+    EjectionController(ServiceTemplate template, FloorPolicy floorRule, EvidenceTable table, long nowMillis) {
         mTemplate = template;
         mFloorRule = floorRule;
         mTable = table;
@@ -99,7 +99,7 @@
     }
 
     /** Acts on what the evidence says of each target. */
-    void decide(Map<Endpoint, Verdict> verdicts, long nowMillis) {
+    void decide(Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
         takeOut(verdicts, nowMillis);
         verdicts.forEach((target, verdict) -> slow(mRecords.get(target), verdict, nowMillis));
         refill(nowMillis);
@@ -108,15 +108,15 @@
     /**
      * Gives a target work again, from a small share up; what was seen of it before is forgotten.
      */
-    void beginReturn(TargetRecord record, String cause, long nowMillis) {
-        mTable.forget(record.target().endpoint());
-        record.beginReturn(nowMillis);
+    void beginSlowStart(TargetRecord record, String cause, long nowMillis) {
+        mTable.remove(record.target().endpoint());
+        record.beginSlowStart(nowMillis);
         String setting = "returnAfter=" + mTemplate.detection().returnAfter();
-        explain(nowMillis, Action.RETURNING, record, cause, "", setting);
+        recordExplanation(nowMillis, Action.RETURNING, record, cause, "", setting);
     }
 
     /** Keeps a record of something that was done to a target. */
-    void explain(
+    void recordExplanation(
             long atMillis,
             Action action,
             TargetRecord record,
@@ -128,15 +128,15 @@
     }
 
     /** Gives work again to those whose time has come; before the evidence is weighed. */
-    void bringBack(long nowMillis) {
+    void restoreDueTargets(long nowMillis) {
         DetectionPolicy policy = mTemplate.detection();
         for (TargetRecord record : mRecords.values()) {
-            if (record.isColdTooLong(nowMillis)) {
-                beginReturn(record, "it has been starting for too long", nowMillis);
+            if (record.isColdTimedOut(nowMillis)) {
+                beginSlowStart(record, "it has been starting for too long", nowMillis);
             } else if (record.state() == TargetState.RETURNING
                     && record.isSlowStartOver(policy, nowMillis)) {
                 record.activate(nowMillis);
-                explain(
+                recordExplanation(
                         nowMillis,
                         Action.RESTORED,
                         record,
@@ -154,10 +154,10 @@
             record.postponeReturn(policy.returnAfter().toMillis(), nowMillis);
             return;
         }
-        beginReturn(record, "its time out is over", nowMillis);
+        beginSlowStart(record, "its time out is over", nowMillis);
     }
 
-    private void takeOut(Map<Endpoint, Verdict> verdicts, long nowMillis) {
+    private void takeOut(Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
         List<TargetRecord> suspects = new ArrayList<>();
         for (TargetRecord record : mRecords.values()) {
             if (isAgainst(record, verdicts.get(record.target().endpoint()), nowMillis)) {
@@ -177,20 +177,20 @@
         }
     }
 
-    private static boolean isAgainst(TargetRecord record, Verdict verdict, long nowMillis) {
+    private static boolean isAgainst(TargetRecord record, TargetAssessment verdict, long nowMillis) {
         boolean straggler = record.isStraggler(verdict.slow(), nowMillis);
         return switch (record.state()) {
-            case ACTIVE -> verdict.failing() || straggler || verdict.failsHere();
+            case ACTIVE -> verdict.failing() || straggler || verdict.failingLocally();
             // A target that is new or was out may be slow at first: that is no failure.
-            case RETURNING -> verdict.failing() || verdict.failsHere();
+            case RETURNING -> verdict.failing() || verdict.failingLocally();
             case AVOIDED_HERE -> verdict.failing();
             default -> false;
         };
     }
 
     private void takeOutOrHold(
-            TargetRecord record, Map<Endpoint, Verdict> verdicts, long nowMillis) {
-        Verdict verdict = verdicts.get(record.target().endpoint());
+            TargetRecord record, Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
+        TargetAssessment verdict = verdicts.get(record.target().endpoint());
         int floor = mTemplate.floorTargets();
         int healthy = knownHealthyWithout(record, verdicts, nowMillis);
         if (record.state() != TargetState.AVOIDED_HERE && !mFloorRule.allows(healthy, floor)) {
@@ -198,45 +198,45 @@
             return;
         }
         DetectionPolicy policy = mTemplate.detection();
-        if (verdict.failing() || !verdict.failsHere()) {
-            record.remove(TargetState.EJECTED, policy.returnAfter().toMillis(), nowMillis);
-            explain(
+        if (verdict.failing() || !verdict.failingLocally()) {
+            record.takeOut(TargetState.EJECTED, policy.returnAfter().toMillis(), nowMillis);
+            recordExplanation(
                     nowMillis,
                     Action.EJECTED,
                     record,
                     verdict.failing()
                             ? "it fails more than its peers, seen from the cell"
                             : "it is slower than its peers, seen from the cell",
-                    verdict.evidence(),
+                    verdict.summary(),
                     setting(verdict));
             return;
         }
-        record.remove(TargetState.AVOIDED_HERE, AVOID_MILLIS, nowMillis);
-        mTable.forgetOwn(record.target().endpoint());
-        explain(
+        record.takeOut(TargetState.AVOIDED_HERE, AVOID_MILLIS, nowMillis);
+        mTable.removeLocal(record.target().endpoint());
+        recordExplanation(
                 nowMillis,
                 Action.AVOIDED,
                 record,
                 "it fails for this VM; the cell doesn't confirm it",
-                verdict.evidence(),
+                verdict.summary(),
                 setting(verdict));
     }
 
-    private void hold(TargetRecord record, Verdict verdict, int healthy, long nowMillis) {
+    private void hold(TargetRecord record, TargetAssessment verdict, int healthy, long nowMillis) {
         if (!record.isHeld()) {
-            explain(
+            recordExplanation(
                     nowMillis,
                     Action.FLOOR_HELD,
                     record,
                     healthy + " others are known to be well",
-                    verdict.evidence(),
+                    verdict.summary(),
                     "floorTargets=" + mTemplate.floorTargets());
         }
         record.hold(verdict.failureShare());
     }
 
     private int knownHealthyWithout(
-            TargetRecord candidate, Map<Endpoint, Verdict> verdicts, long nowMillis) {
+            TargetRecord candidate, Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
         int healthy = 0;
         for (TargetRecord record : mRecords.values()) {
             if (record != candidate
@@ -249,16 +249,16 @@
         return healthy;
     }
 
-    private void slow(TargetRecord record, Verdict verdict, long nowMillis) {
+    private void slow(TargetRecord record, TargetAssessment verdict, long nowMillis) {
         boolean slow = verdict.latencyRatio() >= SLOWED_FROM;
         double weight = slow ? Math.max(LEAST_SPEED_WEIGHT, 1 / verdict.latencyRatio()) : 1;
         if (slow && record.speedWeight() == 1 && record.state() == TargetState.ACTIVE) {
-            explain(
+            recordExplanation(
                     nowMillis,
                     Action.SLOWED,
                     record,
                     "it is slower than its peers",
-                    verdict.evidence(),
+                    verdict.summary(),
                     setting(verdict));
         }
         record.setSpeedWeight(weight);
@@ -271,7 +271,7 @@
      * though no ejection does. A doubtful target then is better than none.
      */
     private void refill(long nowMillis) {
-        long active = mRecords.values().stream().filter(r -> r.state().getsWork()).count();
+        long active = mRecords.values().stream().filter(r -> r.state().receivesRequests()).count();
         List<TargetRecord> out = new ArrayList<>(mRecords.values());
         out.removeIf(record -> !isOut(record));
         out.sort(Comparator.comparingLong(TargetRecord::returnAtMillis));
@@ -279,7 +279,7 @@
             if (active >= mTemplate.floorTargets()) {
                 return;
             }
-            beginReturn(record, "too few targets get work", nowMillis);
+            beginSlowStart(record, "too few targets get work", nowMillis);
             active++;
         }
     }
@@ -288,9 +288,9 @@
         return record.state() == TargetState.EJECTED || record.state() == TargetState.AVOIDED_HERE;
     }
 
-    private String setting(Verdict verdict) {
+    private String setting(TargetAssessment verdict) {
         DetectionPolicy policy = mTemplate.detection();
-        return verdict.failing() || verdict.failsHere()
+        return verdict.failing() || verdict.failingLocally()
                 ? "falseEjectionTolerance="
                         + policy.falseEjectionTolerance()
                         + ", failureShare="
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
@@ -16,18 +16,18 @@
  */
 final class EvidenceTable {
     /** The place that stands for what this VM saw itself. */
-    static final String OWN = "";
+    static final String LOCAL_VM = "";
 
     /** The kind under which failed probes are kept. */
     static final String PROBE_KIND = "#probe";
 
-    private final Map<Endpoint, Map<String, Map<String, WorkHistory>>> mHistories = new HashMap<>();
+    private final Map<Endpoint, Map<String, Map<String, WindowedCounts>>> mHistories = new HashMap<>();
 
     void add(String place, TargetEvidence evidence, long nowMillis) {
         mHistories
                 .computeIfAbsent(evidence.target(), key -> new TreeMap<>())
                 .computeIfAbsent(place, key -> new TreeMap<>())
-                .computeIfAbsent(evidence.kind(), key -> new WorkHistory())
+                .computeIfAbsent(evidence.kind(), key -> new WindowedCounts())
                 .add(
                         evidence.successes(),
                         evidence.failures(),
@@ -37,13 +37,13 @@
     }
 
     /** Forgets all that was seen of a target. */
-    void forget(Endpoint target) {
+    void remove(Endpoint target) {
         mHistories.remove(target);
     }
 
     /** Forgets what this VM alone saw of a target; the zone's sums stay. */
-    void forgetOwn(Endpoint target) {
-        mHistories.getOrDefault(target, new TreeMap<>()).remove(OWN);
+    void removeLocal(Endpoint target) {
+        mHistories.getOrDefault(target, new TreeMap<>()).remove(LOCAL_VM);
     }
 
     /** Forgets all targets but the listed ones. */
@@ -54,7 +54,7 @@
     /** Returns the kinds that were seen at a place. */
     private Set<String> kinds(String place) {
         Set<String> kinds = new TreeSet<>();
-        for (Map<String, Map<String, WorkHistory>> places : mHistories.values()) {
+        for (Map<String, Map<String, WindowedCounts>> places : mHistories.values()) {
             kinds.addAll(places.getOrDefault(place, Map.of()).keySet());
         }
         return kinds;
@@ -73,7 +73,7 @@
     private Counts[][] windows(String place, String kind, List<Endpoint> targets, long nowMillis) {
         Counts[][] windows = new Counts[targets.size()][];
         for (int index = 0; index < windows.length; index++) {
-            WorkHistory history =
+            WindowedCounts history =
                     mHistories
                             .getOrDefault(targets.get(index), Map.of())
                             .getOrDefault(place, Map.of())
--- a/decisions/src/main/java/org/dahliapass/decisions/health/Sickness.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/FailureSeverity.java
@@ -8,7 +8,7 @@
  * <p>A test for a small share needs many failures, a test for a large one overlooks a small share;
  * the two together find both fast, at the price of a slightly higher bound.
  */
-enum Sickness {
+enum FailureSeverity {
     /** It fails the template's share of the work. */
     PARTIAL {
         @Override
--- a/decisions/src/main/java/org/dahliapass/decisions/health/FailureScreen.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/FailureTrigger.java
@@ -11,7 +11,7 @@
  * weighings. It decides nothing: it only saves the wait for the next tick when a target begins to
  * fail most of its work.
  */
-final class FailureScreen {
+final class FailureTrigger {
     /** About two failures in a row where failures are rare. */
     private static final double BOUND = 8;
 
@@ -21,8 +21,8 @@
     private double mNullRate = 0.01;
 
     /** Sets the failure rate that is normal at present, from all recent work. */
-    void setNormal(Counts recent) {
-        mNullRate = LikelihoodTest.nullRate(recent);
+    void setBaseline(Counts recent) {
+        mNullRate = LikelihoodRatioTest.nullRate(recent);
     }
 
     /** Takes in work; returns whether the target looks as if it began to fail. */
@@ -34,7 +34,7 @@
         }
         Counts work = new Counts();
         work.add(evidence.successes(), evidence.failures(), 0, 0);
-        double step = LikelihoodTest.failureScore(work, mNullRate, SICK_SHARE);
+        double step = LikelihoodRatioTest.failureScore(work, mNullRate, SICK_SHARE);
         double score = Math.max(0, mScores.getOrDefault(evidence.target(), 0.0) + step);
         mScores.put(evidence.target(), score);
         return evidence.failures() > 0 && score >= BOUND;
--- a/decisions/src/main/java/org/dahliapass/decisions/health/HealthReport.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/HealthReport.java
@@ -11,7 +11,7 @@
     /** It stops. */
     LEAVING(true),
     /** It says that it can't work: a hint only. */
-    SICK(false);
+    UNHEALTHY(false);
 
     private final boolean mWantsNothingNew;
 
@@ -20,7 +20,7 @@
     }
 
     /** Returns whether the target must get no new work. */
-    public boolean wantsNothingNew() {
+    public boolean rejectsNewRequests() {
         return mWantsNothingNew;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/LikelihoodTest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/LikelihoodRatioTest.java
@@ -10,7 +10,7 @@
  * (Lorden). The bound is therefore the logarithm of the work in the time for which the false
  * ejection tolerance is promised, divided by that tolerance.
  */
-final class LikelihoodTest {
+final class LikelihoodRatioTest {
     /** Nothing is taken for more reliable than this, however long it went well. */
     private static final double LOWEST_FAILURE_RATE = 0.005;
 
@@ -35,7 +35,7 @@
     /** The least work for which a bound is set; less would make the first failures decide. */
     private static final double LEAST_WORK = 100;
 
-    private LikelihoodTest() {}
+    private LikelihoodRatioTest() {}
 
     /** Returns the bound that a healthy target crosses with at most the tolerance's chance. */
     static double bound(double tolerance, double piecesOfWork) {
@@ -53,7 +53,7 @@
      *
      * <p>Guards against a fault that all share: others may not have failed yet by chance.
      */
-    static double highestNullRate(Counts others) {
+    static double nullRateUpperBound(Counts others) {
         double failures = others.mFailures + PRIOR_FAILURES;
         double doubt = DOUBT_DEVIATIONS * Math.sqrt(failures);
         return Math.min(HIGHEST_RATE, (failures + doubt) / (others.total() + PRIOR_WORK));
@@ -63,7 +63,7 @@
     static double failureScore(Counts own, double nullRate, double failureShare) {
         double sickRate = nullRate + (1 - nullRate) * failureShare;
         return own.mFailures * Math.log(sickRate / nullRate)
-                + own.goodWork() * Math.log((1 - sickRate) / (1 - nullRate));
+                + own.allSuccesses() * Math.log((1 - sickRate) / (1 - nullRate));
     }
 
     /** Returns the score for being slower than the peers by {@code slowFactor}. */
@@ -72,13 +72,13 @@
             return 0;
         }
         double shift = Math.log(slowFactor);
-        double excess = own.mLogSum - own.mSuccesses * (peers.meanLog() + shift / 2);
+        double excess = own.mLogSum - own.mSuccesses * (peers.meanLogLatency() + shift / 2);
         return shift * excess / variance(peers);
     }
 
     /** Returns the variance of the logarithm of the latency. */
     static double variance(Counts peers) {
-        double mean = peers.meanLog();
+        double mean = peers.meanLogLatency();
         double spread = peers.mLogSquareSum / peers.mSuccesses - mean * mean;
         return Math.max(LOWEST_DEVIATION * LOWEST_DEVIATION, spread);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/Detector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
@@ -17,7 +17,7 @@
  * sum without the zone that blames most stays low. So a target counts as sick only if that rest,
  * too, speaks against it; two VMs of different zones have then seen it.
  */
-final class Detector {
+final class OutlierDetector {
     /** The part of the bound that the evidence must reach without the zone that blames most. */
     private static final double CORROBORATION_SHARE = 0.4;
 
@@ -32,8 +32,8 @@
     private static final double DEVIATIONS_FOR_RATIO = 4;
 
     private final DetectionPolicy mPolicy;
-    private final Map<String, PlaceScores> mZones = new HashMap<>();
-    private final PlaceScores mOwn;
+    private final Map<String, VantagePointScores> mZones = new HashMap<>();
+    private final VantagePointScores mOwn;
     private final boolean mOthersReport;
 
     /**
@@ -43,7 +43,7 @@
      * @param othersReport whether a VM of another zone reports at present
      * @param baselineTargets the targets that tell what is normal
      */
-    Detector(
+    OutlierDetector(
             DetectionPolicy policy,
             EvidenceTable table,
             Collection<String> zones,
@@ -57,11 +57,11 @@
         for (String zone : zones) {
             Map<String, Counts[][]> seen = table.windows(zone, targets, nowMillis);
             addTo(everywhere, seen);
-            mZones.put(zone, PlaceScores.ofZone(seen, targets, baselineTargets, policy));
+            mZones.put(zone, VantagePointScores.forZone(seen, targets, baselineTargets, policy));
         }
         mOwn =
-                PlaceScores.ofThisVm(
-                        table.windows(EvidenceTable.OWN, targets, nowMillis),
+                VantagePointScores.forLocalVm(
+                        table.windows(EvidenceTable.LOCAL_VM, targets, nowMillis),
                         everywhere,
                         targets,
                         baselineTargets,
@@ -80,42 +80,42 @@
     }
 
     /** Returns what the evidence says of a target. */
-    Verdict verdict(Endpoint target) {
-        Counts work = work(target, WorkHistory.LONGEST);
+    TargetAssessment assess(Endpoint target) {
+        Counts work = work(target, WindowedCounts.LONGEST_WINDOW);
         double bound = bound(work.total());
         Sum worst = worstFailure(target, bound);
         double ownScore = mOwn.score(target).highestFailure();
-        return new Verdict(
+        return new TargetAssessment(
                 decides(worst, bound),
                 isSlow(target, bound),
                 failsHere(target, ownScore),
                 worst.mTotal,
                 ownScore,
                 bound,
-                work(target, WorkHistory.EIGHT_SECONDS).failureShare(),
+                work(target, WindowedCounts.EIGHT_SECONDS).failureShare(),
                 presentLatencyRatio(target),
                 work);
     }
 
     private boolean failsHere(Endpoint target, double ownScore) {
         // While nobody else reports, own evidence is the cell's: it ejects.
-        int ownWork = mOwn.score(target).window(WorkHistory.LONGEST).work().total();
+        int ownWork = mOwn.score(target).window(WindowedCounts.LONGEST_WINDOW).work().total();
         return mOthersReport && ownScore >= bound(ownWork);
     }
 
     private double bound(int piecesOfWork) {
-        double spans = HOUR_MILLIS / WorkHistory.longestMillis();
+        double spans = HOUR_MILLIS / WindowedCounts.longestWindowMillis();
         double single =
-                LikelihoodTest.bound(mPolicy.falseEjectionTolerance(), piecesOfWork * spans);
+                LikelihoodRatioTest.bound(mPolicy.falseEjectionTolerance(), piecesOfWork * spans);
         // Each sickness is a test of its own, and each may err.
-        return single + Math.log(Sickness.values().length);
+        return single + Math.log(FailureSeverity.values().length);
     }
 
     /** Returns the highest sum that decides; if none does, the highest. */
     private Sum worstFailure(Endpoint target, double bound) {
         Sum worst = new Sum();
-        for (int window = 0; window < WorkHistory.WINDOWS; window++) {
-            for (Sickness sickness : Sickness.values()) {
+        for (int window = 0; window < WindowedCounts.WINDOWS; window++) {
+            for (FailureSeverity sickness : FailureSeverity.values()) {
                 Sum sum = failure(target, window, sickness);
                 boolean decides = decides(sum, bound);
                 boolean worstDecides = decides(worst, bound);
@@ -137,7 +137,7 @@
     }
 
     private boolean isSlow(Endpoint target, double bound) {
-        for (int window = WorkHistory.TWO_SECONDS; window < WorkHistory.WINDOWS; window++) {
+        for (int window = WindowedCounts.TWO_SECONDS; window < WindowedCounts.WINDOWS; window++) {
             if (latencyRatio(target, window) >= SLOW_FACTOR_SHARE * mPolicy.slowFactor()
                     && decides(slowness(target, window), bound)) {
                 return true;
@@ -148,19 +148,19 @@
 
     /** Returns the ratio in the shortest window that has enough work to tell. */
     private double presentLatencyRatio(Endpoint target) {
-        for (int window = WorkHistory.ONE_SECOND; window < WorkHistory.EIGHT_SECONDS; window++) {
+        for (int window = WindowedCounts.ONE_SECOND; window < WindowedCounts.EIGHT_SECONDS; window++) {
             if (work(target, window).mSuccesses >= LEAST_WORK_FOR_RATIO) {
                 return latencyRatio(target, window);
             }
         }
-        return latencyRatio(target, WorkHistory.EIGHT_SECONDS);
+        return latencyRatio(target, WindowedCounts.EIGHT_SECONDS);
     }
 
     private double latencyRatio(Endpoint target, int window) {
         double excessLog = 0;
         double variance = 0;
         int successes = 0;
-        for (PlaceScores zone : mZones.values()) {
+        for (VantagePointScores zone : mZones.values()) {
             TargetScore.WindowScore score = zone.score(target).window(window);
             excessLog += score.excessLog();
             variance += score.excessVariance();
@@ -178,7 +178,7 @@
         return work;
     }
 
-    private Sum failure(Endpoint target, int window, Sickness sickness) {
+    private Sum failure(Endpoint target, int window, FailureSeverity sickness) {
         Sum sum = new Sum();
         mZones.values()
                 .forEach(zone -> sum.add(zone.score(target).window(window).failure(sickness)));
--- a/decisions/src/main/java/org/dahliapass/decisions/health/PeerBaseline.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/PeerBaseline.java
@@ -23,13 +23,13 @@
     }
 
     /** Returns the normal failure rate's base: the quarter that fails most is left out. */
-    static PeerBaseline ofFailures(Counts[] peers) {
+    static PeerBaseline forFailures(Counts[] peers) {
         return without(peers, Comparator.comparingDouble(Counts::failureShare));
     }
 
     /** Returns the normal latency's base: the quarter that is slowest is left out. */
-    static PeerBaseline ofLatency(Counts[] peers) {
-        return without(peers, Comparator.comparingDouble(Counts::meanLog));
+    static PeerBaseline forLatency(Counts[] peers) {
+        return without(peers, Comparator.comparingDouble(Counts::meanLogLatency));
     }
 
     private static PeerBaseline without(Counts[] peers, Comparator<Counts> order) {
@@ -40,7 +40,7 @@
     }
 
     /** Returns the peers' work without the target's own. */
-    Counts against(Counts own) {
+    Counts excluding(Counts own) {
         Counts peers = new Counts();
         peers.add(mSum);
         for (Counts counts : mSummed) {
--- a/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
@@ -39,13 +39,13 @@
     }
 
     /** Returns whether work that must run at most once may be sent to the target. */
-    public boolean mayCarryGuarded(Endpoint target) {
+    public boolean acceptsAtMostOnce(Endpoint target) {
         TargetStatus status = targets.get(target);
-        return status != null && status.mayCarryGuarded();
+        return status != null && status.acceptsAtMostOnce();
     }
 
     /** Returns how many targets may get new work. */
     public int activeTargets() {
-        return (int) targets.values().stream().filter(status -> status.state().getsWork()).count();
+        return (int) targets.values().stream().filter(status -> status.state().receivesRequests()).count();
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
@@ -32,13 +32,13 @@
 
     private final VmIdentity mObserver;
     private final String mZone;
-    private final OwnWork mOwnWork = new OwnWork();
+    private final UnreportedEvidence mOwnWork = new UnreportedEvidence();
     private final EvidenceTable mTable = new EvidenceTable();
-    private final Lifecycle mLifecycle;
+    private final EjectionController mLifecycle;
     private final Map<VmIdentity, Long> mSequences = new HashMap<>();
     private final Map<String, Long> mZoneHeardMillis = new TreeMap<>();
     private ServiceTemplate mTemplate;
-    private final FailureScreen mScreen = new FailureScreen();
+    private final FailureTrigger mScreen = new FailureTrigger();
     private long mSequence;
     private boolean mUrgent;
     private long mWeighedMillis = Long.MIN_VALUE / 2;
@@ -56,19 +56,19 @@
             String availabilityZone,
             ServiceTemplate template,
             long nowMillis) {
-        this(observer, availabilityZone, template, FloorRule.KEPT, nowMillis);
+        this(observer, availabilityZone, template, FloorPolicy.ENFORCED, nowMillis);
     }
 
     TargetHealth(
             VmIdentity observer,
             String availabilityZone,
             ServiceTemplate template,
-            FloorRule floorRule,
+            FloorPolicy floorRule,
             long nowMillis) {
         mObserver = observer;
         mZone = availabilityZone;
         mTemplate = template;
-        mLifecycle = new Lifecycle(template, floorRule, mTable, nowMillis);
+        mLifecycle = new EjectionController(template, floorRule, mTable, nowMillis);
         mZoneHeardMillis.put(mZone, nowMillis);
         publish(nowMillis);
     }
@@ -105,7 +105,7 @@
         if (record == null || !(outcome.isSuccess() || outcome.isFailure())) {
             return;
         }
-        addOwn(record, OwnWork.evidence(target, kind, outcome, latencyMillis), nowMillis);
+        addOwn(record, UnreportedEvidence.evidence(target, kind, outcome, latencyMillis), nowMillis);
         weighIfUrgent(nowMillis);
     }
 
@@ -133,7 +133,7 @@
         if (record == null) {
             return;
         }
-        if (report.wantsNothingNew()) {
+        if (report.rejectsNewRequests()) {
             onLeaving(target, "it says that it stops", nowMillis);
             return;
         }
@@ -151,8 +151,8 @@
      */
     public void onLeaving(Endpoint target, String cause, long nowMillis) {
         TargetRecord record = mLifecycle.record(target);
-        if (record != null && record.leave(nowMillis)) {
-            mLifecycle.explain(nowMillis, Action.LEAVING, record, cause, "", "");
+        if (record != null && record.markLeaving(nowMillis)) {
+            mLifecycle.recordExplanation(nowMillis, Action.LEAVING, record, cause, "", "");
             publish(nowMillis);
         }
     }
@@ -172,10 +172,10 @@
             return;
         }
         if (!answered) {
-            record.noteFailedProbe(nowMillis);
+            record.recordFailedProbe(nowMillis);
         }
         Outcome outcome = answered ? Outcome.SUCCESS : Outcome.FAILURE;
-        addOwn(record, OwnWork.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1), nowMillis);
+        addOwn(record, UnreportedEvidence.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1), nowMillis);
     }
 
     /** Returns what this VM saw since the last call, for the other VMs of the cell. */
@@ -193,7 +193,7 @@
         if (nowMillis - mUrgentReportMillis < SHORTEST_PAUSE_MILLIS) {
             return Optional.empty();
         }
-        List<TargetEvidence> failing = mOwnWork.takeFailing();
+        List<TargetEvidence> failing = mOwnWork.takeWithFailures();
         if (failing.isEmpty()) {
             return Optional.empty();
         }
@@ -225,9 +225,9 @@
         mUrgent = false;
         mWeighedMillis = nowMillis;
         // First, as it drops old evidence: weighed once more, that would eject what just returned.
-        mLifecycle.bringBack(nowMillis);
-        Detector detector =
-                new Detector(
+        mLifecycle.restoreDueTargets(nowMillis);
+        OutlierDetector detector =
+                new OutlierDetector(
                         mTemplate.detection(),
                         mTable,
                         new TreeSet<>(mZoneHeardMillis.keySet()),
@@ -235,14 +235,14 @@
                         List.copyOf(mLifecycle.targets()),
                         mLifecycle.activeTargets(),
                         nowMillis);
-        Map<Endpoint, Verdict> verdicts = new TreeMap<>();
-        mLifecycle.targets().forEach(target -> verdicts.put(target, detector.verdict(target)));
+        Map<Endpoint, TargetAssessment> verdicts = new TreeMap<>();
+        mLifecycle.targets().forEach(target -> verdicts.put(target, detector.assess(target)));
         mLifecycle.decide(verdicts, nowMillis);
-        mScreen.setNormal(recentWork(verdicts));
+        mScreen.setBaseline(recentWork(verdicts));
         publish(nowMillis);
     }
 
-    private static Counts recentWork(Map<Endpoint, Verdict> verdicts) {
+    private static Counts recentWork(Map<Endpoint, TargetAssessment> verdicts) {
         Counts recent = new Counts();
         verdicts.values().forEach(verdict -> recent.add(verdict.work()));
         return recent;
@@ -253,7 +253,7 @@
             return;
         }
         mOwnWork.add(evidence, nowMillis);
-        mTable.add(EvidenceTable.OWN, evidence, nowMillis);
+        mTable.add(EvidenceTable.LOCAL_VM, evidence, nowMillis);
         mTable.add(mZone, evidence, nowMillis);
         note(record, evidence, true, nowMillis);
     }
@@ -271,23 +271,23 @@
 
     private void note(TargetRecord record, TargetEvidence evidence, boolean own, long nowMillis) {
         if (!evidence.kind().equals(EvidenceTable.PROBE_KIND)) {
-            record.noteSuccesses(evidence.successes(), nowMillis);
-            mUrgent |= mScreen.add(evidence, own) && record.state().getsWork();
+            record.recordSuccesses(evidence.successes(), nowMillis);
+            mUrgent |= mScreen.add(evidence, own) && record.state().receivesRequests();
         }
     }
 
     private void onCold(TargetRecord record, long nowMillis) {
-        if (record.isHeld() || !record.mayBecomeCold(nowMillis)) {
+        if (record.isHeld() || !record.canBecomeCold(nowMillis)) {
             return;
         }
         record.becomeCold(nowMillis);
-        mLifecycle.explain(nowMillis, Action.COLD, record, "it says that it is starting", "", "");
+        mLifecycle.recordExplanation(nowMillis, Action.COLD, record, "it says that it is starting", "", "");
         publish(nowMillis);
     }
 
     private void onServing(TargetRecord record, long nowMillis) {
-        if (record.state() == TargetState.COLD || record.mayComeBackFromLeaving(nowMillis)) {
-            mLifecycle.beginReturn(record, "it says that it serves", nowMillis);
+        if (record.state() == TargetState.COLD || record.canReturnFromLeaving(nowMillis)) {
+            mLifecycle.beginSlowStart(record, "it says that it serves", nowMillis);
             publish(nowMillis);
         }
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetRecord.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetRecord.java
@@ -102,14 +102,14 @@
         return mReturnAtMillis;
     }
 
-    void noteSuccesses(int count, long nowMillis) {
+    void recordSuccesses(int count, long nowMillis) {
         if (count > 0) {
             mLastSuccessMillis = nowMillis;
             mSuccessesSinceReturn += count;
         }
     }
 
-    void noteFailedProbe(long nowMillis) {
+    void recordFailedProbe(long nowMillis) {
         mLastFailedProbeMillis = nowMillis;
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Takes the target out for a time that is doubled for each earlier such time in the window. */
-    void remove(TargetState state, long baseMillis, long nowMillis) {
+    void takeOut(TargetState state, long baseMillis, long nowMillis) {
         ArrayDeque<Long> earlier = state == TargetState.EJECTED ? mEjections : mAvoidances;
         while (!earlier.isEmpty() && nowMillis - earlier.peekFirst() > FLAP_WINDOW_MILLIS) {
             earlier.removeFirst();
@@ -137,7 +137,7 @@
         mReturnAtMillis = nowMillis + millis;
     }
 
-    void beginReturn(long nowMillis) {
+    void beginSlowStart(long nowMillis) {
         mSuccessesSinceReturn = 0;
         enter(TargetState.RETURNING, nowMillis);
     }
@@ -147,7 +147,7 @@
     }
 
     /** Returns whether this is the first sign that it stops. */
-    boolean leave(long nowMillis) {
+    boolean markLeaving(long nowMillis) {
         mLastLeavingMillis = nowMillis;
         if (mState == TargetState.LEAVING) {
             return false;
@@ -157,17 +157,17 @@
     }
 
     /** Returns whether a report that it works again can be believed. */
-    boolean mayComeBackFromLeaving(long nowMillis) {
+    boolean canReturnFromLeaving(long nowMillis) {
         return mState == TargetState.LEAVING
                 && nowMillis - mLastLeavingMillis >= LEAVING_HOLD_MILLIS;
     }
 
     /** Returns whether a report that it is starting may be believed: once in a while only. */
-    boolean mayBecomeCold(long nowMillis) {
+    boolean canBecomeCold(long nowMillis) {
         return nowMillis - mColdSinceMillis > COLD_AGAIN_MILLIS
                 && (mState == TargetState.ACTIVE
                         || mState == TargetState.RETURNING
-                        || mayComeBackFromLeaving(nowMillis));
+                        || canReturnFromLeaving(nowMillis));
     }
 
     void becomeCold(long nowMillis) {
@@ -175,7 +175,7 @@
         enter(TargetState.COLD, nowMillis);
     }
 
-    boolean isColdTooLong(long nowMillis) {
+    boolean isColdTimedOut(long nowMillis) {
         return mState == TargetState.COLD && nowMillis - mSinceMillis > LONGEST_COLD_MILLIS;
     }
 
@@ -197,7 +197,7 @@
     }
 
     private double weight(DetectionPolicy policy, long nowMillis) {
-        if (!mState.getsWork()) {
+        if (!mState.receivesRequests()) {
             return 0;
         }
         if (mState == TargetState.COLD) {
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetScore.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetScore.java
@@ -5,12 +5,12 @@
 /** The scores of one target at one place over each window, summed over the request kinds. */
 final class TargetScore {
     /** The scores of a target of which a place saw nothing. */
-    static final TargetScore NOTHING_SEEN = new TargetScore();
+    static final TargetScore EMPTY = new TargetScore();
 
-    private final WindowScore[] mWindows = new WindowScore[WorkHistory.WINDOWS];
+    private final WindowScore[] mWindows = new WindowScore[WindowedCounts.WINDOWS];
 
     TargetScore() {
-        for (int window = 0; window < WorkHistory.WINDOWS; window++) {
+        for (int window = 0; window < WindowedCounts.WINDOWS; window++) {
             mWindows[window] = new WindowScore();
         }
     }
@@ -23,7 +23,7 @@
     double highestFailure() {
         double highest = 0;
         for (WindowScore window : mWindows) {
-            for (Sickness sickness : Sickness.values()) {
+            for (FailureSeverity sickness : FailureSeverity.values()) {
                 highest = Math.max(highest, window.failure(sickness));
             }
         }
@@ -43,34 +43,34 @@
 
         void addProbes(Counts own, double nullRate, DetectionPolicy policy) {
             // A gray target answers probes and fails work: a good probe never clears anybody.
-            mPartialProbes = Math.max(0, score(Sickness.PARTIAL, own, nullRate, policy));
-            mSevereProbes = Math.max(0, score(Sickness.SEVERE, own, nullRate, policy));
+            mPartialProbes = Math.max(0, score(FailureSeverity.PARTIAL, own, nullRate, policy));
+            mSevereProbes = Math.max(0, score(FailureSeverity.SEVERE, own, nullRate, policy));
         }
 
         void addFailures(Counts own, double nullRate, DetectionPolicy policy) {
             mWork.add(own);
-            mPartial += score(Sickness.PARTIAL, own, nullRate, policy);
-            mSevere += score(Sickness.SEVERE, own, nullRate, policy);
+            mPartial += score(FailureSeverity.PARTIAL, own, nullRate, policy);
+            mSevere += score(FailureSeverity.SEVERE, own, nullRate, policy);
         }
 
         private static double score(
-                Sickness sickness, Counts own, double nullRate, DetectionPolicy policy) {
-            return LikelihoodTest.failureScore(own, nullRate, sickness.failureShare(policy));
+                FailureSeverity sickness, Counts own, double nullRate, DetectionPolicy policy) {
+            return LikelihoodRatioTest.failureScore(own, nullRate, sickness.failureShare(policy));
         }
 
         void addLatency(Counts own, Counts peers, DetectionPolicy policy) {
             if (peers.mSuccesses == 0) {
                 return;
             }
-            mSlowness += LikelihoodTest.slownessScore(own, peers, policy.slowFactor());
-            mExcessLog += own.mLogSum - own.mSuccesses * peers.meanLog();
-            mExcessVariance += own.mSuccesses * LikelihoodTest.variance(peers);
+            mSlowness += LikelihoodRatioTest.slownessScore(own, peers, policy.slowFactor());
+            mExcessLog += own.mLogSum - own.mSuccesses * peers.meanLogLatency();
+            mExcessVariance += own.mSuccesses * LikelihoodRatioTest.variance(peers);
         }
 
         /** Returns the score for failing; failed probes count only where no work went well. */
-        double failure(Sickness sickness) {
-            double work = sickness == Sickness.PARTIAL ? mPartial : mSevere;
-            double probes = sickness == Sickness.PARTIAL ? mPartialProbes : mSevereProbes;
+        double failure(FailureSeverity sickness) {
+            double work = sickness == FailureSeverity.PARTIAL ? mPartial : mSevere;
+            double probes = sickness == FailureSeverity.PARTIAL ? mPartialProbes : mSevereProbes;
             return mWork.mSuccesses > 0 ? work : work + probes;
         }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetState.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetState.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns whether new work may be sent to it. */
-    public boolean getsWork() {
+    public boolean receivesRequests() {
         return mGetsWork;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetStatus.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetStatus.java
@@ -8,12 +8,12 @@
  * @param target the target
  * @param state where it stands
  * @param weight its share of work against a healthy target, 0 to 1; 0 means nothing new
- * @param mayCarryGuarded whether work that must run at most once may be sent to it
+ * @param acceptsAtMostOnce whether work that must run at most once may be sent to it
  * @param reportedLoad the load that the target last reported, 0 to 1; a hint that may lag
  */
 public record TargetStatus(
         Target target,
         TargetState state,
         double weight,
-        boolean mayCarryGuarded,
+        boolean acceptsAtMostOnce,
         double reportedLoad) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/health/OwnWork.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/UnreportedEvidence.java
@@ -7,7 +7,7 @@
 import org.dahliapass.model.Endpoint;
 
 /** What this VM saw and has not yet told the cell. */
-final class OwnWork {
+final class UnreportedEvidence {
     private final Map<Endpoint, Map<String, Untold>> mCounts = new TreeMap<>();
 
     /** Returns one piece of work as evidence. */
@@ -35,7 +35,7 @@
     }
 
     /** Returns what the cell doesn't know yet of the targets that failed something. */
-    List<TargetEvidence> takeFailing() {
+    List<TargetEvidence> takeWithFailures() {
         Map<Endpoint, Map<String, Untold>> failing = new TreeMap<>(mCounts);
         failing.values().removeIf(kinds -> !hasFailures(kinds));
         mCounts.keySet().removeAll(failing.keySet());
--- a/decisions/src/main/java/org/dahliapass/decisions/health/PlaceScores.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/VantagePointScores.java
@@ -9,13 +9,13 @@
 import org.dahliapass.model.Endpoint;
 
 /** How each target does against its peers, in the work that one place saw. */
-final class PlaceScores {
+final class VantagePointScores {
     private final List<Endpoint> mTargets;
     private final Set<Endpoint> mBaselineTargets;
     private final DetectionPolicy mPolicy;
     private final Map<Endpoint, TargetScore> mScores = new HashMap<>();
 
-    private PlaceScores(
+    private VantagePointScores(
             List<Endpoint> targets, Set<Endpoint> baselineTargets, DetectionPolicy policy) {
         mTargets = targets;
         mBaselineTargets = baselineTargets;
@@ -28,12 +28,12 @@
      * @param windows the work by request kind
      * @param baselineTargets the targets that tell what is normal
      */
-    static PlaceScores ofZone(
+    static VantagePointScores forZone(
             Map<String, Counts[][]> windows,
             List<Endpoint> targets,
             Set<Endpoint> baselineTargets,
             DetectionPolicy policy) {
-        PlaceScores scores = new PlaceScores(targets, baselineTargets, policy);
+        VantagePointScores scores = new VantagePointScores(targets, baselineTargets, policy);
         windows.forEach((kind, seen) -> scores.addKind(kind, fillUp(seen), null));
         return scores;
     }
@@ -47,13 +47,13 @@
      * @param windows the work by request kind
      * @param everywhere the work that all VMs saw, this one among them
      */
-    static PlaceScores ofThisVm(
+    static VantagePointScores forLocalVm(
             Map<String, Counts[][]> windows,
             Map<String, Counts[][]> everywhere,
             List<Endpoint> targets,
             Set<Endpoint> baselineTargets,
             DetectionPolicy policy) {
-        PlaceScores scores = new PlaceScores(targets, baselineTargets, policy);
+        VantagePointScores scores = new VantagePointScores(targets, baselineTargets, policy);
         windows.forEach((kind, seen) -> scores.addKind(kind, seen, everywhere.get(kind)));
         return scores;
     }
@@ -66,10 +66,10 @@
      */
     private static Counts[][] fillUp(Counts[][] seen) {
         for (Counts[] windows : seen) {
-            for (int window = 0; windows != null && window < WorkHistory.ONE_SECOND; window++) {
+            for (int window = 0; windows != null && window < WindowedCounts.ONE_SECOND; window++) {
                 double expected =
-                        windows[WorkHistory.ONE_SECOND].total() * WorkHistory.shareOfSecond(window);
-                windows[window].fillUp((int) Math.round(expected));
+                        windows[WindowedCounts.ONE_SECOND].total() * WindowedCounts.fractionOfSecond(window);
+                windows[window].assumeSuccesses((int) Math.round(expected));
             }
         }
         return seen;
@@ -77,27 +77,27 @@
 
     /** Returns the target's scores; all zero if the place saw no work of it. */
     TargetScore score(Endpoint target) {
-        return mScores.getOrDefault(target, TargetScore.NOTHING_SEEN);
+        return mScores.getOrDefault(target, TargetScore.EMPTY);
     }
 
     private void addKind(String kind, Counts[][] seen, Counts[][] everywhere) {
         boolean probes = kind.equals(EvidenceTable.PROBE_KIND);
-        for (int window = 0; window < WorkHistory.WINDOWS; window++) {
+        for (int window = 0; window < WindowedCounts.WINDOWS; window++) {
             Counts[] peers = peers(seen, window);
-            PeerBaseline failures = PeerBaseline.ofFailures(peers);
-            PeerBaseline latency = probes ? failures : PeerBaseline.ofLatency(peers);
+            PeerBaseline failures = PeerBaseline.forFailures(peers);
+            PeerBaseline latency = probes ? failures : PeerBaseline.forLatency(peers);
             for (int index = 0; index < seen.length; index++) {
                 if (seen[index] == null || seen[index][window].total() == 0) {
                     continue;
                 }
                 Counts own = seen[index][window];
-                double nullRate = LikelihoodTest.nullRate(failures.against(own));
+                double nullRate = LikelihoodRatioTest.nullRate(failures.excluding(own));
                 TargetScore.WindowScore score = window(mTargets.get(index), window);
                 if (probes) {
                     score.addProbes(own, nullRate, mPolicy);
                     continue;
                 }
-                score.addLatency(own, latency.against(own), mPolicy);
+                score.addLatency(own, latency.excluding(own), mPolicy);
                 score.addFailures(
                         own,
                         Math.min(nullRate, rateElsewhere(own, everywhere, index, window)),
@@ -113,7 +113,7 @@
         Counts others = new Counts();
         others.add(everywhere[index][window]);
         others.subtract(own);
-        return LikelihoodTest.highestNullRate(others);
+        return LikelihoodRatioTest.nullRateUpperBound(others);
     }
 
     private Counts[] peers(Counts[][] seen, int window) {
--- a/decisions/src/main/java/org/dahliapass/decisions/health/WorkHistory.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/WindowedCounts.java
@@ -6,7 +6,7 @@
  * <p>A change may have begun at any of the windows' starts. Short windows use fine buckets, long
  * ones coarse buckets, so that the state stays small whatever the rate of work.
  */
-final class WorkHistory {
+final class WindowedCounts {
     /** The number of windows. */
     static final int WINDOWS = 11;
 
@@ -20,7 +20,7 @@
     static final int EIGHT_SECONDS = 7;
 
     /** The longest window. */
-    static final int LONGEST = WINDOWS - 1;
+    static final int LONGEST_WINDOW = WINDOWS - 1;
 
     private static final long FINE_MILLIS = 50;
     private static final int[] FINE_WINDOWS = {1, 2, 4, 8, 20, 40};
@@ -34,12 +34,12 @@
     private final CountRing mCoarse = new CountRing(COARSE_MILLIS, 16);
 
     /** Returns the length of the longest window in milliseconds. */
-    static long longestMillis() {
+    static long longestWindowMillis() {
         return COARSE_WINDOWS[COARSE_WINDOWS.length - 1] * COARSE_MILLIS;
     }
 
     /** Returns a short window's length in seconds; 0 for those of more than a second. */
-    static double shareOfSecond(int window) {
+    static double fractionOfSecond(int window) {
         return window >= ONE_SECOND ? 0 : FINE_WINDOWS[window] * FINE_MILLIS / 1_000.0;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/ContactBook.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/ContactBook.java
@@ -85,7 +85,7 @@
         List<Member> picked = mTable.pick(1, member -> member.state().isOwnWord());
         for (Member member : picked) {
             long incarnation = member.identity().incarnation();
-            actions.add(exchange(member.update().vm().peers(), incarnation, self));
+            actions.add(exchange(member.update().vm().peerEndpoint(), incarnation, self));
         }
     }
 
@@ -98,15 +98,15 @@
     private Optional<Endpoint> stranger(MemberUpdate self) {
         Set<Endpoint> candidates = new LinkedHashSet<>(mHints);
         candidates.addAll(mFormer);
-        candidates.remove(self.vm().peers());
+        candidates.remove(self.vm().peerEndpoint());
         for (Member member : mTable.all()) {
             if (member.isDead()) {
-                candidates.add(member.update().vm().peers());
+                candidates.add(member.update().vm().peerEndpoint());
             }
         }
         for (Member member : mTable.all()) {
             if (!member.isDead()) {
-                candidates.remove(member.update().vm().peers());
+                candidates.remove(member.update().vm().peerEndpoint());
             }
         }
         if (candidates.isEmpty()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
@@ -78,6 +78,6 @@
                         subject,
                         mHeadNumber,
                         List.copyOf(updates));
-        return new SendGossip(to.vm().peers(), message);
+        return new SendGossip(to.vm().peerEndpoint(), message);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberJudge.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberJudge.java
@@ -139,7 +139,7 @@
             if (member.state() == MemberState.SUSPECT && heldMillis >= suspicionMillis) {
                 endSuspicion(member, nowMillis, actions);
             } else if (member.isDead() && heldMillis >= tombstoneMillis) {
-                mContacts.rememberFormer(member.update().vm().peers());
+                mContacts.rememberFormer(member.update().vm().peerEndpoint());
                 forget = true;
             }
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
@@ -56,8 +56,8 @@
         return FIXED_BYTES
                 + vm.identity().name().length()
                 + vm.availabilityZone().length()
-                + addressBytes(vm.callers())
-                + addressBytes(vm.peers())
+                + addressBytes(vm.callerEndpoint())
+                + addressBytes(vm.peerEndpoint())
                 + addressBytes(operators);
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/AddressPlan.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/AddressPlan.java
@@ -89,11 +89,11 @@
     public List<Endpoint> addresses(String zone, String region) {
         List<FleetVm> chosen = mChosen.get(zone);
         return (chosen == null ? choose(zone, region) : chosen)
-                .stream().map(FleetVm::callers).toList();
+                .stream().map(FleetVm::callerEndpoint).toList();
     }
 
     /** Returns the VMs that take the callers of any zone: those whose work is worth knowing of. */
-    public Set<FleetVm> takers() {
+    public Set<FleetVm> advertisedVms() {
         return mTakers;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/Upstream.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/ChangeSource.java
@@ -3,21 +3,21 @@
 import org.dahliapass.model.routing.FleetVm;
 
 /** From where a VM hears of changes next. */
-public sealed interface Upstream {
+public sealed interface ChangeSource {
     /** The store itself. */
-    record Store() implements Upstream {}
+    record Store() implements ChangeSource {}
 
     /**
      * Another VM, which watches the store.
      *
      * @param vm the VM
      */
-    record Vm(FleetVm vm) implements Upstream {}
+    record Vm(FleetVm vm) implements ChangeSource {}
 
     /**
      * Nobody yet: to be asked again.
      *
-     * @param millis after this time, in milliseconds
+     * @param delayMillis after this time, in milliseconds
      */
-    record Later(long millis) implements Upstream {}
+    record RetryLater(long delayMillis) implements ChangeSource {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/UpstreamPlan.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/ChangeSourceSelector.java
@@ -15,7 +15,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class UpstreamPlan {
+public final class ChangeSourceSelector {
     /** A VM that is silent may be frozen or without power, which takes seconds, in milliseconds. */
     private static final long SILENT_PAUSE_MILLIS = 3_000;
 
@@ -45,17 +45,17 @@
      *
      * @param self this VM
      */
-    public UpstreamPlan(FleetVm self) {
+    public ChangeSourceSelector(FleetVm self) {
         mSelf = self;
     }
 
     /** Takes that a VM gave no answer in time. */
-    public void onSilent(FleetVm source, long nowMillis) {
+    public void onTimeout(FleetVm source, long nowMillis) {
         mPassedOverUntil.put(source.name(), nowMillis + SILENT_PAUSE_MILLIS);
     }
 
     /** Takes that a VM refused the connection or broke it off. */
-    public void onRefused(FleetVm source, long nowMillis) {
+    public void onConnectionFailure(FleetVm source, long nowMillis) {
         mPassedOverUntil.put(source.name(), nowMillis + REFUSED_PAUSE_MILLIS);
     }
 
@@ -65,8 +65,8 @@
      * <p>Guards against changes that come too late when the store is silent to all who watch it,
      * and to nobody else: they know it after a second, so their followers have none left to wait.
      */
-    public void onTurnedAway(FleetVm source, long nowMillis) {
-        onRefused(source, nowMillis);
+    public void onUnavailable(FleetVm source, long nowMillis) {
+        onConnectionFailure(source, nowMillis);
         mTurnedAwayMillis = nowMillis;
     }
 
@@ -78,11 +78,11 @@
      * @param heardMillis when this VM last heard from any source, in milliseconds
      * @param nowMillis the time, in milliseconds
      */
-    public Upstream choose(
+    public ChangeSource choose(
             AddressPlan plan, boolean storeAnswers, long heardMillis, long nowMillis) {
         boolean watches = plan.watchers().stream().anyMatch(vm -> vm.name().equals(mSelf.name()));
         if (watches && storeAnswers) {
-            return new Upstream.Store();
+            return new ChangeSource.Store();
         }
         Optional<FleetVm> source =
                 plan.watchers().stream()
@@ -90,13 +90,13 @@
                         .filter(vm -> !isPassedOver(vm, nowMillis))
                         .min(Comparator.comparingInt(this::distance).thenComparing(this::scatter));
         if (source.isPresent()) {
-            return new Upstream.Vm(source.get());
+            return new ChangeSource.Vm(source.get());
         }
         boolean patient =
                 !watches
                         && nowMillis - heardMillis < PATIENCE_MILLIS
                         && nowMillis - mTurnedAwayMillis >= PATIENCE_MILLIS;
-        return patient ? new Upstream.Later(LOOK_AGAIN_MILLIS) : new Upstream.Store();
+        return patient ? new ChangeSource.RetryLater(LOOK_AGAIN_MILLIS) : new ChangeSource.Store();
     }
 
     private int distance(FleetVm vm) {
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/CallerDemand.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/DemandEstimator.java
@@ -16,7 +16,7 @@
  * rate times the time of an answer (Little's law). All VMs read the same entries and so reach the
  * same figure, also in a fleet that has just started and has counted nothing yet.
  */
-public final class CallerDemand {
+public final class DemandEstimator {
     /**
      * How many answers of usual length fit into a route's objective. The objectives known are 2.5
      * to 7.5 times the mean time of an answer, most of them 3.0 to 4.8 times.
@@ -34,7 +34,7 @@
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private CallerDemand() {}
+    private DemandEstimator() {}
 
     /** Returns the estimate in requests a second; 0 while there is no target with a route. */
     public static double requestsPerSecond(
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/Believed.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/LeasedEntryCache.java
@@ -24,7 +24,7 @@
  *
  * @param <T> what an entry says
  */
-public final class Believed<T> {
+public final class LeasedEntryCache<T> {
     private final long mGraceMillis;
     private final Map<String, T> mEntries = new LinkedHashMap<>();
     private final Map<String, Long> mDropAtMillis = new HashMap<>();
@@ -36,7 +36,7 @@
      *
      * @param graceMillis how long lapsed entries are kept after the store's return, in milliseconds
      */
-    public Believed(long graceMillis) {
+    public LeasedEntryCache(long graceMillis) {
         mGraceMillis = graceMillis;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Drops one entry at once, whatever the state of the store. */
-    public void drop(String name) {
+    public void evict(String name) {
         if (mEntries.remove(name) != null) {
             mChanges++;
         }
@@ -59,7 +59,7 @@
     }
 
     /** Notes that the store answers again after a time in which it didn't. */
-    public void onStoreBack(long nowMillis) {
+    public void onStoreRecovered(long nowMillis) {
         mGraceUntilMillis = nowMillis + mGraceMillis;
     }
 
@@ -70,7 +70,7 @@
      * @param together how many entries have to vanish at once to be taken for an outage
      * @param nowMillis the time, in milliseconds
      */
-    public void remove(Set<String> names, int together, long nowMillis) {
+    public void onExpired(Set<String> names, int together, long nowMillis) {
         Set<String> known = new HashSet<>(names);
         known.retainAll(mEntries.keySet());
         boolean lapsed = nowMillis < mGraceUntilMillis || known.size() >= together;
@@ -82,13 +82,13 @@
                                 : nowMillis + mGraceMillis;
                 mDropAtMillis.putIfAbsent(name, dropAt);
             } else {
-                drop(name);
+                evict(name);
             }
         }
     }
 
     /** Drops the entries whose grace is over; returns their names. */
-    public List<String> dropOverdue(long nowMillis) {
+    public List<String> evictExpired(long nowMillis) {
         List<String> overdue = new ArrayList<>();
         mDropAtMillis.forEach(
                 (name, dropAt) -> {
@@ -97,13 +97,13 @@
                     }
                 });
         for (String name : overdue) {
-            drop(name);
+            evict(name);
         }
         return overdue;
     }
 
     /** Returns when the next entry is overdue, in milliseconds; empty if none is kept. */
-    public OptionalLong nextDropMillis() {
+    public OptionalLong nextEvictionMillis() {
         return mDropAtMillis.values().stream().mapToLong(Long::longValue).min();
     }
 
@@ -111,7 +111,7 @@
      * Returns a number that grows whenever an entry comes, goes or says something new, so that what
      * follows from the entries is worked out only then: most writes only say that who wrote lives.
      */
-    public long changes() {
+    public long modificationCount() {
         return mChanges;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/StoreBackoff.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/StoreBackoff.java
@@ -31,7 +31,7 @@
     }
 
     /** Takes that the store answered. */
-    public void onAnswer() {
+    public void onSuccess() {
         mPauseMillis = FIRST_MILLIS;
         mNotBeforeMillis = Long.MIN_VALUE;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/routing/ShareChooser.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/routing/WeightedRoundRobin.java
@@ -17,7 +17,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class ShareChooser {
+public final class WeightedRoundRobin {
     private final RandomGenerator mRandom;
     private final Map<String, Credits> mCredits = new HashMap<>();
 
@@ -33,7 +33,7 @@
     }
 
     /** Starts without any route; draws where each route's credits begin. */
-    public ShareChooser(RandomGenerator random) {
+    public WeightedRoundRobin(RandomGenerator random) {
         mRandom = random;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Forgets the routes that aren't among these. */
-    public void retain(List<RouteRule> routes) {
+    public void retainRoutes(List<RouteRule> routes) {
         mCredits.keySet().retainAll(routes.stream().map(RouteRule::name).toList());
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Balancer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/Balancer.java
@@ -243,7 +243,7 @@
         if (!(target.weight() > 0) || excluded.contains(target.endpoint())) {
             return false;
         }
-        return target.mayCarryGuarded() || kind.idempotency() != Idempotency.GUARDED;
+        return target.mayCarryGuarded() || kind.idempotency() != Idempotency.AT_MOST_ONCE;
     }
 
     private boolean hasBulkyRoom(WeightedTarget target, RequestKind kind) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
@@ -70,7 +70,7 @@
 
     /** Returns whether a loss of this kind's requests can be made good by a hedge. */
     static boolean mayHedge(RequestKind kind) {
-        return kind.idempotency().mayRepeat() && !kind.hedgeAfter().isZero();
+        return kind.idempotency().isRepeatable() && !kind.hedgeAfter().isZero();
     }
 
     /**
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLane.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLane.java
@@ -23,7 +23,7 @@
         if (kind.bulky()) {
             return BULKY;
         }
-        return kind.idempotency() == Idempotency.GUARDED ? GUARDED : SHORT;
+        return kind.idempotency() == Idempotency.AT_MOST_ONCE ? GUARDED : SHORT;
     }
 
     /** Returns the lane's share of dispatches against the other lanes that have entries. */
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
@@ -46,7 +46,7 @@
             earned += mEarned[index];
             spent += mSpent[index];
         }
-        double usable = kind.idempotency().mayRepeat() ? earned * SHARE_OF_READS : earned;
+        double usable = kind.idempotency().isRepeatable() ? earned * SHARE_OF_READS : earned;
         return spent + 1 <= MINIMUM + usable;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
@@ -77,7 +77,7 @@
             return Optional.of(StopReason.NOT_WANTED);
         }
         boolean mayHaveRun = failed.mayHaveRun() || failed.failure().mayHaveRun();
-        if (mayHaveRun && !failed.kind().idempotency().mayRepeat()) {
+        if (mayHaveRun && !failed.kind().idempotency().isRepeatable()) {
             return Optional.of(StopReason.MAY_HAVE_RUN);
         }
         if (!(failed.kind().retryShare() > 0)) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/WorkEvidence.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/WorkEvidence.java
@@ -253,7 +253,7 @@
 
     /** Takes a request's first try, before it has a target. */
     public void onFirstTry(RequestKind kind) {
-        double mustNotRepeat = kind.idempotency().mayRepeat() ? 0 : 1;
+        double mustNotRepeat = kind.idempotency().isRepeatable() ? 0 : 1;
         mShareThatMustNotRepeat += (mustNotRepeat - mShareThatMustNotRepeat) * NEWEST_WEIGHT;
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/WatchersTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/WatchersTest.java
@@ -62,7 +62,7 @@
             List<Vm> vms = new ArrayList<>();
             for (Vm vm : fleet(30)) {
                 VmIdentity identity = new VmIdentity(vm.identity().name(), life);
-                vms.add(new Vm(identity, "a", vm.callers(), vm.peers()));
+                vms.add(new Vm(identity, "a", vm.callerEndpoint(), vm.peerEndpoint()));
             }
             Watchers.ofZone("a", vms).forEach(id -> duties.merge(id.name(), 1, Integer::sum));
         }
--- a/decisions/src/test/java/org/dahliapass/decisions/health/CellFixture.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/CellFixture.java
@@ -24,18 +24,18 @@
     long mNowMillis = 1_000_000;
 
     CellFixture(int vms, int targets) {
-        this(vms, targets, FloorRule.KEPT);
+        this(vms, targets, FloorPolicy.ENFORCED);
     }
 
-    CellFixture(int vms, int targets, FloorRule floorRule) {
+    CellFixture(int vms, int targets, FloorPolicy floorRule) {
         this(vms, template(targets), floorRule);
     }
 
     CellFixture(int vms, int targets, double tolerance) {
-        this(vms, template(targets, tolerance), FloorRule.KEPT);
+        this(vms, template(targets, tolerance), FloorPolicy.ENFORCED);
     }
 
-    private CellFixture(int vms, ServiceTemplate template, FloorRule floorRule) {
+    private CellFixture(int vms, ServiceTemplate template, FloorPolicy floorRule) {
         for (int vm = 0; vm < vms; vm++) {
             mVms.add(
                     new TargetHealth(
--- a/decisions/src/test/java/org/dahliapass/decisions/health/HealthPropertiesTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/HealthPropertiesTest.java
@@ -19,7 +19,7 @@
     @Test
     public void ejectionNeverCrossesTheFloorAndNothingGoesToLeavingTargets() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            Optional<String> broken = new RandomEvents(seed, FloorRule.KEPT).run(ROUNDS);
+            Optional<String> broken = new RandomEvents(seed, FloorPolicy.ENFORCED).run(ROUNDS);
             assertEquals(broken, Optional.empty(), "seed " + seed);
         }
     }
@@ -28,7 +28,7 @@
     public void plantedFaultInTheFloorIsFound() {
         boolean found = false;
         for (long seed = 0; seed < SEEDS && !found; seed++) {
-            found = new RandomEvents(seed, FloorRule.BROKEN).run(ROUNDS).isPresent();
+            found = new RandomEvents(seed, FloorPolicy.IGNORED).run(ROUNDS).isPresent();
         }
         assertTrue(found, "The random events never came near the floor.");
     }
@@ -99,7 +99,7 @@
         private final long[] mLeftMillis = new long[TARGETS];
         private final long[] mLastSuccessMillis = new long[TARGETS];
 
-        RandomEvents(long seed, FloorRule floorRule) {
+        RandomEvents(long seed, FloorPolicy floorRule) {
             mRandom = new Random(seed);
             mCell = new CellFixture(VMS, TARGETS, floorRule);
         }
@@ -171,7 +171,7 @@
             for (int target = 0; target < TARGETS; target++) {
                 TargetState earlier = before.targets().get(endpoint(target)).state();
                 TargetState now = after.targets().get(endpoint(target)).state();
-                removed |= earlier.getsWork() && !now.getsWork();
+                removed |= earlier.receivesRequests() && !now.receivesRequests();
                 boolean recent = mCell.mNowMillis - mLastSuccessMillis[target] <= RECENT_MILLIS;
                 healthy += now == TargetState.ACTIVE && recent ? 1 : 0;
                 if (mCell.mNowMillis - mLeftMillis[target] < LEAVING_HOLD_MILLIS
--- a/decisions/src/test/java/org/dahliapass/decisions/health/LikelihoodTestTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/LikelihoodRatioTestTest.java
@@ -7,40 +7,40 @@
 import java.util.random.RandomGenerator;
 import org.testng.annotations.Test;
 
-/** Tests {@link LikelihoodTest}. */
-public class LikelihoodTestTest {
+/** Tests {@link LikelihoodRatioTest}. */
+public class LikelihoodRatioTestTest {
     private static final double NULL_RATE = 0.02;
     private static final double SHARE = 0.3;
 
     @Test
     public void failuresSpeakAgainstAndSuccessesFor() {
-        assertTrue(LikelihoodTest.failureScore(counts(0, 5), NULL_RATE, SHARE) > 0);
-        assertTrue(LikelihoodTest.failureScore(counts(5, 0), NULL_RATE, SHARE) < 0);
+        assertTrue(LikelihoodRatioTest.failureScore(counts(0, 5), NULL_RATE, SHARE) > 0);
+        assertTrue(LikelihoodRatioTest.failureScore(counts(5, 0), NULL_RATE, SHARE) < 0);
     }
 
     @Test
     public void fewPeersWithoutFailuresDoNotProveThatNoneFails() {
-        assertTrue(LikelihoodTest.nullRate(counts(9, 0)) > 0.05);
-        assertEquals(LikelihoodTest.nullRate(counts(100_000, 0)), 0.005, 1e-9);
+        assertTrue(LikelihoodRatioTest.nullRate(counts(9, 0)) > 0.05);
+        assertEquals(LikelihoodRatioTest.nullRate(counts(100_000, 0)), 0.005, 1e-9);
     }
 
     @Test
     public void stricterToleranceAndMoreWorkRaiseTheBound() {
-        assertTrue(LikelihoodTest.bound(1e-4, 1_000) > LikelihoodTest.bound(1e-2, 1_000));
-        assertTrue(LikelihoodTest.bound(1e-2, 100_000) > LikelihoodTest.bound(1e-2, 1_000));
+        assertTrue(LikelihoodRatioTest.bound(1e-4, 1_000) > LikelihoodRatioTest.bound(1e-2, 1_000));
+        assertTrue(LikelihoodRatioTest.bound(1e-2, 100_000) > LikelihoodRatioTest.bound(1e-2, 1_000));
     }
 
     @Test
     public void healthyWorkCrossesTheBoundNoMoreOftenThanPromised() {
         // The bound for a false ejection in 1,000 pieces of work, over 200,000 pieces.
         RandomGenerator random = new Random(1);
-        double bound = LikelihoodTest.bound(1, 1_000);
+        double bound = LikelihoodRatioTest.bound(1, 1_000);
         int crossings = 0;
         double score = 0;
         for (int piece = 0; piece < 200_000; piece++) {
             boolean failed = random.nextDouble() < NULL_RATE;
             Counts work = failed ? counts(0, 1) : counts(1, 0);
-            score = Math.max(0, score + LikelihoodTest.failureScore(work, NULL_RATE, SHARE));
+            score = Math.max(0, score + LikelihoodRatioTest.failureScore(work, NULL_RATE, SHARE));
             if (score >= bound) {
                 crossings++;
                 score = 0;
--- a/decisions/src/test/java/org/dahliapass/decisions/health/TargetHealthTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/TargetHealthTest.java
@@ -87,7 +87,7 @@
     public void reportOfSicknessDoesNotOverruleWorkThatGoesWell() {
         CellFixture cell = new CellFixture(6, 10);
         for (int round = 0; round < 40; round++) {
-            cell.vm(0).onHealthReport(endpoint(0), HealthReport.SICK, cell.mNowMillis);
+            cell.vm(0).onHealthReport(endpoint(0), HealthReport.UNHEALTHY, cell.mNowMillis);
             cell.vm(0).onLoadReport(endpoint(0), 1.0);
             cell.round(TargetHealthTest::allWell);
         }
@@ -223,9 +223,9 @@
         cell.rounds(20, TargetHealthTest::allWell);
         cell.rounds(4, TargetHealthTest::firstFails);
         cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allWell);
-        assertFalse(cell.vm(0).view().mayCarryGuarded(endpoint(0)));
+        assertFalse(cell.vm(0).view().acceptsAtMostOnce(endpoint(0)));
         cell.rounds(3, TargetHealthTest::allWell);
-        assertTrue(cell.vm(0).view().mayCarryGuarded(endpoint(0)));
+        assertTrue(cell.vm(0).view().acceptsAtMostOnce(endpoint(0)));
         cell.rounds(25, TargetHealthTest::allWell);
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
         assertTrue(cell.explained(Action.RESTORED));
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/AddressPlanTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/AddressPlanTest.java
@@ -39,7 +39,7 @@
     public void vmThatGoesChangesOnlyItsOwnPlace() {
         List<Endpoint> before = plan(fleet(10)).addresses("zone-0", "region");
         List<FleetVm> rest = new ArrayList<>(fleet(10));
-        rest.removeIf(vm -> vm.callers().equals(before.get(0)));
+        rest.removeIf(vm -> vm.callerEndpoint().equals(before.get(0)));
         Set<Endpoint> after = new HashSet<>(plan(rest).addresses("zone-0", "region"));
         assertTrue(after.contains(before.get(1)));
         assertEquals(after.size(), 2);
@@ -112,7 +112,7 @@
     public void watchersStayFewWhereManyTakeCallers() {
         AddressPlan plan = new AddressPlan(unequal(0, 20), 1e6, 2);
         assertEquals(plan.watchers().size(), 3);
-        assertEquals(plan.takers().size(), 20);
+        assertEquals(plan.advertisedVms().size(), 20);
     }
 
     private static Set<String> hosts(AddressPlan plan) {
@@ -152,7 +152,7 @@
                                 "region",
                                 new Endpoint("10." + zone + ".0." + number, 80),
                                 new Endpoint("10." + zone + ".0." + number, 81),
-                                VmCapacity.ASSUMED));
+                                VmCapacity.DEFAULT));
             }
         }
         return vms;
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/UpstreamPlanTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/ChangeSourceSelectorTest.java
@@ -13,9 +13,9 @@
 import org.dahliapass.model.routing.VmCapacity;
 import org.testng.annotations.Test;
 
-/** Tests of {@link UpstreamPlan}. */
-public final class UpstreamPlanTest {
-    private static final Upstream STORE = new Upstream.Store();
+/** Tests of {@link ChangeSourceSelector}. */
+public final class ChangeSourceSelectorTest {
+    private static final ChangeSource STORE = new ChangeSource.Store();
 
     private final List<FleetVm> mVms = fleet();
     private final AddressPlan mPlan = new AddressPlan(mVms, 0, 2);
@@ -64,9 +64,9 @@
 
     @Test
     public void sourceThatIsSilentIsPassedOverForThreeSeconds() {
-        UpstreamPlan plan = plan(follower());
+        ChangeSourceSelector plan = plan(follower());
         FleetVm first = source(plan, 0, 0);
-        plan.onSilent(first, 0);
+        plan.onTimeout(first, 0);
         assertNotEquals(source(plan, 0, 2_999), first);
         assertEquals(source(plan, 0, 3_000), first);
     }
@@ -74,9 +74,9 @@
     /** A VM that is starting, or that looks for the store itself, serves again soon. */
     @Test
     public void sourceThatRefusedIsPassedOverForOneSecond() {
-        UpstreamPlan plan = plan(follower());
+        ChangeSourceSelector plan = plan(follower());
         FleetVm first = source(plan, 0, 0);
-        plan.onRefused(first, 0);
+        plan.onConnectionFailure(first, 0);
         assertNotEquals(source(plan, 0, 999), first);
         assertEquals(source(plan, 0, 1_000), first);
     }
@@ -88,9 +88,9 @@
      */
     @Test
     public void storeIsTheLastResortAfterASecondWithoutASource() {
-        UpstreamPlan plan = plan(follower());
-        mPlan.watchers().forEach(vm -> plan.onSilent(vm, 100));
-        assertTrue(plan.choose(mPlan, true, 0, 100) instanceof Upstream.Later);
+        ChangeSourceSelector plan = plan(follower());
+        mPlan.watchers().forEach(vm -> plan.onTimeout(vm, 100));
+        assertTrue(plan.choose(mPlan, true, 0, 100) instanceof ChangeSource.RetryLater);
         assertEquals(plan.choose(mPlan, true, 0, 1_000), STORE);
     }
 
@@ -101,8 +101,8 @@
      */
     @Test
     public void storeIsAskedAtOnceByThoseWhomAllSourcesTurnAway() {
-        UpstreamPlan plan = plan(follower());
-        mPlan.watchers().forEach(vm -> plan.onTurnedAway(vm, 100));
+        ChangeSourceSelector plan = plan(follower());
+        mPlan.watchers().forEach(vm -> plan.onUnavailable(vm, 100));
         assertEquals(plan.choose(mPlan, true, 100, 100), STORE);
     }
 
@@ -110,21 +110,21 @@
     @Test
     public void watcherThatTheStoreTurnsAwayFollowsAnother() {
         FleetVm watcher = mPlan.watchers().iterator().next();
-        FleetVm source = ((Upstream.Vm) plan(watcher).choose(mPlan, false, 0, 0)).vm();
+        FleetVm source = ((ChangeSource.Vm) plan(watcher).choose(mPlan, false, 0, 0)).vm();
         assertNotEquals(source, watcher);
         assertTrue(mPlan.watchers().contains(source));
     }
 
-    private static FleetVm source(UpstreamPlan plan, long heardMillis, long nowMillis) {
-        return ((Upstream.Vm) plan.choose(plan(), true, heardMillis, nowMillis)).vm();
+    private static FleetVm source(ChangeSourceSelector plan, long heardMillis, long nowMillis) {
+        return ((ChangeSource.Vm) plan.choose(plan(), true, heardMillis, nowMillis)).vm();
     }
 
     private static AddressPlan plan() {
         return new AddressPlan(fleet(), 0, 2);
     }
 
-    private UpstreamPlan plan(FleetVm self) {
-        return new UpstreamPlan(self);
+    private ChangeSourceSelector plan(FleetVm self) {
+        return new ChangeSourceSelector(self);
     }
 
     private FleetVm follower() {
@@ -144,7 +144,7 @@
             Endpoint callers = new Endpoint("10." + zone + ".0." + number, 80);
             Endpoint peers = new Endpoint("10." + zone + ".0." + number, 81);
             String name = "vm-" + zone + "-" + number;
-            vms.add(new FleetVm(name, "zone-" + zone, region, callers, peers, VmCapacity.ASSUMED));
+            vms.add(new FleetVm(name, "zone-" + zone, region, callers, peers, VmCapacity.DEFAULT));
         }
         return vms;
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/CallerDemandTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/DemandEstimatorTest.java
@@ -17,8 +17,8 @@
 import org.dahliapass.model.routing.TargetRegistration;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CallerDemand}. */
-public final class CallerDemandTest {
+/** Tests of {@link DemandEstimator}. */
+public final class DemandEstimatorTest {
     /** Half to double the load known is near enough to choose VMs by. */
     private static void assertNear(double estimate, double known) {
         assertTrue(estimate > known / 2 && estimate < known * 2, estimate + " for " + known);
@@ -38,7 +38,7 @@
 
     @Test
     public void targetsWithoutARouteCountForNothing() {
-        assertEquals(CallerDemand.requestsPerSecond(configuration(800, "other"), targets(10)), 0.0);
+        assertEquals(DemandEstimator.requestsPerSecond(configuration(800, "other"), targets(10)), 0.0);
     }
 
     /** Callers would change VMs, and open connections anew, with each target that restarts. */
@@ -52,7 +52,7 @@
     }
 
     private static double estimate(int slots, long objectiveMillis) {
-        return CallerDemand.requestsPerSecond(configuration(objectiveMillis, "x"), targets(slots));
+        return DemandEstimator.requestsPerSecond(configuration(objectiveMillis, "x"), targets(slots));
     }
 
     private static RoutingConfiguration configuration(long objectiveMillis, String service) {
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/BelievedTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/LeasedEntryCacheTest.java
@@ -7,16 +7,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Believed}. */
-public final class BelievedTest {
+/** Tests of {@link LeasedEntryCache}. */
+public final class LeasedEntryCacheTest {
     private static final long GRACE = 2_500;
     private static final int TOGETHER = 3;
 
-    private Believed<String> mBelieved;
+    private LeasedEntryCache<String> mBelieved;
 
     @BeforeMethod
     public void fill() {
-        mBelieved = new Believed<>(GRACE);
+        mBelieved = new LeasedEntryCache<>(GRACE);
         for (String name : List.of("a", "b", "c", "d")) {
             mBelieved.put(name, "entry of " + name);
         }
@@ -24,7 +24,7 @@
 
     @Test
     public void entryThatVanishesAloneIsDroppedAtOnce() {
-        mBelieved.remove(Set.of("a"), TOGETHER, 1_000);
+        mBelieved.onExpired(Set.of("a"), TOGETHER, 1_000);
         assertEquals(mBelieved.entries().keySet(), Set.of("b", "c", "d"));
     }
 
@@ -34,21 +34,21 @@
      */
     @Test
     public void entriesThatLapsedWithTheStoreAreKeptUntilTheyAreBack() {
-        mBelieved.onStoreBack(1_000);
-        mBelieved.remove(Set.of("a"), TOGETHER, 1_100);
-        assertEquals(mBelieved.dropOverdue(2_000), List.of());
+        mBelieved.onStoreRecovered(1_000);
+        mBelieved.onExpired(Set.of("a"), TOGETHER, 1_100);
+        assertEquals(mBelieved.evictExpired(2_000), List.of());
         mBelieved.put("a", "entry of a");
-        assertEquals(mBelieved.dropOverdue(10_000), List.of());
+        assertEquals(mBelieved.evictExpired(10_000), List.of());
         assertEquals(mBelieved.entries().size(), 4);
     }
 
     /** The same, but the outage was over before anybody asked the store for anything. */
     @Test
     public void entriesThatVanishTogetherAreKeptForTheGrace() {
-        mBelieved.remove(Set.of("a", "b", "c"), TOGETHER, 1_000);
+        mBelieved.onExpired(Set.of("a", "b", "c"), TOGETHER, 1_000);
         assertEquals(mBelieved.entries().size(), 4);
         mBelieved.put("b", "entry of b");
-        assertEquals(Set.copyOf(mBelieved.dropOverdue(1_000 + GRACE)), Set.of("a", "c"));
+        assertEquals(Set.copyOf(mBelieved.evictExpired(1_000 + GRACE)), Set.of("a", "c"));
         assertEquals(mBelieved.entries().keySet(), Set.of("b", "d"));
     }
 
@@ -63,13 +63,13 @@
      */
     @Test
     public void entryThatSaysNothingNewIsNoChange() {
-        long before = mBelieved.changes();
+        long before = mBelieved.modificationCount();
         mBelieved.put("a", "entry of a");
-        mBelieved.drop("unknown");
-        assertEquals(mBelieved.changes(), before);
+        mBelieved.evict("unknown");
+        assertEquals(mBelieved.modificationCount(), before);
         mBelieved.put("a", "newer");
-        mBelieved.drop("b");
-        mBelieved.remove(Set.of("c"), TOGETHER, 1_000);
-        assertEquals(mBelieved.changes(), before + 3);
+        mBelieved.evict("b");
+        mBelieved.onExpired(Set.of("c"), TOGETHER, 1_000);
+        assertEquals(mBelieved.modificationCount(), before + 3);
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/StoreBackoffTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/StoreBackoffTest.java
@@ -20,7 +20,7 @@
     public void storeIsAskedAtOnceAtFirstAndAfterAnAnswer() {
         assertEquals(mBackoff.remainingMillis(0), 0);
         mBackoff.onFailure(0);
-        mBackoff.onAnswer();
+        mBackoff.onSuccess();
         assertEquals(mBackoff.remainingMillis(0), 0);
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/ShareChooserTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/WeightedRoundRobinTest.java
@@ -11,13 +11,13 @@
 import org.dahliapass.model.routing.ServiceShare;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ShareChooser}. */
-public final class ShareChooserTest {
+/** Tests of {@link WeightedRoundRobin}. */
+public final class WeightedRoundRobinTest {
     private static final int REQUESTS = 50;
 
     @Test
     public void anySpanKeepsToTheWeights() {
-        ShareChooser chooser = new ShareChooser(new SplittableRandom(3));
+        WeightedRoundRobin chooser = new WeightedRoundRobin(new SplittableRandom(3));
         RouteRule route = route(new ServiceShare("a", 90), new ServiceShare("b", 10));
         for (int span = 0; span < 20; span++) {
             int toB = 0;
@@ -30,7 +30,7 @@
 
     @Test
     public void newWeightsAreTakenAtOnce() {
-        ShareChooser chooser = new ShareChooser(new SplittableRandom(3));
+        WeightedRoundRobin chooser = new WeightedRoundRobin(new SplittableRandom(3));
         chooser.next(route(new ServiceShare("a", 1), new ServiceShare("b", 1)));
         assertEquals(chooser.next(route(new ServiceShare("c", 1))), "c");
     }
@@ -41,7 +41,7 @@
         int firstToA = 0;
         for (int seed = 0; seed < 100; seed++) {
             firstToA +=
-                    new ShareChooser(new SplittableRandom(seed)).next(route).equals("a") ? 1 : 0;
+                    new WeightedRoundRobin(new SplittableRandom(seed)).next(route).equals("a") ? 1 : 0;
         }
         assertTrue(firstToA > 25 && firstToA < 75, firstToA + " of 100 began with a");
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueRun.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueRun.java
@@ -162,7 +162,7 @@
     private void dispatched(QueueEntry<Set<Endpoint>> entry, Endpoint target) {
         end(entry, "dispatched");
         mInFlight.add(new InFlight(entry, target, mNow));
-        boolean guarded = !entry.kind().idempotency().mayRepeat();
+        boolean guarded = !entry.kind().idempotency().isRepeatable();
         assertTrue(
                 mTargets.stream()
                         .filter(each -> each.endpoint().equals(target))
--- a/entry/src/main/java/org/dahliapass/entry/AnswerObserver.java
+++ b/entry/src/main/java/org/dahliapass/entry/AnswerObserver.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.RequestKind;
-import org.dahliapass.model.burn.BurnLedger;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.Outcome;
 import org.dahliapass.traffic.EntryMetrics;
 
@@ -18,10 +18,10 @@
 
     private final Clock mClock;
     private final EntryMetrics mMetrics;
-    private final BurnLedger mBurn;
+    private final OutcomeHistory mBurn;
     private final RefusalLog mRefusals;
 
-    AnswerObserver(Clock clock, EntryMetrics metrics, BurnLedger burn, RefusalLog refusals) {
+    AnswerObserver(Clock clock, EntryMetrics metrics, OutcomeHistory burn, RefusalLog refusals) {
         mClock = clock;
         mMetrics = metrics;
         mBurn = burn;
--- a/entry/src/main/java/org/dahliapass/entry/AskHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/AskHandler.java
@@ -95,7 +95,7 @@
         ArrayNode addresses = root.putArray("addresses");
         for (Vm vm : answer.vms()) {
             ObjectNode address = addresses.addObject();
-            address.put("address", vm.callers().toString());
+            address.put("address", vm.callerEndpoint().toString());
             address.put("availabilityZone", vm.availabilityZone());
             address.put("token", mTokens.of(vm, witnesses));
         }
--- a/entry/src/main/java/org/dahliapass/entry/EntryVm.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryVm.java
@@ -11,7 +11,7 @@
 import org.dahliapass.kernel.PartLog;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
-import org.dahliapass.model.burn.BurnLedger;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.registry.HttpStoreClient;
 import org.dahliapass.registry.HttpVmListClient;
 import org.dahliapass.traffic.EntryMetrics;
@@ -57,7 +57,7 @@
         mLoop = new ControlLoop(clock);
         EntryMetrics metrics = new EntryMetrics();
         RefusalLog refusals = new RefusalLog();
-        BurnLedger burn = new BurnLedger(BURN_SERIES);
+        OutcomeHistory burn = new OutcomeHistory(BURN_SERIES);
         mPeers = new PeerLink(mIdentity, settings, filter);
         mCallers =
                 new CallerServer(
@@ -101,7 +101,7 @@
     }
 
     private OperatorAnswers answers(
-            Kernel kernel, Clock clock, RefusalLog refusals, BurnLedger burn) {
+            Kernel kernel, Clock clock, RefusalLog refusals, OutcomeHistory burn) {
         return new OperatorAnswers(
                 clock,
                 mLoop,
--- a/entry/src/main/java/org/dahliapass/entry/ExchangeFactory.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExchangeFactory.java
@@ -48,7 +48,7 @@
 
     /** Serves a request. */
     HttpResponse serve(CallerRequest request) {
-        if (request.kind().idempotency() == Idempotency.GUARDED) {
+        if (request.kind().idempotency() == Idempotency.AT_MOST_ONCE) {
             return serveGuarded(request);
         }
         ServiceRuntime runtime = runtime(request);
--- a/entry/src/main/java/org/dahliapass/entry/Forwarder.java
+++ b/entry/src/main/java/org/dahliapass/entry/Forwarder.java
@@ -56,7 +56,7 @@
                 request.headers().toBuilder()
                         .set(CallerHeaders.FORWARDED_BY, mFleet.view().self().identity().name())
                         .build();
-        return mClients.send(vm.callers(), request.withHeaders(headers), MOST).response();
+        return mClients.send(vm.callerEndpoint(), request.withHeaders(headers), MOST).response();
     }
 
     /**
@@ -77,7 +77,7 @@
         long remaining = Math.max(1, request.remainingMillis(mClock.millis()));
         HttpResponse response =
                 mClients.send(
-                                home.get().callers(),
+                                home.get().callerEndpoint(),
                                 HttpRequest.of(headers, request.message().content()),
                                 Duration.ofMillis(remaining))
                         .response();
--- a/entry/src/main/java/org/dahliapass/entry/GossipCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/GossipCodec.java
@@ -98,8 +98,8 @@
                 .setStatus(encode(update.state()))
                 .setRefutation(update.refutation())
                 .setAvailabilityZone(update.vm().availabilityZone())
-                .setCallers(encode(update.vm().callers()))
-                .setPeers(encode(update.vm().peers()))
+                .setCallers(encode(update.vm().callerEndpoint()))
+                .setPeers(encode(update.vm().peerEndpoint()))
                 .setOperators(encode(update.operators()))
                 .build();
     }
--- a/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
+++ b/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
@@ -94,7 +94,7 @@
             case "cold" -> HealthReport.COLD;
             case "draining" -> HealthReport.DRAINING;
             case "leaving" -> HealthReport.LEAVING;
-            case "failing", "sick" -> HealthReport.SICK;
+            case "failing", "sick" -> HealthReport.UNHEALTHY;
             default -> HealthReport.SERVING;
         };
     }
--- a/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
@@ -11,8 +11,8 @@
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.model.Vm;
-import org.dahliapass.model.burn.BurnLedger;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.OutcomeHistory;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.ServiceRuntime;
 
@@ -29,7 +29,7 @@
     private final OnceService mOnce;
     private final ExplanationLog mExplanations;
     private final RefusalLog mRefusals;
-    private final BurnLedger mBurn;
+    private final OutcomeHistory mBurn;
     private final long mStartedMillis;
 
     OperatorAnswers(
@@ -42,7 +42,7 @@
             OnceService once,
             ExplanationLog explanations,
             RefusalLog refusals,
-            BurnLedger burn) {
+            OutcomeHistory burn) {
         mClock = clock;
         mLoop = loop;
         mFleet = fleet;
@@ -91,7 +91,7 @@
                     "incarnation",
                     Long.toString(member.vm().identity().incarnation(), Character.MAX_RADIX));
             node.put("availabilityZone", member.vm().availabilityZone());
-            node.put("callers", member.vm().callers().toString());
+            node.put("callers", member.vm().callerEndpoint().toString());
             node.put("operators", member.operators().toString());
             node.put("state", member.state());
         }
@@ -177,8 +177,8 @@
     /** Returns this VM's share of the burn report. */
     String burn(String customer) {
         long now = mClock.millis();
-        BurnSnapshot snapshot =
-                new BurnSnapshot(
+        ErrorBudgetSnapshot snapshot =
+                new ErrorBudgetSnapshot(
                         mFleet.view().self().identity().toString(),
                         mStartedMillis,
                         now,
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -141,7 +141,7 @@
                             .setHeadNumber(record.number())
                             .addChanges(ChangeCodec.encode(record));
             if (gossip.build().getSerializedSize() <= MOST_RUMOR_BYTES) {
-                mTransport.sendDatagram(peer.get().peers(), gossip.build());
+                mTransport.sendDatagram(peer.get().peerEndpoint(), gossip.build());
             }
         }
     }
@@ -181,7 +181,7 @@
     CompletableFuture<PeerReply> send(Vm peer, PeerRequest.Builder request, Duration timeout) {
         PeerRequest message =
                 request.setRecipientIncarnation(peer.identity().incarnation()).build();
-        return mTransport.request(peer.peers(), message, timeout);
+        return mTransport.request(peer.peerEndpoint(), message, timeout);
     }
 
     private void onGossip(Gossip gossip) {
--- a/entry/src/main/java/org/dahliapass/entry/Route.java
+++ b/entry/src/main/java/org/dahliapass/entry/Route.java
@@ -23,8 +23,8 @@
     public Optional<RequestKind> kindOf(String method, String path) {
         boolean guarded =
                 provided.kindOf(method, path)
-                        .filter(kind -> kind.idempotency() == Idempotency.GUARDED)
+                        .filter(kind -> kind.idempotency() == Idempotency.AT_MOST_ONCE)
                         .isPresent();
-        return own.kindOf(method, path).map(kind -> guarded ? kind.guarded() : kind);
+        return own.kindOf(method, path).map(kind -> guarded ? kind.asAtMostOnce() : kind);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -127,7 +127,7 @@
                     report.ifPresent(found -> health.onHealthReport(target, found, now));
                     health.onLoadReport(target, load);
                 });
-        if (report.filter(HealthReport::wantsNothingNew).isPresent()) {
+        if (report.filter(HealthReport::rejectsNewRequests).isPresent()) {
             publish(service);
         }
     }
@@ -235,13 +235,13 @@
         health.takeExplanations().forEach(mExplanations::add);
         List<WeightedTarget> targets = new ArrayList<>();
         for (TargetStatus status : health.view().targets().values()) {
-            double weight = status.state().getsWork() ? status.weight() : 0;
+            double weight = status.state().receivesRequests() ? status.weight() : 0;
             targets.add(
                     new WeightedTarget(
                             TargetInstance.atFixedAddress(status.target().endpoint()),
                             status.target().availabilityZone(),
                             weight,
-                            status.mayCarryGuarded()));
+                            status.acceptsAtMostOnce()));
         }
         runtime.onTargets(targets);
     }
--- a/entry/src/main/java/org/dahliapass/entry/VmListReader.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmListReader.java
@@ -64,7 +64,7 @@
 
     private void onAnswer(VmList list, Throwable failure) {
         if (failure == null) {
-            mOnAddresses.accept(list.vms().stream().map(entry -> entry.vm().peers()).toList());
+            mOnAddresses.accept(list.vms().stream().map(entry -> entry.vm().peerEndpoint()).toList());
         }
         Duration pause = pause();
         // Spread, so that VMs that started together don't call together for ever.
--- a/entry/src/test/java/org/dahliapass/entry/RouteTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/RouteTest.java
@@ -55,7 +55,7 @@
                 kind(
                         KIND.formatted("sign-off", "sign-offs", "no"),
                         KIND.formatted("sign-off", "sign-offs", "yes"));
-        assertEquals(kind.idempotency(), Idempotency.GUARDED);
+        assertEquals(kind.idempotency(), Idempotency.AT_MOST_ONCE);
         assertTrue(kind.hedgeAfter().isZero());
         assertEquals(kind.retryShare(), 0.0);
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/AskHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/AskHandler.java
@@ -32,7 +32,7 @@
                                 named(query, AskCalls.ZONE, mSettings.self().availabilityZone()),
                                 named(query, AskCalls.REGION, mSettings.self().region()));
         if (addresses.isEmpty() && mState.phase().isReady()) {
-            addresses = List.of(mSettings.self().callers());
+            addresses = List.of(mSettings.self().callerEndpoint());
         }
         call.answer(
                 addresses.isEmpty()
--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -11,8 +11,8 @@
 import java.util.stream.Collectors;
 import org.dahliapass.decisions.routing.AddressPlan;
 import org.dahliapass.decisions.routing.StoreBackoff;
-import org.dahliapass.decisions.routing.Upstream;
-import org.dahliapass.decisions.routing.UpstreamPlan;
+import org.dahliapass.decisions.routing.ChangeSource;
+import org.dahliapass.decisions.routing.ChangeSourceSelector;
 import org.dahliapass.http.HttpClient;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
@@ -87,7 +87,7 @@
     private final KeyValueStore mStore;
     private final StoreBackoff mBackoff;
     private final EventLog mLog;
-    private final UpstreamPlan mPlan;
+    private final ChangeSourceSelector mPlan;
     private final StoreMirror mMirror = new StoreMirror();
     private final PeerCopies mPeers;
     private final List<Endpoint> mSeeds;
@@ -125,7 +125,7 @@
         mBackoff = new StoreBackoff(random);
         mLog = log;
         mSeeds = settings.seeds();
-        mPlan = new UpstreamPlan(settings.self());
+        mPlan = new ChangeSourceSelector(settings.self());
     }
 
     /** Returns the copy of the store. */
@@ -188,7 +188,7 @@
 
     @Override
     public void onStoreAnswered() {
-        mBackoff.onAnswer();
+        mBackoff.onSuccess();
         mFollower.onAnswer();
     }
 
@@ -212,15 +212,15 @@
             return;
         }
         boolean storeAnswers = !mFollower.isAway() && !isStoreSilent();
-        Upstream upstream = mPlan.choose(plan, storeAnswers, mHeardMillis, now);
-        if (upstream instanceof Upstream.Vm source) {
+        ChangeSource upstream = mPlan.choose(plan, storeAnswers, mHeardMillis, now);
+        if (upstream instanceof ChangeSource.Vm source) {
             noteSource(source.vm().name());
             followPeer(source.vm(), revision);
             return;
         }
         long pause =
-                upstream instanceof Upstream.Later later
-                        ? later.millis()
+                upstream instanceof ChangeSource.RetryLater later
+                        ? later.delayMillis()
                         : Math.min(LONGEST_LOOK_MILLIS, mBackoff.remainingMillis(now));
         if (pause > 0) {
             int number = mFollowNumber;
@@ -279,7 +279,7 @@
 
     private void forgetOldPeers() {
         Set<Endpoint> known =
-                mFollower.view().vms().stream().map(FleetVm::peers).collect(Collectors.toSet());
+                mFollower.view().vms().stream().map(FleetVm::peerEndpoint).collect(Collectors.toSet());
         known.addAll(mSeeds);
         mPeers.retain(known);
     }
@@ -327,7 +327,7 @@
         setNotCurrent();
         StoreReader.onControl(
                 mLoop,
-                mPeers.at(peer.peers()).watch(StoreReader.EVERYTHING, revision, PEER_WATCH),
+                mPeers.at(peer.peerEndpoint()).watch(StoreReader.EVERYTHING, revision, PEER_WATCH),
                 answer -> {
                     if (number == mFollowNumber) {
                         take(revision, answer, () -> readPeer(peer, revision), Duration.ZERO);
@@ -344,11 +344,11 @@
         // Without a cause the VM answered, and refused.
         Throwable cause = Futures.cause(step.getCause());
         if (cause instanceof TimeoutException) {
-            mPlan.onSilent(peer, mLoop.nowMillis());
+            mPlan.onTimeout(peer, mLoop.nowMillis());
         } else if (cause == null) {
-            mPlan.onTurnedAway(peer, mLoop.nowMillis());
+            mPlan.onUnavailable(peer, mLoop.nowMillis());
         } else {
-            mPlan.onRefused(peer, mLoop.nowMillis());
+            mPlan.onConnectionFailure(peer, mLoop.nowMillis());
         }
     }
 
@@ -356,13 +356,13 @@
     private void readPeer(FleetVm peer, long revision) {
         StoreReader.onControl(
                 mLoop,
-                mPeers.at(peer.peers()).range(StoreReader.EVERYTHING, "", Freshness.PERHAPS_OLD),
+                mPeers.at(peer.peerEndpoint()).range(StoreReader.EVERYTHING, "", Freshness.PERHAPS_OLD),
                 page -> {
                     if (page.revision() >= revision) {
                         takeAll(page.items(), page.revision());
                         return;
                     }
-                    mPlan.onTurnedAway(peer, mLoop.nowMillis());
+                    mPlan.onUnavailable(peer, mLoop.nowMillis());
                     readStore();
                 },
                 failure -> {
--- a/gateway/src/main/java/org/dahliapass/gateway/FleetEntry.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/FleetEntry.java
@@ -117,7 +117,7 @@
     private Tenure tenure() {
         AddressPlan plan = mFollower.view().plan();
         boolean used =
-                Stream.concat(plan.takers().stream(), plan.watchers().stream())
+                Stream.concat(plan.advertisedVms().stream(), plan.watchers().stream())
                         .anyMatch(vm -> vm.name().equals(mSelf.name()));
         return used ? Tenure.USED : Tenure.SPARE;
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
@@ -64,7 +64,7 @@
                 "started",
                 line ->
                         line.put("release", VERSION)
-                                .put("callers", settings.self().callers().toString()));
+                                .put("callers", settings.self().callerEndpoint().toString()));
         mStopRequested.await();
         vm.leave().join();
         log.write(EventLog.Kind.LIFE, "stopped", line -> {});
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
@@ -85,10 +85,10 @@
                                 .add(StoreCalls.WATCH_PATH, mMirror::watch)
                                 .add("/metrics", call -> call.answer(metrics())));
         List<CompletableFuture<Void>> started = new ArrayList<>();
-        started.add(mCallers.listen(mSettings.self().callers()));
+        started.add(mCallers.listen(mSettings.self().callerEndpoint()));
         started.add(mAskers.listen(mSettings.asks()));
         started.add(mAskers.listen(mSettings.readiness()));
-        started.add(mPeers.listen(mSettings.self().peers()));
+        started.add(mPeers.listen(mSettings.self().peerEndpoint()));
         started.add(mPeers.listen(mSettings.control()));
         mSettings.metrics().ifPresent(endpoint -> started.add(mPeers.listen(endpoint)));
         return CompletableFuture.allOf(started.toArray(CompletableFuture<?>[]::new));
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
@@ -103,13 +103,13 @@
 
     private static VmCapacity capacity(IniSection vm) {
         double processors = vm.decimal("processors", 1, MOST_PROCESSORS, 1);
-        double share = vm.decimal("processor-share", LEAST_SHARE, 1, VmCapacity.ASSUMED.cores());
+        double share = vm.decimal("processor-share", LEAST_SHARE, 1, VmCapacity.DEFAULT.cores());
         double link =
                 vm.decimal(
                         "link-megabits",
-                        VmCapacity.LEAST,
+                        VmCapacity.MINIMUM,
                         MOST_LINK_MEGABITS,
-                        VmCapacity.ASSUMED.linkMegabits());
+                        VmCapacity.DEFAULT.linkMegabits());
         return new VmCapacity(processors * share, link);
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
-import org.dahliapass.decisions.routing.ShareChooser;
+import org.dahliapass.decisions.routing.WeightedRoundRobin;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
@@ -77,7 +77,7 @@
                         mState,
                         follower,
                         pools,
-                        new ShareChooser(random),
+                        new WeightedRoundRobin(random),
                         connections,
                         log,
                         new GatewayAnswers(random),
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -293,7 +293,7 @@
 
     private boolean retry(Endpoint target, FailureKind kind) {
         mTried.add(target);
-        if (mReached >= mRequest.route().mostTargets() || mOffers >= MOST_OFFERS) {
+        if (mReached >= mRequest.route().maxTargets() || mOffers >= MOST_OFFERS) {
             return false;
         }
         if (kind.brokeConnection() && !treatment().mayRunAgain()) {
@@ -316,7 +316,7 @@
         if (mDone || mRunning.size() != 1 || mWaiting != null) {
             return;
         }
-        if (mReached + 1 >= mRequest.route().mostTargets() || !treatment().mayRunAgain()) {
+        if (mReached + 1 >= mRequest.route().maxTargets() || !treatment().mayRunAgain()) {
             return;
         }
         Optional<Slot> slot = mPool.runtime().hedge(mRequest, Set.copyOf(mTried));
@@ -410,7 +410,7 @@
         if (answer != null) {
             answer.give(mCall);
         }
-        if (mRequest.kind().idempotency().mayRepeat()) {
+        if (mRequest.kind().idempotency().isRepeatable()) {
             stopOffers(FailureKind.CANCELLED_BY_CALLER);
         } else if (mWaiting != null) {
             mWaiting.cancel(false);
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import org.dahliapass.decisions.routing.RouteTable;
-import org.dahliapass.decisions.routing.ShareChooser;
+import org.dahliapass.decisions.routing.WeightedRoundRobin;
 import org.dahliapass.http.RequestHandler;
 import org.dahliapass.http.RequestTarget;
 import org.dahliapass.http.ServerCall;
@@ -39,7 +39,7 @@
     private final GatewayState mState;
     private final StoreFollower mFollower;
     private final ServicePools mPools;
-    private final ShareChooser mShares;
+    private final WeightedRoundRobin mShares;
     private final TargetConnections mConnections;
     private final EventLog mLog;
     private final GatewayAnswers mAnswers;
@@ -55,7 +55,7 @@
             GatewayState state,
             StoreFollower follower,
             ServicePools pools,
-            ShareChooser shares,
+            WeightedRoundRobin shares,
             TargetConnections connections,
             EventLog log,
             GatewayAnswers answers,
@@ -173,7 +173,7 @@
     private void noteRoutes(RouteTable routes) {
         if (mRoutes != routes) {
             mRoutes = routes;
-            mShares.retain(routes.configuration().routes());
+            mShares.retainRoutes(routes.configuration().routes());
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/RouteKinds.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/RouteKinds.java
@@ -28,7 +28,7 @@
     static RequestKind of(RouteRule route, RequestLimits limits, double retryShare) {
         RequestClass requestClass = route.requestClass();
         Duration hedgeAfter =
-                requestClass.idempotency().mayRepeat() && route.mostTargets() > 1
+                requestClass.idempotency().isRepeatable() && route.maxTargets() > 1
                         ? scaled(route.objective(), HEDGE_AFTER_SHARE)
                         : Duration.ZERO;
         return new RequestKind(
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -362,8 +362,8 @@
                     new WeightedTarget(
                             registered.get().target(),
                             status.target().availabilityZone(),
-                            status.state().getsWork() ? status.weight() : 0,
-                            status.mayCarryGuarded()));
+                            status.state().receivesRequests() ? status.weight() : 0,
+                            status.acceptsAtMostOnce()));
         }
         pool.runtime().onTargets(targets);
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.dahliapass.decisions.routing.AddressPlan;
-import org.dahliapass.decisions.routing.Believed;
-import org.dahliapass.decisions.routing.CallerDemand;
+import org.dahliapass.decisions.routing.LeasedEntryCache;
+import org.dahliapass.decisions.routing.DemandEstimator;
 import org.dahliapass.decisions.routing.RouteTable;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
@@ -52,8 +52,8 @@
 
     private final int mVmsPerZone;
     private final EventLog mLog;
-    private final Believed<TargetRegistration> mTargets = new Believed<>(LAPSE_GRACE_MILLIS);
-    private final Believed<FleetVm> mVms = new Believed<>(LAPSE_GRACE_MILLIS);
+    private final LeasedEntryCache<TargetRegistration> mTargets = new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
+    private final LeasedEntryCache<FleetVm> mVms = new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
     private final List<Runnable> mListeners = new ArrayList<>();
 
     /** The revisions of the items that were refused, so that each is told of once. */
@@ -160,8 +160,8 @@
         // A store that only this VM did not reach let no entries lapse: the others told of it.
         boolean heardAll = mNewsSince.getAsLong() <= mAwaySinceMillis;
         if (!heardAll) {
-            mTargets.onStoreBack(now);
-            mVms.onStoreBack(now);
+            mTargets.onStoreRecovered(now);
+            mVms.onStoreRecovered(now);
         }
         mLog.write(
                 EventLog.Kind.DEPENDENCY,
@@ -256,8 +256,8 @@
     }
 
     private void refuse(StoredItem item, RuntimeException failure) {
-        mTargets.drop(nameUnder(RegistrationDocument.PREFIX, item.key()));
-        mVms.drop(nameUnder(VmEntry.PREFIX, item.key()));
+        mTargets.evict(nameUnder(RegistrationDocument.PREFIX, item.key()));
+        mVms.evict(nameUnder(VmEntry.PREFIX, item.key()));
         Long told = mRefused.put(item.key(), item.revision());
         if (told != null && told == item.revision()) {
             return;
@@ -324,8 +324,8 @@
 
     private void remove(Set<String> targets, Set<String> vms) {
         long now = mLoop.nowMillis();
-        mTargets.remove(targets, outage(mTargets.entries().size()), now);
-        mVms.remove(vms, outage(mVms.entries().size()), now);
+        mTargets.onExpired(targets, outage(mTargets.entries().size()), now);
+        mVms.onExpired(vms, outage(mVms.entries().size()), now);
         if (targets.isEmpty() && vms.isEmpty()) {
             return;
         }
@@ -346,8 +346,8 @@
     private void planDrop() {
         long next =
                 Math.min(
-                        mTargets.nextDropMillis().orElse(Long.MAX_VALUE),
-                        mVms.nextDropMillis().orElse(Long.MAX_VALUE));
+                        mTargets.nextEvictionMillis().orElse(Long.MAX_VALUE),
+                        mVms.nextEvictionMillis().orElse(Long.MAX_VALUE));
         if (next >= mDropPlannedMillis) {
             return;
         }
@@ -359,8 +359,8 @@
     private void dropOverdue() {
         long now = mLoop.nowMillis();
         mDropPlannedMillis = Long.MAX_VALUE;
-        List<String> targets = mTargets.dropOverdue(now);
-        List<String> vms = mVms.dropOverdue(now);
+        List<String> targets = mTargets.evictExpired(now);
+        List<String> vms = mVms.evictExpired(now);
         planDrop();
         if (targets.isEmpty() && vms.isEmpty()) {
             return;
@@ -376,14 +376,14 @@
 
     private void publish() {
         boolean servicesChanged =
-                mTargets.changes() != mPublishedTargets || !mRoutes.equals(mView.routes());
-        if (!servicesChanged && mVms.changes() == mPublishedVms) {
+                mTargets.modificationCount() != mPublishedTargets || !mRoutes.equals(mView.routes());
+        if (!servicesChanged && mVms.modificationCount() == mPublishedVms) {
             return;
         }
         List<FleetVm> vms = List.copyOf(mVms.entries().values());
         mView = new RoutingView(mRoutes, vms, plan(vms));
-        mPublishedVms = mVms.changes();
-        mPublishedTargets = mTargets.changes();
+        mPublishedVms = mVms.modificationCount();
+        mPublishedTargets = mTargets.modificationCount();
         if (servicesChanged) {
             mListeners.forEach(Runnable::run);
         }
@@ -397,11 +397,11 @@
         double demand =
                 mRoutes.map(
                                 routes ->
-                                        CallerDemand.requestsPerSecond(
+                                        DemandEstimator.requestsPerSecond(
                                                 routes.configuration(),
                                                 mTargets.entries().values()))
                         .orElse(0.0);
-        if (demand == mDemand && mVms.changes() == mPublishedVms) {
+        if (demand == mDemand && mVms.modificationCount() == mPublishedVms) {
             return mView.plan();
         }
         mDemand = demand;
@@ -412,7 +412,7 @@
                 line ->
                         line.put("requests_per_second", Math.round(mDemand))
                                 .put("vms", vms.size())
-                                .put("taking_callers", plan.takers().size()));
+                                .put("taking_callers", plan.advertisedVms().size()));
         return plan;
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/WorkExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/WorkExchange.java
@@ -97,7 +97,7 @@
         mPools.setNewsListener(this::tell);
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mReports = new PeriodicTask(mLoop, REPORT_PERIOD, this::report);
-        Endpoint peers = mSettings.self().peers();
+        Endpoint peers = mSettings.self().peerEndpoint();
         CompletableFuture<Void> started = new CompletableFuture<>();
         ChannelFuture bound =
                 new Bootstrap()
@@ -174,7 +174,7 @@
     /** Reports the work of this VM to the other VMs that take callers; control thread only. */
     private Optional<Duration> report() {
         long now = mLoop.nowMillis();
-        int takers = mFollower.view().plan().takers().size();
+        int takers = mFollower.view().plan().advertisedVms().size();
         // Half a step early, so that the step nearest to the report's time is taken.
         double dueMillis = takers * MILLIS_A_TAKER - REPORT_PERIOD.toMillis() / 2.0;
         if (now - mReportedMillis < dueMillis) {
@@ -209,9 +209,9 @@
     }
 
     private void sendToTakers(byte[] news) {
-        for (FleetVm vm : mFollower.view().plan().takers()) {
+        for (FleetVm vm : mFollower.view().plan().advertisedVms()) {
             if (!vm.name().equals(mSettings.self().name())) {
-                send(news, vm.peers());
+                send(news, vm.peerEndpoint());
             }
         }
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
@@ -90,7 +90,7 @@
     }
 
     private CallerStandIn caller(int vm) {
-        return new CallerStandIn(mSettings.get(vm).self().callers(), "a.example");
+        return new CallerStandIn(mSettings.get(vm).self().callerEndpoint(), "a.example");
     }
 
     /** Returns how many targets have ended. */
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayLifeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayLifeTest.java
@@ -117,7 +117,7 @@
                         CallerStandIn.read(
                                         mPath.mSettings.asks(),
                                         AskCalls.ASK_PATH + "?name=a.example&region=r&zone=zone-a")
-                                .contains(mPath.mSettings.self().callers().toString()));
+                                .contains(mPath.mSettings.self().callerEndpoint().toString()));
     }
 
     /** Other VMs follow this one's copy instead of asking the store themselves. */
@@ -125,7 +125,7 @@
     public void copyOfTheStoreIsOffered() {
         String copy =
                 CallerStandIn.read(
-                        mPath.mSettings.self().peers(), StoreCalls.RANGE_PATH + "?prefix=");
+                        mPath.mSettings.self().peerEndpoint(), StoreCalls.RANGE_PATH + "?prefix=");
         assertTrue(copy.contains("op/config"), copy);
         assertTrue(copy.contains("servers/i-1"), copy);
     }
@@ -135,7 +135,7 @@
     public void callsToTheStoreAreCountedByKind() {
         PathFixture.await(
                 () ->
-                        CallerStandIn.read(mPath.mSettings.self().peers(), "/metrics")
+                        CallerStandIn.read(mPath.mSettings.self().peerEndpoint(), "/metrics")
                                 .contains("dahliapass_store_calls_total{call=\"watch\"}"));
     }
 
--- a/gateway/src/test/java/org/dahliapass/gateway/PathFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/PathFixture.java
@@ -71,7 +71,7 @@
 
     /** Returns a caller of the VM. */
     CallerStandIn caller() {
-        return new CallerStandIn(mSettings.self().callers(), "a.example");
+        return new CallerStandIn(mSettings.self().callerEndpoint(), "a.example");
     }
 
     /** Returns the requests for a path that both targets saw together. */
--- a/gateway/src/test/java/org/dahliapass/gateway/WorkExchangeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/WorkExchangeTest.java
@@ -40,9 +40,9 @@
             EventLog log = new EventLog(new MonotonicClock(), "vm", new PrintStream(output, true));
             GatewayVm vm = new GatewayVm(settings, new MonotonicClock(), log);
             vm.start().join();
-            send(settings.self().peers(), report());
+            send(settings.self().peerEndpoint(), report());
             // No report, so its refusal marks the place up to which all datagrams were read.
-            send(settings.self().peers(), new byte[] {-1});
+            send(settings.self().peerEndpoint(), new byte[] {-1});
             PathFixture.await(() -> refusals(output) > 0);
             assertEquals(refusals(output), 1);
             vm.stopNow().join();
--- a/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
+++ b/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
@@ -59,8 +59,8 @@
         String text = GatewaySample.settings(store.endpoint());
         GatewaySettings settings = GatewaySettings.from(IniFile.parse("rehearsal", text));
         startGateway(text);
-        awaitListening(settings.self().callers());
-        boolean served = serves(new CallerStandIn(settings.self().callers(), "a.example"), targets);
+        awaitListening(settings.self().callerEndpoint());
+        boolean served = serves(new CallerStandIn(settings.self().callerEndpoint(), "a.example"), targets);
         CallerStandIn.read(
                 settings.asks(), AskCalls.ASK_PATH + "?name=a.example&region=r&zone=zone-a");
         CallerStandIn.read(settings.readiness(), AskCalls.READINESS_PATH);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/BurnMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/BurnMeasures.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
 import java.util.List;
-import org.dahliapass.model.burn.BurnLedger;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.OutcomeHistory;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
 
 /** Measures the counts for the burn report. */
@@ -26,8 +26,8 @@
     }
 
     /** Returns a ledger with one answer for each series at each of so many steps of time. */
-    private static BurnLedger filled(int series, int steps) {
-        BurnLedger ledger = new BurnLedger(MOST_SERIES);
+    private static OutcomeHistory filled(int series, int steps) {
+        OutcomeHistory ledger = new OutcomeHistory(MOST_SERIES);
         for (int step = 0; step < steps; step++) {
             for (int number = 0; number < series; number++) {
                 record(ledger, number, step * STEP_MILLIS);
@@ -36,14 +36,14 @@
         return ledger;
     }
 
-    private static void record(BurnLedger ledger, int number, long nowMillis) {
+    private static void record(OutcomeHistory ledger, int number, long nowMillis) {
         String kind = SampleServices.KINDS.get(number % SampleServices.KINDS.size());
         String customer = "customer-" + number;
         ledger.record(customer, "service-7", kind, OBJECTIVE, Outcome.GOOD, nowMillis);
     }
 
     private static Runnable answers(int answers) {
-        BurnLedger ledger = filled(MOST_SERIES, 1);
+        OutcomeHistory ledger = filled(MOST_SERIES, 1);
         return () -> {
             for (int answer = 0; answer < answers; answer++) {
                 record(ledger, answer % MOST_SERIES, HOUR_MILLIS);
@@ -53,9 +53,9 @@
 
     /** What the operators' endpoint answers after an hour in which every series was used. */
     private static double bytes(int series) {
-        BurnLedger ledger = filled(series, (int) (HOUR_MILLIS / STEP_MILLIS));
-        BurnSnapshot snapshot =
-                new BurnSnapshot(
+        OutcomeHistory ledger = filled(series, (int) (HOUR_MILLIS / STEP_MILLIS));
+        ErrorBudgetSnapshot snapshot =
+                new ErrorBudgetSnapshot(
                         SampleFleet.identity(0).toString(),
                         0,
                         HOUR_MILLIS,
--- a/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryMeasures.java
@@ -67,9 +67,9 @@
         Map<String, String> meta =
                 Map.of(
                         "peers",
-                        member.vm().peers().toString(),
+                        member.vm().peerEndpoint().toString(),
                         "callers",
-                        member.vm().callers().toString(),
+                        member.vm().callerEndpoint().toString(),
                         "operators",
                         member.operators().toString(),
                         "availability-zone",
@@ -79,8 +79,8 @@
         return new VmRegistration(
                 member.identity().name(),
                 "dahliapass-vm",
-                member.vm().callers().host(),
-                member.vm().callers().port(),
+                member.vm().callerEndpoint().host(),
+                member.vm().callerEndpoint().port(),
                 meta,
                 VmRegistration.Check.LIVE);
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/GossipSecond.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/GossipSecond.java
@@ -86,7 +86,7 @@
 
     private GossipMessage overTheWire(GossipMessage message) {
         try {
-            SendGossip sent = new SendGossip(mMembership.self().vm().peers(), message);
+            SendGossip sent = new SendGossip(mMembership.self().vm().peerEndpoint(), message);
             return GossipCodec.decode(Gossip.parseFrom(Envelope.datagram(sent).toByteArray()));
         } catch (InvalidProtocolBufferException failure) {
             throw new StepException("decode datagram", "lab", "It can't be decoded.", failure);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
@@ -113,7 +113,7 @@
                         Optional.empty(),
                         1_000_000,
                         SampleFleet.members(1, 1 + (int) news));
-        Gossip sent = Envelope.datagram(new SendGossip(sender.vm().peers(), message));
+        Gossip sent = Envelope.datagram(new SendGossip(sender.vm().peerEndpoint(), message));
         return sent.getSerializedSize();
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleFleet.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleFleet.java
@@ -45,8 +45,8 @@
                 new Vm(
                         identity,
                         former.vm().availabilityZone(),
-                        former.vm().callers(),
-                        former.vm().peers());
+                        former.vm().callerEndpoint(),
+                        former.vm().peerEndpoint());
         return new MemberUpdate(vm, former.operators(), MemberState.ALIVE, 0);
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleServices.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleServices.java
@@ -59,7 +59,7 @@
                 guarded ? "POST" : "GET",
                 "/" + name + "s/",
                 true,
-                guarded ? Idempotency.GUARDED : Idempotency.IDEMPOTENT,
+                guarded ? Idempotency.AT_MOST_ONCE : Idempotency.IDEMPOTENT,
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(10),
                 Duration.ofSeconds(5),
--- a/lab/src/main/java/org/dahliapass/lab/capacity/StormFleet.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/StormFleet.java
@@ -60,7 +60,7 @@
             node.mMembership = start(all.get(number));
             node.mMembership.onJoinReply(all, 0);
             mNodes.add(node);
-            mByPeers.put(all.get(number).vm().peers(), node);
+            mByPeers.put(all.get(number).vm().peerEndpoint(), node);
         }
     }
 
@@ -84,7 +84,7 @@
         }
         deliver();
         List<Endpoint> hints =
-                mNodes.stream().map(node -> node.mMembership.self().vm().peers()).toList();
+                mNodes.stream().map(node -> node.mMembership.self().vm().peerEndpoint()).toList();
         for (Node node : mNodes) {
             if (numbers.test(node.mNumber)) {
                 node.mMembership = start(SampleFleet.successor(node.mNumber, mNodes.size()));
--- a/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
@@ -54,7 +54,7 @@
 
     @Override
     public Optional<FleetTarget> again(Attempt<FleetTarget> attempt, FailedTry failed) {
-        boolean allowed = failed.kind().idempotency().mayRepeat() || !failed.mayHaveRun();
+        boolean allowed = failed.kind().idempotency().isRepeatable() || !failed.mayHaveRun();
         return allowed && failed.tries() < 2
                 ? Optional.of(choose(failed.tried()))
                 : Optional.empty();
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
@@ -42,7 +42,7 @@
                         "*",
                         "/",
                         true,
-                        mayRepeat ? Idempotency.IDEMPOTENT : Idempotency.GUARDED,
+                        mayRepeat ? Idempotency.IDEMPOTENT : Idempotency.AT_MOST_ONCE,
                         timeout,
                         scaled(timeout, PATIENCE_SHARE),
                         objective,
--- a/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
@@ -121,7 +121,7 @@
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             return target % Deployment.ZONES == 1
-                    ? Condition.saying(HealthReport.SICK, 1)
+                    ? Condition.saying(HealthReport.UNHEALTHY, 1)
                     : Condition.WELL;
         }
     },
--- a/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
@@ -28,7 +28,7 @@
 
     @Override
     public boolean mayCarryGuarded(int target) {
-        return mHealth.view().mayCarryGuarded(Deployment.endpoint(target));
+        return mHealth.view().acceptsAtMostOnce(Deployment.endpoint(target));
     }
 
     @Override
--- a/lab/src/main/java/org/dahliapass/lab/policy/ProbeSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ProbeSelector.java
@@ -19,7 +19,7 @@
     @Override
     public void onProbe(int target, boolean answered, HealthReport report, long nowMillis) {
         super.onProbe(target, answered, report, nowMillis);
-        if (answered && report != HealthReport.SICK) {
+        if (answered && report != HealthReport.UNHEALTHY) {
             mBad[target] = 0;
             mGood[target]++;
         } else {
--- a/model/src/main/java/org/dahliapass/model/Idempotency.java
+++ b/model/src/main/java/org/dahliapass/model/Idempotency.java
@@ -5,18 +5,18 @@
     /** May run any number of times; may be retried and hedged. */
     IDEMPOTENT {
         @Override
-        public boolean mayRepeat() {
+        public boolean isRepeatable() {
             return true;
         }
     },
     /** Runs at most once under its idempotency key; never retried once a try may have run. */
-    GUARDED {
+    AT_MOST_ONCE {
         @Override
-        public boolean mayRepeat() {
+        public boolean isRepeatable() {
             return false;
         }
     };
 
     /** Returns whether a try whose outcome is unknown may be followed by another. */
-    public abstract boolean mayRepeat();
+    public abstract boolean isRepeatable();
 }
--- a/model/src/main/java/org/dahliapass/model/KindReader.java
+++ b/model/src/main/java/org/dahliapass/model/KindReader.java
@@ -63,14 +63,14 @@
         String method =
                 mSection.value(
                         "method", "DELETE, GET, HEAD, PATCH, POST or PUT", this::method, "GET");
-        RequestPath path =
+        PathPattern path =
                 mSection.value(
                         "path",
-                        RequestPath.ALLOWED,
-                        RequestPath::parse,
-                        new RequestPath("/", false));
+                        PathPattern.FORMAT,
+                        PathPattern::parse,
+                        new PathPattern("/", false));
         Idempotency idempotency =
-                mSection.yesNo("idempotent") ? Idempotency.IDEMPOTENT : Idempotency.GUARDED;
+                mSection.yesNo("idempotent") ? Idempotency.IDEMPOTENT : Idempotency.AT_MOST_ONCE;
         Duration deadline =
                 mSection.duration("deadline", LEAST_DEADLINE, MOST_DEADLINE, DEFAULT_DEADLINE);
         RequestKind kind =
@@ -86,7 +86,7 @@
                         mSection.size("maximum-body", 0, MOST_BODY_BYTES, DEFAULT_BODY_BYTES),
                         mSection.decimal("rate", 0, MOST_RATE, 0),
                         mSection.share(
-                                "retry-budget", idempotency.mayRepeat() ? DEFAULT_RETRY_SHARE : 0),
+                                "retry-budget", idempotency.isRepeatable() ? DEFAULT_RETRY_SHARE : 0),
                         upToDeadline("hedge-after", Duration.ZERO, Duration.ZERO, deadline),
                         mSection.yesNo("bulky", false),
                         mSection.share("objective", DEFAULT_OBJECTIVE),
@@ -139,7 +139,7 @@
             mSection.reportProblem(
                     "objective", kind.objective() * 100 + "%", "a percentage from 50% to 99.9999%");
         }
-        if (kind.idempotency().mayRepeat()) {
+        if (kind.idempotency().isRepeatable()) {
             return;
         }
         if (kind.retryShare() > 0) {
--- a/model/src/main/java/org/dahliapass/model/RequestPath.java
+++ b/model/src/main/java/org/dahliapass/model/PathPattern.java
@@ -10,26 +10,26 @@
  * @param path the path, or its beginning up to and with a slash
  * @param prefix whether all paths that begin so are meant
  */
-record RequestPath(String path, boolean prefix) {
+record PathPattern(String path, boolean prefix) {
     /** What may stand where a path without an ending in {@code **} is wanted. */
-    static final String PLAIN_ALLOWED =
+    static final String LITERAL_FORMAT =
             "a path such as /health of letters, digits and / - . _ ~, without empty, . or .. parts";
 
     /** What may stand where a path or a beginning of paths is wanted. */
-    static final String ALLOWED = PLAIN_ALLOWED + "; it may end in /**";
+    static final String FORMAT = LITERAL_FORMAT + "; it may end in /**";
 
     private static final Pattern CHARACTERS = Pattern.compile("/[A-Za-z0-9/._~-]*");
     private static final String ANY_REST = "**";
 
     /** Reads a path; empty if it isn't one. */
-    static Optional<RequestPath> parse(String text) {
+    static Optional<PathPattern> parse(String text) {
         boolean prefix = text.endsWith("/" + ANY_REST);
         String path = prefix ? text.substring(0, text.length() - ANY_REST.length()) : text;
-        return parsePlain(path).map(plain -> new RequestPath(plain, prefix));
+        return parseLiteral(path).map(plain -> new PathPattern(plain, prefix));
     }
 
     /** Reads a path that stands for itself only; empty if it isn't one. */
-    static Optional<String> parsePlain(String text) {
+    static Optional<String> parseLiteral(String text) {
         if (!CHARACTERS.matcher(text).matches() || text.contains("//")) {
             return Optional.empty();
         }
--- a/model/src/main/java/org/dahliapass/model/RequestKind.java
+++ b/model/src/main/java/org/dahliapass/model/RequestKind.java
@@ -87,13 +87,13 @@
     }
 
     /** Returns the same kind as one that runs at most once, without retries and hedges. */
-    public RequestKind guarded() {
+    public RequestKind asAtMostOnce() {
         return new RequestKind(
                 name,
                 method,
                 pathPrefix,
                 prefix,
-                Idempotency.GUARDED,
+                Idempotency.AT_MOST_ONCE,
                 deadline,
                 patience,
                 lateAfter,
--- a/model/src/main/java/org/dahliapass/model/ServiceReader.java
+++ b/model/src/main/java/org/dahliapass/model/ServiceReader.java
@@ -93,7 +93,7 @@
     private ServiceTemplate readReference(String name, List<RequestKind> kinds) {
         String provider =
                 mSection.value(
-                        "provider", TemplateParser.NAME_ALLOWED, TemplateParser::parseName, "");
+                        "provider", TemplateParser.NAME_FORMAT, TemplateParser::parseName, "");
         if (!provider.isEmpty() && provider.equals(mCustomer)) {
             mSection.reportProblem(
                     "provider",
@@ -154,7 +154,7 @@
         if (!mSection.has(key)) {
             return mSection.text(key, fallback);
         }
-        return mSection.value(key, RequestPath.PLAIN_ALLOWED, RequestPath::parsePlain, fallback);
+        return mSection.value(key, PathPattern.LITERAL_FORMAT, PathPattern::parseLiteral, fallback);
     }
 
     private DetectionPolicy readDetection() {
--- a/model/src/main/java/org/dahliapass/model/TemplateParser.java
+++ b/model/src/main/java/org/dahliapass/model/TemplateParser.java
@@ -25,7 +25,7 @@
  */
 public final class TemplateParser {
     /** What may stand where a customer, a service, a kind or an availability zone is named. */
-    static final String NAME_ALLOWED = "1 to 63 letters, digits and hyphens";
+    static final String NAME_FORMAT = "1 to 63 letters, digits and hyphens";
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9-]{1,63}");
     private static final int SERVICE_WORDS = 1;
@@ -60,7 +60,7 @@
 
     private Template readTemplate() {
         IniSection head = mFile.section("template");
-        String customer = head.value("customer", NAME_ALLOWED, TemplateParser::parseName, "");
+        String customer = head.value("customer", NAME_FORMAT, TemplateParser::parseName, "");
         collectServices();
         collectKinds();
         Set<Endpoint> seen = new HashSet<>();
--- a/model/src/main/java/org/dahliapass/model/Vm.java
+++ b/model/src/main/java/org/dahliapass/model/Vm.java
@@ -5,7 +5,7 @@
  *
  * @param identity its name and incarnation
  * @param availabilityZone the name of its availability zone
- * @param callers where callers reach it (HTTP)
- * @param peers where other VMs reach it (TCP and UDP, the same port)
+ * @param callerEndpoint where callers reach it (HTTP)
+ * @param peerEndpoint where other VMs reach it (TCP and UDP, the same port)
  */
-public record Vm(VmIdentity identity, String availabilityZone, Endpoint callers, Endpoint peers) {}
+public record Vm(VmIdentity identity, String availabilityZone, Endpoint callerEndpoint, Endpoint peerEndpoint) {}
--- a/model/src/main/java/org/dahliapass/model/burn/BucketRing.java
+++ b/model/src/main/java/org/dahliapass/model/burn/BucketRing.java
@@ -30,7 +30,7 @@
             mNumbers[slot] = number;
             Arrays.fill(mCounts, slot * COUNTERS, (slot + 1) * COUNTERS, 0);
         }
-        mCounts[slot * COUNTERS + outcome.position()]++;
+        mCounts[slot * COUNTERS + outcome.index()]++;
         mCounts[slot * COUNTERS + OUTCOMES] += bad ? 1 : 0;
     }
 
@@ -58,7 +58,7 @@
         }
 
         int count(Outcome outcome) {
-            return mCounts[mSlot * COUNTERS + outcome.position()];
+            return mCounts[mSlot * COUNTERS + outcome.index()];
         }
 
         int bad() {
--- a/model/src/main/java/org/dahliapass/model/burn/BurnBucket.java
+++ b/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetBucket.java
@@ -17,7 +17,7 @@
  * @param cut requests that ended {@link Outcome#CUT}
  * @param bad requests that counted against the objective by the template of their time
  */
-public record BurnBucket(
+public record ErrorBudgetBucket(
         String customer,
         String service,
         String kind,
@@ -34,6 +34,6 @@
 
     /** Returns how many requests ended so. */
     public long count(Outcome outcome) {
-        return outcome.in(this);
+        return outcome.countIn(this);
     }
 }
--- a/model/src/main/java/org/dahliapass/model/burn/BurnSnapshot.java
+++ b/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetSnapshot.java
@@ -11,11 +11,11 @@
  * @param uncounted requests that weren't counted because the memory for kinds was full
  * @param buckets the spans in which requests ended
  */
-public record BurnSnapshot(
-        String vm, long sinceMillis, long nowMillis, long uncounted, List<BurnBucket> buckets) {
+public record ErrorBudgetSnapshot(
+        String vm, long sinceMillis, long nowMillis, long uncounted, List<ErrorBudgetBucket> buckets) {
 
     /** Copies the list; a missing one reads as empty. */
-    public BurnSnapshot {
+    public ErrorBudgetSnapshot {
         buckets = buckets == null ? List.of() : List.copyOf(buckets);
     }
 }
--- a/model/src/main/java/org/dahliapass/model/burn/Outcome.java
+++ b/model/src/main/java/org/dahliapass/model/burn/Outcome.java
@@ -5,42 +5,42 @@
     /** The whole answer went out in time. */
     GOOD(0) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.good();
         }
     },
     /** The caller got an error of the target's, whole. */
     FAILED(1) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.failed();
         }
     },
     /** The caller was told that the request was not run. */
     REFUSED(2) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.refused();
         }
     },
     /** The caller was told that nobody knows whether the request ran. */
     UNKNOWN(3) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.unknown();
         }
     },
     /** The whole answer went out, but began later than the template allows. */
     LATE(4) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.late();
         }
     },
     /** The answer's body ended early. */
     CUT(5) {
         @Override
-        long in(BurnBucket bucket) {
+        long countIn(ErrorBudgetBucket bucket) {
             return bucket.cut();
         }
     };
@@ -52,10 +52,10 @@
     }
 
     /** Returns this outcome's place among the counters of a span, from 0 without gaps. */
-    int position() {
+    int index() {
         return mPosition;
     }
 
     /** Returns how many requests of a bucket ended so. */
-    abstract long in(BurnBucket bucket);
+    abstract long countIn(ErrorBudgetBucket bucket);
 }
--- a/model/src/main/java/org/dahliapass/model/burn/BurnLedger.java
+++ b/model/src/main/java/org/dahliapass/model/burn/OutcomeHistory.java
@@ -15,7 +15,7 @@
  * {@link #COARSE_WIDTH}. Memory is at most about 5 KB for each request kind in use. Safe from any
  * thread: traffic threads record, one short step under a lock.
  */
-public final class BurnLedger {
+public final class OutcomeHistory {
     /** The length of a newer span. */
     public static final Duration FINE_WIDTH = Duration.ofSeconds(10);
 
@@ -23,12 +23,12 @@
     public static final Duration COARSE_WIDTH = Duration.ofMinutes(5);
 
     /** How far back the ledger reaches. */
-    public static final Duration REACH = Duration.ofHours(6);
+    public static final Duration RETENTION = Duration.ofHours(6);
 
     private static final long FINE_MILLIS = FINE_WIDTH.toMillis();
     private static final long COARSE_MILLIS = COARSE_WIDTH.toMillis();
     private static final int FINE_SPANS = 60;
-    private static final int COARSE_SPANS = (int) (REACH.toMillis() / COARSE_MILLIS) + 1;
+    private static final int COARSE_SPANS = (int) (RETENTION.toMillis() / COARSE_MILLIS) + 1;
 
     private final int mMostSeries;
     private final Map<Key, Series> mSeries = new LinkedHashMap<>(16, 0.75f, true);
@@ -40,7 +40,7 @@
      * @param mostSeries how many triples of customer, service and kind it remembers at most;
      *     further ones are left out and counted in {@link #uncounted()}
      */
-    public BurnLedger(int mostSeries) {
+    public OutcomeHistory(int mostSeries) {
         mMostSeries = mostSeries;
     }
 
@@ -92,16 +92,16 @@
     }
 
     /** Returns all spans with requests. */
-    public List<BurnBucket> buckets(long nowMillis) {
+    public List<ErrorBudgetBucket> buckets(long nowMillis) {
         return buckets(nowMillis, customer -> true);
     }
 
     /** Returns the spans with requests of the customers that are asked for. */
-    public synchronized List<BurnBucket> buckets(long nowMillis, Predicate<String> customers) {
+    public synchronized List<ErrorBudgetBucket> buckets(long nowMillis, Predicate<String> customers) {
         long oldestFine = (nowMillis / FINE_MILLIS - FINE_SPANS + 1) * FINE_MILLIS;
         long boundary = -Math.floorDiv(-oldestFine, COARSE_MILLIS) * COARSE_MILLIS;
         long oldestCoarse = (nowMillis / COARSE_MILLIS - COARSE_SPANS + 1) * COARSE_MILLIS;
-        List<BurnBucket> buckets = new ArrayList<>();
+        List<ErrorBudgetBucket> buckets = new ArrayList<>();
         mSeries.forEach(
                 (key, series) -> {
                     if (customers.test(key.customer())) {
@@ -122,16 +122,16 @@
         }
         Iterator<Series> oldestFirst = mSeries.values().iterator();
         if (!oldestFirst.hasNext()
-                || nowMillis - oldestFirst.next().mLastMillis <= REACH.toMillis()) {
+                || nowMillis - oldestFirst.next().mLastMillis <= RETENTION.toMillis()) {
             return false;
         }
         oldestFirst.remove();
         return true;
     }
 
-    private static BurnBucket bucket(
+    private static ErrorBudgetBucket bucket(
             Key key, Series series, BucketRing.Span span, long startMillis, long widthMillis) {
-        return new BurnBucket(
+        return new ErrorBudgetBucket(
                 key.customer(),
                 key.service(),
                 key.kind(),
--- a/model/src/main/java/org/dahliapass/model/routing/FleetVm.java
+++ b/model/src/main/java/org/dahliapass/model/routing/FleetVm.java
@@ -8,14 +8,14 @@
  * @param name the VM's name, unique in the fleet
  * @param availabilityZone the name of its availability zone
  * @param region the region of that zone
- * @param callers where it takes requests of callers
- * @param peers where it takes the messages of the other VMs
+ * @param callerEndpoint where it takes requests of callers
+ * @param peerEndpoint where it takes the messages of the other VMs
  * @param capacity what it has to carry work with
  */
 public record FleetVm(
         String name,
         String availabilityZone,
         String region,
-        Endpoint callers,
-        Endpoint peers,
+        Endpoint callerEndpoint,
+        Endpoint peerEndpoint,
         VmCapacity capacity) {}
--- a/model/src/main/java/org/dahliapass/model/routing/RequestClass.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RequestClass.java
@@ -7,7 +7,7 @@
     /** May run any number of times; answers are small. */
     SAFE(Idempotency.IDEMPOTENT, false),
     /** May run once at most for each attempt of a client. */
-    AT_MOST_ONCE(Idempotency.GUARDED, false),
+    AT_MOST_ONCE(Idempotency.AT_MOST_ONCE, false),
     /** May run any number of times; answers are large. */
     DOWNLOAD(Idempotency.IDEMPOTENT, true);
 
--- a/model/src/main/java/org/dahliapass/model/routing/RouteRule.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RouteRule.java
@@ -13,7 +13,7 @@
  * @param timeout the longest time that a caller is kept waiting
  * @param objective an answer within this time is of full use
  * @param priority its rank among the routes; 0 is the most urgent
- * @param mostTargets the most targets to which one attempt of a client may be sent
+ * @param maxTargets the most targets to which one attempt of a client may be sent
  * @param shares the services that serve it; one or more
  */
 public record RouteRule(
@@ -24,7 +24,7 @@
         Duration timeout,
         Duration objective,
         int priority,
-        int mostTargets,
+        int maxTargets,
         List<ServiceShare> shares) {
     /** Copies the list. */
     public RouteRule {
--- a/model/src/main/java/org/dahliapass/model/routing/TargetRegistration.java
+++ b/model/src/main/java/org/dahliapass/model/routing/TargetRegistration.java
@@ -14,7 +14,7 @@
  * @param softwareVersion the version of its software
  * @param slots requests that it works on at once
  * @param draining whether it wants nothing new
- * @param warmupLeft how much longer it is slow after its start, when it wrote this
+ * @param remainingWarmup how much longer it is slow after its start, when it wrote this
  * @param startedMillis when this start of the target began, in Unix milliseconds; 0 if it says not
  */
 public record TargetRegistration(
@@ -25,7 +25,7 @@
         String softwareVersion,
         int slots,
         boolean draining,
-        Duration warmupLeft,
+        Duration remainingWarmup,
         long startedMillis) {
     /** Returns this start of the target and where it is reached. */
     public TargetInstance target() {
--- a/model/src/test/java/org/dahliapass/model/ReadyTemplatesTest.java
+++ b/model/src/test/java/org/dahliapass/model/ReadyTemplatesTest.java
@@ -63,7 +63,7 @@
                         .flatMap(template -> template.kindOf("POST", path))
                         .orElseThrow();
 
-        assertEquals(kind.idempotency(), Idempotency.GUARDED);
+        assertEquals(kind.idempotency(), Idempotency.AT_MOST_ONCE);
     }
 
     @Test
--- a/model/src/test/java/org/dahliapass/model/burn/BurnLedgerTest.java
+++ b/model/src/test/java/org/dahliapass/model/burn/OutcomeHistoryTest.java
@@ -9,18 +9,18 @@
 import java.util.random.RandomGeneratorFactory;
 import org.testng.annotations.Test;
 
-/** Tests {@link BurnLedger}. */
-public final class BurnLedgerTest {
+/** Tests {@link OutcomeHistory}. */
+public final class OutcomeHistoryTest {
     private static final long START = 1_800_000_000_000L;
     private static final long SECOND = 1_000;
     private static final long MINUTE = 60 * SECOND;
     private static final long HOUR = 60 * MINUTE;
 
-    private final BurnLedger mLedger = new BurnLedger(3);
+    private final OutcomeHistory mLedger = new OutcomeHistory(3);
 
     @Test
     public void recordCountsEachOutcomeApart() {
-        BurnLedger ledger = new BurnLedger(1);
+        OutcomeHistory ledger = new OutcomeHistory(1);
         int times = 0;
         for (Outcome outcome : Outcome.values()) {
             times++;
@@ -29,7 +29,7 @@
             }
         }
 
-        BurnBucket bucket = ledger.buckets(START).get(0);
+        ErrorBudgetBucket bucket = ledger.buckets(START).get(0);
 
         assertEquals(
                 Arrays.stream(Outcome.values()).map(bucket::count).toList(),
@@ -40,11 +40,11 @@
 
     @Test
     public void recordTakesTheTemplatesWordOnWhatIsBad() {
-        BurnLedger ledger = new BurnLedger(1);
+        OutcomeHistory ledger = new OutcomeHistory(1);
         ledger.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, false, START);
         ledger.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, true, START);
 
-        BurnBucket bucket = ledger.buckets(START).get(0);
+        ErrorBudgetBucket bucket = ledger.buckets(START).get(0);
 
         assertEquals(bucket.refused(), 2);
         assertEquals(bucket.bad(), 1);
@@ -54,16 +54,16 @@
     public void bucketsCountEachRequestOnceWhateverTheTime() {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(5);
         for (int trial = 0; trial < 50; trial++) {
-            BurnLedger ledger = new BurnLedger(1);
+            OutcomeHistory ledger = new OutcomeHistory(1);
             long now = START + random.nextLong(HOUR);
             for (int request = 0; request < 300; request++) {
                 now += random.nextLong(MINUTE);
                 ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, now);
             }
             long end = now;
-            List<BurnBucket> buckets = ledger.buckets(end);
+            List<ErrorBudgetBucket> buckets = ledger.buckets(end);
 
-            assertEquals(buckets.stream().mapToLong(BurnBucket::good).sum(), 300);
+            assertEquals(buckets.stream().mapToLong(ErrorBudgetBucket::good).sum(), 300);
             assertTrue(
                     buckets.stream()
                             .filter(bucket -> bucket.startMillis() >= end - 5 * MINUTE)
@@ -73,7 +73,7 @@
 
     @Test
     public void bucketsForgetWhatIsOlderThanSixHours() {
-        BurnLedger ledger = new BurnLedger(1);
+        OutcomeHistory ledger = new OutcomeHistory(1);
         ledger.record("himal", "desk", "lock", 0.99, Outcome.CUT, START);
 
         assertEquals(ledger.buckets(START + 6 * HOUR).size(), 1);
@@ -96,10 +96,10 @@
 
     @Test
     public void recordThatComesOutOfOrderIsCountedOrLeftOutButHarmsNothing() {
-        BurnLedger ledger = new BurnLedger(1);
+        OutcomeHistory ledger = new OutcomeHistory(1);
         ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START);
         ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START - 10 * MINUTE);
 
-        assertEquals(ledger.buckets(START).stream().mapToLong(BurnBucket::good).sum(), 2);
+        assertEquals(ledger.buckets(START).stream().mapToLong(ErrorBudgetBucket::good).sum(), 2);
     }
 }
--- a/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
@@ -114,11 +114,11 @@
         ObjectNode service = PlatformHttp.JSON.createObjectNode();
         service.put("ID", vm.identity().name());
         service.put("Name", SERVICE);
-        service.put("Address", vm.callers().host());
-        service.put("Port", vm.callers().port());
+        service.put("Address", vm.callerEndpoint().host());
+        service.put("Port", vm.callerEndpoint().port());
         ObjectNode meta = service.putObject("Meta");
-        meta.put(PEERS, vm.peers().toString());
-        meta.put(CALLERS, vm.callers().toString());
+        meta.put(PEERS, vm.peerEndpoint().toString());
+        meta.put(CALLERS, vm.callerEndpoint().toString());
         meta.put(OPERATORS, listed.operators().toString());
         meta.put(ZONE, vm.availabilityZone());
         meta.put(INCARNATION, Long.toString(vm.identity().incarnation(), Character.MAX_RADIX));
--- a/report/src/main/java/org/dahliapass/report/AgeSpan.java
+++ b/report/src/main/java/org/dahliapass/report/AgeSpan.java
@@ -1,7 +1,7 @@
 package org.dahliapass.report;
 
-import org.dahliapass.model.burn.BurnBucket;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.ErrorBudgetBucket;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
 /**
  * A span of time by age, so that VMs whose clocks differ can be added up.
@@ -12,7 +12,7 @@
 record AgeSpan(long newest, long oldest) {
 
     /** Returns the span of a bucket, as far as it has passed already. */
-    static AgeSpan of(BurnBucket bucket, BurnSnapshot snapshot) {
+    static AgeSpan of(ErrorBudgetBucket bucket, ErrorBudgetSnapshot snapshot) {
         long oldest = Math.max(1, snapshot.nowMillis() - bucket.startMillis());
         long newest = Math.max(0, oldest - bucket.widthMillis());
         return new AgeSpan(Math.min(newest, oldest - 1), oldest);
--- a/report/src/main/java/org/dahliapass/report/BurnCollector.java
+++ b/report/src/main/java/org/dahliapass/report/BurnCollector.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import org.dahliapass.kernel.StepException;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
 /** Asks all VMs of the fleet for what they know of the burn, a bounded number at once. */
 final class BurnCollector {
@@ -106,7 +106,7 @@
 
     private CompletableFuture<Void> readBurn(Member member, FleetBurn burn) {
         String path = "/operations/burn" + mCustomer.map(name -> "?customer=" + name).orElse("");
-        return get("read burn", member.operators(), path, BurnSnapshot.class)
+        return get("read burn", member.operators(), path, ErrorBudgetSnapshot.class)
                 .handle(
                         (snapshot, failure) -> {
                             if (failure == null) {
--- a/report/src/main/java/org/dahliapass/report/FleetBurn.java
+++ b/report/src/main/java/org/dahliapass/report/FleetBurn.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
-import org.dahliapass.model.burn.BurnBucket;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.ErrorBudgetBucket;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
 /**
  * Adds up what the VMs tell, one after another, so that no more than one VM's answer is held.
@@ -29,11 +29,11 @@
     }
 
     /** Adds what a VM tells. */
-    synchronized void add(BurnSnapshot snapshot) {
+    synchronized void add(ErrorBudgetSnapshot snapshot) {
         long age = Math.max(0, snapshot.nowMillis() - snapshot.sinceMillis());
         mAnswered.add(new AnsweredVm(snapshot.vm(), age));
         mUncounted += snapshot.uncounted();
-        for (BurnBucket bucket : snapshot.buckets()) {
+        for (ErrorBudgetBucket bucket : snapshot.buckets()) {
             if (!mCustomers.test(bucket.customer())) {
                 continue;
             }
--- a/report/src/main/java/org/dahliapass/report/OutcomeTally.java
+++ b/report/src/main/java/org/dahliapass/report/OutcomeTally.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import java.util.OptionalDouble;
-import org.dahliapass.model.burn.BurnBucket;
+import org.dahliapass.model.burn.ErrorBudgetBucket;
 import org.dahliapass.model.burn.Outcome;
 
 /**
@@ -28,7 +28,7 @@
     static final OutcomeTally EMPTY = new OutcomeTally(0, 0, 0, 0, 0, 0, 0);
 
     /** Returns a part of a VM's span. */
-    static OutcomeTally of(BurnBucket bucket, double part) {
+    static OutcomeTally of(ErrorBudgetBucket bucket, double part) {
         return new OutcomeTally(
                 bucket.good() * part,
                 bucket.failed() * part,
--- a/report/src/main/java/org/dahliapass/report/SeriesTotals.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesTotals.java
@@ -6,7 +6,7 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import org.dahliapass.model.burn.BurnBucket;
+import org.dahliapass.model.burn.ErrorBudgetBucket;
 
 /** Adds up what all VMs tell of one request kind. */
 final class SeriesTotals {
@@ -17,7 +17,7 @@
     private double mObjective;
 
     /** Adds one VM's span. */
-    void add(BurnBucket bucket, AgeSpan span) {
+    void add(ErrorBudgetBucket bucket, AgeSpan span) {
         takeObjective(bucket, span);
         for (BurnWindow window : BurnWindow.values()) {
             double part = span.partWithin(new AgeSpan(0, window.millis()));
@@ -35,7 +35,7 @@
     }
 
     /** VMs may hold two revisions of a template for some seconds; the newest span's word holds. */
-    private void takeObjective(BurnBucket bucket, AgeSpan span) {
+    private void takeObjective(ErrorBudgetBucket bucket, AgeSpan span) {
         if (span.oldest() < mObjectiveAge) {
             mObjectiveAge = span.oldest();
             mObjective = bucket.objective();
--- a/report/src/test/java/org/dahliapass/report/FleetBurnTest.java
+++ b/report/src/test/java/org/dahliapass/report/FleetBurnTest.java
@@ -5,15 +5,15 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.dahliapass.model.burn.BurnBucket;
-import org.dahliapass.model.burn.BurnLedger;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.ErrorBudgetBucket;
+import org.dahliapass.model.burn.OutcomeHistory;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests {@link FleetBurn} and the {@link Verdict} on what it adds up. */
+/** Tests {@link FleetBurn} and the {@link TargetAssessment} on what it adds up. */
 public final class FleetBurnTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final long MINUTE = 60_000;
@@ -45,7 +45,7 @@
     @Test(dataProvider = "courses")
     public void verdictNeedsTheShortAndTheLongWindow(
             int badInMinute, int fromMinutesAgo, int toMinutesAgo, Verdict verdict) {
-        BurnLedger ledger = new BurnLedger(1);
+        OutcomeHistory ledger = new OutcomeHistory(1);
         for (int ago = 360; ago > 0; ago--) {
             boolean burning = ago <= fromMinutesAgo && ago > toMinutesAgo;
             for (int request = 0; request < 100; request++) {
@@ -59,7 +59,7 @@
                         NOW - ago * MINUTE);
             }
         }
-        mFleet.add(new BurnSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
+        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
 
         assertEquals(mFleet.toReport(NOW).series().get(0).verdict(), verdict);
     }
@@ -105,8 +105,8 @@
     // before. The report must say that it knows little of the long windows, not that all was well.
     @Test
     public void youngAndSilentVmsLowerTheCoverage() {
-        mFleet.add(new BurnSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
-        mFleet.add(new BurnSnapshot("b~1", NOW - 30 * MINUTE, NOW, 3, List.of()));
+        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
+        mFleet.add(new ErrorBudgetSnapshot("b~1", NOW - 30 * MINUTE, NOW, 3, List.of()));
         mFleet.addSilent(new SilentVm("c", "10.0.0.3:9", "no connection"));
 
         BurnReport report = mFleet.toReport(NOW);
@@ -121,7 +121,7 @@
 
     @Test
     public void wholeFleetThatIsOldEnoughIsComplete() {
-        mFleet.add(new BurnSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
+        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
 
         assertTrue(mFleet.toReport(NOW).isComplete());
         assertEquals(Unknowns.of(mFleet.toReport(NOW)), List.of());
@@ -129,8 +129,8 @@
 
     @Test
     public void objectiveIsThatOfTheNewestBucket() {
-        BurnBucket old =
-                new BurnBucket(
+        ErrorBudgetBucket old =
+                new ErrorBudgetBucket(
                         "himal", "desk", "lock", 0.9, NOW - HOUR, 10_000, 1, 0, 0, 0, 0, 0, 0);
         mFleet.add(snapshot("a~1", NOW, bucket(NOW - MINUTE, 10_000, 1, 0)));
         mFleet.add(snapshot("b~1", NOW, old));
@@ -146,12 +146,12 @@
                 .share();
     }
 
-    private static BurnSnapshot snapshot(String vm, long now, BurnBucket bucket) {
-        return new BurnSnapshot(vm, now - 7 * HOUR, now, 0, List.of(bucket));
+    private static ErrorBudgetSnapshot snapshot(String vm, long now, ErrorBudgetBucket bucket) {
+        return new ErrorBudgetSnapshot(vm, now - 7 * HOUR, now, 0, List.of(bucket));
     }
 
-    private static BurnBucket bucket(long start, long width, long good, long failed) {
-        return new BurnBucket(
+    private static ErrorBudgetBucket bucket(long start, long width, long good, long failed) {
+        return new ErrorBudgetBucket(
                 "himal", "desk", "lock", 0.99, start, width, good, failed, 0, 0, 0, 0, failed);
     }
 }
--- a/report/src/test/java/org/dahliapass/report/ReportMainTest.java
+++ b/report/src/test/java/org/dahliapass/report/ReportMainTest.java
@@ -21,8 +21,8 @@
 import java.util.List;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.ManualClock;
-import org.dahliapass.model.burn.BurnLedger;
-import org.dahliapass.model.burn.BurnSnapshot;
+import org.dahliapass.model.burn.OutcomeHistory;
+import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
@@ -172,13 +172,13 @@
     }
 
     private static String burn() {
-        BurnLedger ledger = new BurnLedger(2);
+        OutcomeHistory ledger = new OutcomeHistory(2);
         for (Outcome outcome :
                 List.of(Outcome.GOOD, Outcome.GOOD, Outcome.FAILED, Outcome.REFUSED)) {
             ledger.record("himal", "desk", "lo<ck", 0.99, outcome, NOW);
         }
         ledger.record("vatulele", "rankings", "lookup", 0.99, Outcome.GOOD, NOW);
-        return JSON.valueToTree(new BurnSnapshot("a~1", 0, NOW, 0, ledger.buckets(NOW))).toString();
+        return JSON.valueToTree(new ErrorBudgetSnapshot("a~1", 0, NOW, 0, ledger.buckets(NOW))).toString();
     }
 
     private static String member(String name, int incarnation, String operators, String state) {
