--- a/gateway/src/main/java/org/dahliapass/gateway/OfferResult.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/AttemptResult.java
@@ -4,7 +4,7 @@
 import org.dahliapass.model.Endpoint;
 
 /** How the offer of a request to one target ended. */
-sealed interface OfferResult {
+sealed interface AttemptResult {
     /** Returns the target. */
     Endpoint target();
 
@@ -13,12 +13,12 @@
      *
      * @param target the target
      * @param status its status
-     * @param answer the answer for the caller
+     * @param response the answer for the caller
      */
-    record Answered(Endpoint target, int status, CallerAnswer answer) implements OfferResult {
+    record Responded(Endpoint target, int status, CallerResponse response) implements AttemptResult {
         /** Returns whether the target has sent all of it. */
-        boolean isWhole() {
-            return answer instanceof CallerAnswer.Whole;
+        boolean isComplete() {
+            return response instanceof CallerResponse.Buffered;
         }
     }
 
@@ -29,5 +29,5 @@
      * @param kind what the failure proves
      * @param cause what happened
      */
-    record Failed(Endpoint target, FailureKind kind, String cause) implements OfferResult {}
+    record Failed(Endpoint target, FailureKind kind, String cause) implements AttemptResult {}
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/CallerAnswer.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
@@ -4,30 +4,30 @@
 import org.dahliapass.http.ServerCall;
 
 /** An answer that can be given to a caller once; used on the traffic thread only. */
-interface CallerAnswer {
+interface CallerResponse {
     /** Gives it. */
-    void give(ServerCall call);
+    void send(ServerCall call);
 
     /** Lets go of an answer that nobody gets. */
-    void drop();
+    void discard();
 
     /** Returns an answer that is whole. */
-    static CallerAnswer whole(Answer answer) {
-        return new Whole(answer);
+    static CallerResponse buffered(Answer answer) {
+        return new Buffered(answer);
     }
 
     /**
      * An answer that is whole.
      *
-     * @param answer the answer
+     * @param response the answer
      */
-    record Whole(Answer answer) implements CallerAnswer {
+    record Buffered(Answer response) implements CallerResponse {
         @Override
-        public void give(ServerCall call) {
-            call.answer(answer);
+        public void send(ServerCall call) {
+            call.answer(response);
         }
 
         @Override
-        public void drop() {}
+        public void discard() {}
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -22,9 +22,9 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.routing.FleetVm;
 import org.dahliapass.platform.KeyValueStore;
-import org.dahliapass.platform.KeyValueStore.Freshness;
+import org.dahliapass.platform.KeyValueStore.Consistency;
 import org.dahliapass.platform.StoredItem;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 
 /**
  * Reads the store once and follows its changes from there on, directly or through another VM.
@@ -89,7 +89,7 @@
     private final EventLog mLog;
     private final ChangeSourceSelector mPlan;
     private final StoreMirror mMirror = new StoreMirror();
-    private final PeerCopies mPeers;
+    private final PeerStoreClients mPeers;
     private final List<Endpoint> mSeeds;
     private final List<Runnable> mListeners = new ArrayList<>();
     private ControlLoop mLoop;
@@ -121,7 +121,7 @@
             RandomGenerator random,
             EventLog log) {
         mStore = store;
-        mPeers = new PeerCopies(client);
+        mPeers = new PeerStoreClients(client);
         mBackoff = new StoreBackoff(random);
         mLog = log;
         mSeeds = settings.seeds();
@@ -143,12 +143,12 @@
      * in force anywhere; any thread may call this.
      */
     boolean isUpToDate() {
-        long heard = mCurrent ? Math.max(mHeardMillis, mFollower.heardMillis()) : mHeardMillis;
+        long heard = mCurrent ? Math.max(mHeardMillis, mFollower.lastResponseMillis()) : mHeardMillis;
         return mLoop.nowMillis() - heard <= NEWS_KEPT_MILLIS;
     }
 
     /** Adds what is run when there may be something new for those that follow this VM. */
-    void onStep(Runnable listener) {
+    void addListener(Runnable listener) {
         mListeners.add(listener);
     }
 
@@ -156,7 +156,7 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
-        mFollower.setNewsSince(this::newsSinceMillis);
+        mFollower.setUpToDateSince(this::newsSinceMillis);
         mReader = new StoreReader(mLoop, mStore, mPeers, mSeeds, mBackoff, mLog, this);
         mLoop.execute(this::readStore);
         mSilenceCheck = new PeriodicTask(mLoop, SILENCE_CHECK, this::leaveSilentStore);
@@ -168,11 +168,11 @@
      * price: what changed since is told by the watch that goes on from the revision of the read.
      */
     private void readStore() {
-        mReader.read(mSource.isEmpty() ? Freshness.PERHAPS_OLD : Freshness.CURRENT);
+        mReader.read(mSource.isEmpty() ? Consistency.STALE_ALLOWED : Consistency.LINEARIZABLE);
     }
 
     @Override
-    public void onRead(List<StoredItem> items, long revision) {
+    public void onSnapshot(List<StoredItem> items, long revision) {
         if (revision < mRevision) {
             // An older state than the one known here; what it lacks is known already.
             follow(mRevision);
@@ -182,21 +182,21 @@
     }
 
     @Override
-    public boolean knowsStore() {
-        return mMirror.isFilled();
+    public boolean hasSnapshot() {
+        return mMirror.isLoaded();
     }
 
     @Override
-    public void onStoreAnswered() {
+    public void onStoreResponse() {
         mBackoff.onSuccess();
-        mFollower.onAnswer();
+        mFollower.onStoreResponse();
     }
 
     private void takeAll(List<StoredItem> items, long revision) {
         noteNews();
-        mMirror.reset(items, revision);
+        mMirror.load(items, revision);
         mRevision = revision;
-        mFollower.takeAll(items);
+        mFollower.applySnapshot(items);
         step();
         follow(revision);
     }
@@ -211,7 +211,7 @@
             mLoop.after(LOOK_FOR_FLEET, this::readStore);
             return;
         }
-        boolean storeAnswers = !mFollower.isAway() && !isStoreSilent();
+        boolean storeAnswers = !mFollower.isStoreUnavailable() && !isStoreSilent();
         ChangeSource upstream = mPlan.choose(plan, storeAnswers, mHeardMillis, now);
         if (upstream instanceof ChangeSource.Vm source) {
             noteSource(source.vm().name());
@@ -233,7 +233,7 @@
     }
 
     private boolean isStoreSilent() {
-        return mLoop.nowMillis() - mFollower.heardMillis() > STORE_SILENT_MILLIS;
+        return mLoop.nowMillis() - mFollower.lastResponseMillis() > STORE_SILENT_MILLIS;
     }
 
     /**
@@ -252,7 +252,7 @@
         mLog.write(
                 EventLog.Kind.DEPENDENCY,
                 "store_silent",
-                line -> line.put("silent_ms", mLoop.nowMillis() - mFollower.heardMillis()));
+                line -> line.put("silent_ms", mLoop.nowMillis() - mFollower.lastResponseMillis()));
         setNotCurrent();
         follow(mRevision);
         return Optional.empty();
@@ -286,11 +286,11 @@
 
     private void followStore(long revision) {
         int number = mFollowNumber;
-        StoreReader.onControl(
+        StoreReader.onControlThread(
                 mLoop,
-                mStore.watch(StoreReader.EVERYTHING, revision, mWatch),
+                mStore.watch(StoreReader.ALL_KEYS, revision, mWatch),
                 answer -> {
-                    onStoreAnswered();
+                    onStoreResponse();
                     lengthenWatch(answer);
                     if (number == mFollowNumber) {
                         mCurrent = true;
@@ -300,14 +300,14 @@
                 },
                 failure -> {
                     if (number == mFollowNumber) {
-                        onStoreFailed(failure);
+                        onStoreFailure(failure);
                         follow(revision);
                     }
                 });
     }
 
-    private void lengthenWatch(WatchAnswer answer) {
-        if (answer instanceof WatchAnswer.HistoryLost) {
+    private void lengthenWatch(WatchResponse answer) {
+        if (answer instanceof WatchResponse.Compacted) {
             mWatch = FIRST_WATCH;
             return;
         }
@@ -325,9 +325,9 @@
     private void followPeer(FleetVm peer, long revision) {
         int number = mFollowNumber;
         setNotCurrent();
-        StoreReader.onControl(
+        StoreReader.onControlThread(
                 mLoop,
-                mPeers.at(peer.peerEndpoint()).watch(StoreReader.EVERYTHING, revision, PEER_WATCH),
+                mPeers.clientFor(peer.peerEndpoint()).watch(StoreReader.ALL_KEYS, revision, PEER_WATCH),
                 answer -> {
                     if (number == mFollowNumber) {
                         take(revision, answer, () -> readPeer(peer, revision), Duration.ZERO);
@@ -354,9 +354,9 @@
 
     /** Reads the copy of a VM; one that is older than what is known here is of no use. */
     private void readPeer(FleetVm peer, long revision) {
-        StoreReader.onControl(
+        StoreReader.onControlThread(
                 mLoop,
-                mPeers.at(peer.peerEndpoint()).range(StoreReader.EVERYTHING, "", Freshness.PERHAPS_OLD),
+                mPeers.clientFor(peer.peerEndpoint()).range(StoreReader.ALL_KEYS, "", Consistency.STALE_ALLOWED),
                 page -> {
                     if (page.revision() >= revision) {
                         takeAll(page.items(), page.revision());
@@ -388,11 +388,11 @@
         return recent ? mNewsSinceMillis : Long.MAX_VALUE;
     }
 
-    private void take(long revision, WatchAnswer answer, Runnable readAgain, Duration pause) {
+    private void take(long revision, WatchResponse answer, Runnable readAgain, Duration pause) {
         noteNews();
-        if (answer instanceof WatchAnswer.Changes changes) {
+        if (answer instanceof WatchResponse.Changes changes) {
             mMirror.apply(changes.events(), changes.revision());
-            mFollower.takeEvents(changes.events());
+            mFollower.applyEvents(changes.events());
             step();
             long next = Math.max(revision, changes.revision());
             mRevision = next;
@@ -417,10 +417,10 @@
     }
 
     @Override
-    public void onStoreFailed(Throwable failure) {
+    public void onStoreFailure(Throwable failure) {
         mWatch = FIRST_WATCH;
         mBackoff.onFailure(mLoop.nowMillis());
-        mFollower.onFailure(failure);
+        mFollower.onStoreFailure(failure);
         setNotCurrent();
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/CountedStore.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CountedStore.java
@@ -10,7 +10,7 @@
 import org.dahliapass.kernel.PeriodicTask;
 import org.dahliapass.platform.KeyValueStore;
 import org.dahliapass.platform.RangePage;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
@@ -73,13 +73,13 @@
     }
 
     @Override
-    public CompletableFuture<RangePage> range(String prefix, String after, Freshness freshness) {
-        count(freshness == Freshness.CURRENT ? Call.READ : Call.OLD_READ);
+    public CompletableFuture<RangePage> range(String prefix, String after, Consistency freshness) {
+        count(freshness == Consistency.LINEARIZABLE ? Call.READ : Call.OLD_READ);
         return mStore.range(prefix, after, freshness);
     }
 
     @Override
-    public CompletableFuture<WatchAnswer> watch(String prefix, long revision, Duration wait) {
+    public CompletableFuture<WatchResponse> watch(String prefix, long revision, Duration wait) {
         count(Call.WATCH);
         return mStore.watch(prefix, revision, wait);
     }
@@ -103,8 +103,8 @@
     }
 
     @Override
-    public CompletableFuture<Void> endLease(long lease) {
+    public CompletableFuture<Void> revokeLease(long lease) {
         count(Call.LEASE_END);
-        return mStore.endLease(lease);
+        return mStore.revokeLease(lease);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/AskHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
@@ -7,15 +7,15 @@
 import org.dahliapass.http.RequestHandler;
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.model.Endpoint;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 
 /** Tells callers which addresses to use. */
-final class AskHandler implements RequestHandler {
+final class DiscoveryHandler implements RequestHandler {
     private final GatewaySettings mSettings;
     private final GatewayState mState;
     private final StoreFollower mFollower;
 
-    AskHandler(GatewaySettings settings, GatewayState state, StoreFollower follower) {
+    DiscoveryHandler(GatewaySettings settings, GatewayState state, StoreFollower follower) {
         mSettings = settings;
         mState = state;
         mFollower = follower;
@@ -29,8 +29,8 @@
                         .view()
                         .plan()
                         .addresses(
-                                named(query, AskCalls.ZONE, mSettings.self().availabilityZone()),
-                                named(query, AskCalls.REGION, mSettings.self().region()));
+                                named(query, DiscoveryCalls.ZONE, mSettings.self().availabilityZone()),
+                                named(query, DiscoveryCalls.REGION, mSettings.self().region()));
         if (addresses.isEmpty() && mState.phase().isReady()) {
             addresses = List.of(mSettings.self().callerEndpoint());
         }
@@ -39,7 +39,7 @@
                         ? Answer.of(HttpResponseStatus.SERVICE_UNAVAILABLE)
                         : Answer.json(
                                 HttpResponseStatus.OK,
-                                AskCalls.encode(addresses, mSettings.askTimeToLive())));
+                                DiscoveryCalls.encode(addresses, mSettings.addressTimeToLive())));
     }
 
     private static String named(QueryStringDecoder query, String name, String otherwise) {
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
@@ -56,7 +56,7 @@
         Clock clock = new MonotonicClock();
         EventLog log = new EventLog(clock, settings.self().name(), System.out);
         GatewayVm vm = new GatewayVm(settings, clock, log);
-        Hangup.onSignal(() -> reload(path, log));
+        SighupHandler.install(() -> reload(path, log));
         Runtime.getRuntime().addShutdownHook(new Thread(this::onSignal, "stop"));
         start(vm);
         log.write(
@@ -66,7 +66,7 @@
                         line.put("release", VERSION)
                                 .put("callers", settings.self().callerEndpoint().toString()));
         mStopRequested.await();
-        vm.leave().join();
+        vm.drain().join();
         log.write(EventLog.Kind.LIFE, "stopped", line -> {});
         closeConnections(vm, log);
         mStopped.countDown();
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayAnswers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -7,7 +7,7 @@
 import org.dahliapass.kernel.JsonObject;
 
 /** The answers that this VM gives in place of a target's. */
-final class GatewayAnswers {
+final class GatewayResponses {
     static final int BAD_GATEWAY = 502;
     static final int UNAVAILABLE = 503;
     static final int TIMEOUT = 504;
@@ -22,19 +22,19 @@
 
     private final RandomGenerator mRandom;
 
-    GatewayAnswers(RandomGenerator random) {
+    GatewayResponses(RandomGenerator random) {
         mRandom = random;
     }
 
     /** Draws when a refused caller shall come back, so that not all come at once. */
-    long comeBackMillis(long remainingMillis) {
+    long retryAfterMillis(long remainingMillis) {
         double most = remainingMillis * LONGEST_WAIT_SHARE;
         double spread = Math.max(0, most - SHORTEST_WAIT_MILLIS);
         return Math.round(SHORTEST_WAIT_MILLIS + spread * mRandom.nextDouble());
     }
 
     /** Refuses a request that has not run and never will. */
-    CallerAnswer refused(long comeBackMillis) {
+    CallerResponse refused(long comeBackMillis) {
         return answer(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 comeBackMillis,
@@ -42,7 +42,7 @@
     }
 
     /** Refuses a request that has not run, as targets end under requests like it. */
-    CallerAnswer quarantined(long comeBackMillis) {
+    CallerResponse quarantined(long comeBackMillis) {
         return answer(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 comeBackMillis,
@@ -51,7 +51,7 @@
     }
 
     /** Ends a request that may have run and got no answer. */
-    CallerAnswer failed() {
+    CallerResponse failed() {
         return answer(
                 HttpResponseStatus.BAD_GATEWAY,
                 0,
@@ -59,7 +59,7 @@
     }
 
     /** Ends a request whose time is over while a target had it. */
-    CallerAnswer timedOut() {
+    CallerResponse timedOut() {
         return answer(
                 HttpResponseStatus.GATEWAY_TIMEOUT,
                 0,
@@ -67,17 +67,17 @@
     }
 
     /** Answers a request that matches no route. */
-    CallerAnswer noRoute() {
+    CallerResponse noRoute() {
         return answer(HttpResponseStatus.NOT_FOUND, 0, "No route takes this host and path.");
     }
 
     /** Answers a request that has no id. */
-    CallerAnswer noId() {
+    CallerResponse missingAttemptId() {
         return answer(HttpResponseStatus.BAD_REQUEST, 0, "The request has no attempt id.");
     }
 
     /** Answers a request whose head is too large. */
-    CallerAnswer headTooLarge() {
+    CallerResponse headTooLarge() {
         return answer(
                 HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                 0,
@@ -85,12 +85,12 @@
     }
 
     /** Answers a request whose body is too large. */
-    CallerAnswer tooLarge() {
+    CallerResponse bodyTooLarge() {
         return answer(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0, "The body is larger than allowed.");
     }
 
-    private static CallerAnswer answer(
+    private static CallerResponse answer(
             HttpResponseStatus status, long comeBackMillis, String message) {
         Answer answer = Answer.json(status, new JsonObject().put("message", message).toString());
         if (comeBackMillis > 0) {
@@ -99,6 +99,6 @@
                             HttpHeaderNames.RETRY_AFTER,
                             Double.toString(comeBackMillis / MILLIS_PER_SECOND));
         }
-        return CallerAnswer.whole(answer);
+        return CallerResponse.buffered(answer);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
@@ -15,7 +15,7 @@
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
 import org.dahliapass.model.routing.RequestLimits;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.StoreCalls;
 import org.dahliapass.traffic.EntryMetrics;
 
@@ -38,7 +38,7 @@
     private final GatewayState mState;
     private final EntryMetrics mMetrics;
     private final ProxyHandler mProxy;
-    private final AskHandler mAsks;
+    private final DiscoveryHandler mAsks;
     private final MirrorService mMirror;
     private final EventLoopGroup mLoops;
     private final Clock mClock;
@@ -52,7 +52,7 @@
             GatewayState state,
             EntryMetrics metrics,
             ProxyHandler proxy,
-            AskHandler asks,
+            DiscoveryHandler asks,
             MirrorService mirror,
             EventLoopGroup loops,
             Clock clock,
@@ -74,9 +74,9 @@
         mAskers =
                 server(
                         new PathRoutes()
-                                .add(AskCalls.ASK_PATH, mAsks)
+                                .add(DiscoveryCalls.DISCOVERY_PATH, mAsks)
                                 .add(
-                                        AskCalls.READINESS_PATH,
+                                        DiscoveryCalls.READINESS_PATH,
                                         call -> call.answer(Answer.of(readiness()))));
         mPeers =
                 server(
@@ -86,7 +86,7 @@
                                 .add("/metrics", call -> call.answer(metrics())));
         List<CompletableFuture<Void>> started = new ArrayList<>();
         started.add(mCallers.listen(mSettings.self().callerEndpoint()));
-        started.add(mAskers.listen(mSettings.asks()));
+        started.add(mAskers.listen(mSettings.discovery()));
         started.add(mAskers.listen(mSettings.readiness()));
         started.add(mPeers.listen(mSettings.self().peerEndpoint()));
         started.add(mPeers.listen(mSettings.control()));
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
@@ -17,14 +17,14 @@
  * The settings of one gateway VM.
  *
  * @param self this VM as the others shall see it, with the address for callers' requests
- * @param asks where the VM answers asks for addresses
+ * @param discovery where the VM answers asks for addresses
  * @param readiness where the VM says whether it is ready
  * @param metrics where the VM serves its metrics; empty if it doesn't
  * @param control where a VM that starts may read this VM's copy of the store
  * @param seeds where this VM may read such a copy when it starts while the store is away; stale
  * @param store where the platform's store is reached
- * @param stopGrace how long after SIGTERM the process may live
- * @param askTimeToLive how long a caller may keep an ask's answer
+ * @param stopTimeout how long after SIGTERM the process may live
+ * @param addressTimeToLive how long a caller may keep an ask's answer
  * @param vmsPerZone how many VMs take the callers of one availability zone at least
  * @param floorShare the share of a service's targets that stay in service whatever the evidence
  * @param retryShare further tries allowed, as a share of first tries
@@ -32,14 +32,14 @@
  */
 public record GatewaySettings(
         FleetVm self,
-        Endpoint asks,
+        Endpoint discovery,
         Endpoint readiness,
         Optional<Endpoint> metrics,
         Endpoint control,
         List<Endpoint> seeds,
         Endpoint store,
-        Duration stopGrace,
-        Duration askTimeToLive,
+        Duration stopTimeout,
+        Duration addressTimeToLive,
         int vmsPerZone,
         double floorShare,
         double retryShare,
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayState.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayState.java
@@ -13,7 +13,7 @@
         /** Requests are served. */
         SERVING(true, true),
         /** SIGTERM came: requests are served, but nobody is sent here any more. */
-        LEAVING(true, false),
+        DRAINING(true, false),
         /** The process ends soon: requests that come now couldn't be served to their end. */
         CLOSING(false, false);
 
@@ -26,7 +26,7 @@
         }
 
         /** Returns whether requests are served. */
-        boolean serves() {
+        boolean acceptsRequests() {
             return mServes;
         }
 
@@ -37,7 +37,7 @@
 
         /** Returns whether connections shall close after the answer in flight. */
         boolean closesConnections() {
-            return this == LEAVING || this == CLOSING;
+            return this == DRAINING || this == CLOSING;
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
@@ -43,8 +43,8 @@
     private final GatewayState mState = new GatewayState();
     private final EventLog mLog;
     private final ControlLoop mLoop;
-    private final FleetEntry mEntry;
-    private final VmLoad mLoad;
+    private final SelfRegistration mEntry;
+    private final LoadReporter mLoad;
     private final Kernel mKernel = new Kernel();
 
     /**
@@ -65,9 +65,9 @@
         StoreFollower follower = new StoreFollower(settings.vmsPerZone(), log);
         ChangeFeed feed = new ChangeFeed(settings, store, connections.client(), random, log);
         ServicePools pools = new ServicePools(clock, random, settings, metrics, log);
-        mEntry = new FleetEntry(store, settings.self(), feed::followsStore, log);
-        mLoad = new VmLoad(clock, metrics, log);
-        WorkExchange work = new WorkExchange(settings, connections.loops(), log);
+        mEntry = new SelfRegistration(store, settings.self(), feed::followsStore, log);
+        mLoad = new LoadReporter(clock, metrics, log);
+        PeerExchange work = new PeerExchange(settings, connections.loops(), log);
         PoisonGuard guard =
                 new PoisonGuard(settings, clock, connections, store, follower, work, metrics, log);
         ProxyHandler proxy =
@@ -80,12 +80,12 @@
                         new WeightedRoundRobin(random),
                         connections,
                         log,
-                        new GatewayAnswers(random),
+                        new GatewayResponses(random),
                         mLoad,
                         feed::isUpToDate,
                         () -> onWork(pools, work),
                         guard);
-        follower.onChange(
+        follower.addChangeListener(
                 () ->
                         follower.view()
                                 .routes()
@@ -100,22 +100,22 @@
                                 mState,
                                 metrics,
                                 proxy,
-                                new AskHandler(settings, mState, follower),
+                                new DiscoveryHandler(settings, mState, follower),
                                 new MirrorService(mLoop, feed, mLoad),
                                 connections.loops(),
                                 clock,
                                 follower))
                 .register(StoreFollower.NAME, follower)
                 .register(ChangeFeed.NAME, feed)
-                .register(FleetEntry.NAME, mEntry)
+                .register(SelfRegistration.NAME, mEntry)
                 .register(ServicePools.NAME, pools)
-                .register(VmLoad.NAME, mLoad)
-                .register(WorkExchange.NAME, work);
+                .register(LoadReporter.NAME, mLoad)
+                .register(PeerExchange.NAME, work);
     }
 
-    private static void onWork(ServicePools pools, WorkExchange work) {
-        pools.onWork();
-        work.onWork();
+    private static void onWork(ServicePools pools, PeerExchange work) {
+        pools.onRequest();
+        work.onRequest();
     }
 
     private KeyValueStore store(
@@ -138,11 +138,11 @@
      *
      * @return completes when nothing is in flight any more, and the process may end
      */
-    public CompletableFuture<Void> leave() {
-        mState.advance(GatewayState.Phase.LEAVING);
+    public CompletableFuture<Void> drain() {
+        mState.advance(GatewayState.Phase.DRAINING);
         mLog.write(EventLog.Kind.LIFE, "leaving", line -> {});
         Futures.whenDone(
-                mEntry.leave(),
+                mEntry.deregister(),
                 (ignored, failure) -> {
                     if (failure != null) {
                         mLog.write(
@@ -151,8 +151,8 @@
                                 line -> line.put("cause", failure.getMessage()));
                     }
                 });
-        Duration latest = mSettings.stopGrace().minus(RESERVE);
-        Duration takes = shorter(ASKS_RUN_OUT, mSettings.stopGrace().minus(ROOM_FOR_A_REQUEST));
+        Duration latest = mSettings.stopTimeout().minus(RESERVE);
+        Duration takes = shorter(ASKS_RUN_OUT, mSettings.stopTimeout().minus(ROOM_FOR_A_REQUEST));
         long endMillis = mLoop.nowMillis() + latest.toMillis();
         return after(takes)
                 .thenRun(() -> mState.advance(GatewayState.Phase.CLOSING))
@@ -171,7 +171,7 @@
      * end on a VM whose timers run late: most VMs have nothing left to wait for long before it.
      */
     private CompletableFuture<Void> idle(long endMillis) {
-        if (!mLoad.isBusy() || mLoop.nowMillis() >= endMillis) {
+        if (!mLoad.hasRequestsInFlight() || mLoop.nowMillis() >= endMillis) {
             return CompletableFuture.completedFuture(null);
         }
         return after(LOOK).thenCompose(ignored -> idle(endMillis));
--- a/gateway/src/main/java/org/dahliapass/gateway/VmLoad.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/LoadReporter.java
@@ -23,7 +23,7 @@
  * short shows as answers that take long from their end to their last byte written, while the timers
  * run on time. Without both, a request that its caller gave up looks the same in either case.
  */
-final class VmLoad implements KernelService {
+final class LoadReporter implements KernelService {
     /** The name under which the kernel holds the load. */
     static final String NAME = "vm-load";
 
@@ -52,7 +52,7 @@
     private long mControlDueMillis = NOT_DUE;
     private boolean mChecking;
 
-    VmLoad(Clock clock, EntryMetrics metrics, EventLog log) {
+    LoadReporter(Clock clock, EntryMetrics metrics, EventLog log) {
         mClock = clock;
         mMetrics = metrics;
         mLog = log;
@@ -82,7 +82,7 @@
     }
 
     /** Returns whether a caller still waits for its answer; any thread may call this. */
-    boolean isBusy() {
+    boolean hasRequestsInFlight() {
         return mInFlight.get() > 0;
     }
 
@@ -90,7 +90,7 @@
      * Returns whether requests that come now wait longer and longer before they are read; traffic
      * thread only.
      */
-    boolean isBehind() {
+    boolean isFallingBehind() {
         return mTrafficLateness.isBehind(mClock.millis());
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Counts bytes of the copy of the store that were handed to a VM which follows this one. */
-    void onCopied(long bytes) {
+    void onMirrorSent(long bytes) {
         mFollowerBytes.addAndGet(bytes);
         mTelling.wake();
         mMetrics.onCopied(bytes);
--- a/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
@@ -10,7 +10,7 @@
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.platform.StoreCalls;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 
 /**
  * Lets other VMs follow the store through this VM, by the store's own reading calls.
@@ -24,16 +24,16 @@
 final class MirrorService {
     private final ControlLoop mLoop;
     private final ChangeFeed mFeed;
-    private final VmLoad mLoad;
+    private final LoadReporter mLoad;
     private final List<Waiter> mWaiters = new ArrayList<>();
 
     private record Waiter(long revision, ServerCall call) {}
 
-    MirrorService(ControlLoop loop, ChangeFeed feed, VmLoad load) {
+    MirrorService(ControlLoop loop, ChangeFeed feed, LoadReporter load) {
         mLoop = loop;
         mFeed = feed;
         mLoad = load;
-        feed.onStep(this::answerWaiters);
+        feed.addListener(this::answerWaiters);
     }
 
     /** Answers with the whole copy. */
@@ -42,10 +42,10 @@
     }
 
     private Answer copy() {
-        if (!mFeed.mirror().isFilled()) {
+        if (!mFeed.mirror().isLoaded()) {
             return unavailable();
         }
-        return json(StoreCalls.encode(mFeed.mirror().all()));
+        return json(StoreCalls.encode(mFeed.mirror().snapshot()));
     }
 
     /** Answers once there are changes, or none when the caller's wait ends. */
@@ -77,7 +77,7 @@
 
     private void answerWithoutChanges(Waiter waiter) {
         if (mWaiters.remove(waiter)) {
-            WatchAnswer.Changes none = new WatchAnswer.Changes(List.of(), waiter.revision());
+            WatchResponse.Changes none = new WatchResponse.Changes(List.of(), waiter.revision());
             answer(waiter.call(), json(StoreCalls.encode(none)));
         }
     }
@@ -95,10 +95,10 @@
         if (!mFeed.isCurrent()) {
             return Optional.of(unavailable());
         }
-        Optional<WatchAnswer> changes = mFeed.mirror().changesAfter(revision);
+        Optional<WatchResponse> changes = mFeed.mirror().changesAfter(revision);
         return changes.map(
                 found ->
-                        found instanceof WatchAnswer.Changes known
+                        found instanceof WatchResponse.Changes known
                                 ? json(StoreCalls.encode(known))
                                 : Answer.of(HttpResponseStatus.GONE));
     }
@@ -112,7 +112,7 @@
     }
 
     private Answer json(String body) {
-        mLoad.onCopied(body.length());
+        mLoad.onMirrorSent(body.length());
         return Answer.json(HttpResponseStatus.OK, body);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/WorkExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -44,7 +44,7 @@
  * <p>One datagram an end and VM, about 80 bytes; a lost one costs a preference for some seconds.
  * One report a service, VM and period while there is work, about 25 bytes a target with work.
  */
-final class WorkExchange implements KernelService {
+final class PeerExchange implements KernelService {
     /** The name under which the kernel holds the exchange. */
     static final String NAME = "work-exchange";
 
@@ -84,7 +84,7 @@
     private volatile Channel mChannel;
     private volatile Consumer<List<SuspectNews>> mSuspectListener = news -> {};
 
-    WorkExchange(GatewaySettings settings, EventLoopGroup loops, EventLog log) {
+    PeerExchange(GatewaySettings settings, EventLoopGroup loops, EventLog log) {
         mSettings = settings;
         mLoops = loops;
         mLog = log;
@@ -94,7 +94,7 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
         mPools = kernel.find(ServicePools.NAME, ServicePools.class);
-        mPools.setNewsListener(this::tell);
+        mPools.setOutcomeListener(this::tell);
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mReports = new PeriodicTask(mLoop, REPORT_PERIOD, this::report);
         Endpoint peers = mSettings.self().peerEndpoint();
@@ -127,7 +127,7 @@
     }
 
     /** Takes that this VM has work, of which the others are to hear; any thread may call this. */
-    void onWork() {
+    void onRequest() {
         mWorkMillis = mLoop.nowMillis();
         mReports.wake();
     }
@@ -135,7 +135,7 @@
     /** Tells the other VMs how a piece of work ended; any thread may call this. */
     private void tell(ServiceId service, WorkNews ended) {
         Optional<TargetRegistration> registration =
-                mPools.find(service.name()).flatMap(pool -> pool.at(ended.target()));
+                mPools.find(service.name()).flatMap(pool -> pool.registrationAt(ended.target()));
         if (registration.isEmpty()) {
             return;
         }
@@ -159,7 +159,7 @@
     }
 
     /** Tells the other VMs that take callers of suspected requests; any thread may call this. */
-    void tellSuspects(List<SuspectNews> news) {
+    void sendSuspects(List<SuspectNews> news) {
         long now = mLoop.nowMillis();
         sendToTakers(
                 TrustNews.newBuilder()
@@ -182,7 +182,7 @@
         }
         mReportedMillis = now;
         boolean hasWork = now - mWorkMillis < SECOND_MILLIS;
-        for (String service : mPools.names()) {
+        for (String service : mPools.serviceNames()) {
             hasWork |= mPools.find(service).map(pool -> report(service, pool)).orElse(false);
         }
         return hasWork ? Optional.of(REPORT_PERIOD) : Optional.empty();
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerCopies.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerStoreClients.java
@@ -10,19 +10,19 @@
 import org.dahliapass.platform.KeyValueStore;
 
 /** The clients of other VMs' copies of the store; control thread only. */
-final class PeerCopies {
+final class PeerStoreClients {
     /** VMs answer within a few milliseconds; one that is busy or frozen is passed over. */
     private static final Duration TIMEOUT = Duration.ofMillis(400);
 
     private final HttpClient mClient;
     private final Map<Endpoint, KeyValueStore> mCopies = new HashMap<>();
 
-    PeerCopies(HttpClient client) {
+    PeerStoreClients(HttpClient client) {
         mClient = client;
     }
 
     /** Returns the client of one VM's copy. */
-    KeyValueStore at(Endpoint vm) {
+    KeyValueStore clientFor(Endpoint vm) {
         return mCopies.computeIfAbsent(
                 vm, endpoint -> new HttpKeyValueStore(endpoint, TIMEOUT, mClient));
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
@@ -31,11 +31,11 @@
     private final EventLog mLog;
     private final EntryMetrics mMetrics;
     private final EventLoop mLoop;
-    private final TargetEndCheck mCheck;
+    private final TargetLivenessCheck mCheck;
     private final QuarantineStore mStore;
     private final PoisonRegister mRegister = new PoisonRegister();
     private final Turns mTurns = new Turns();
-    private final PoisonNews mNews;
+    private final SuspectBroadcaster mNews;
 
     PoisonGuard(
             GatewaySettings settings,
@@ -43,25 +43,25 @@
             TargetConnections connections,
             KeyValueStore store,
             StoreFollower follower,
-            WorkExchange exchange,
+            PeerExchange exchange,
             EntryMetrics metrics,
             EventLog log) {
         mClock = clock;
         mLog = log;
         mMetrics = metrics;
         mLoop = connections.loop();
-        mCheck = new TargetEndCheck(connections);
+        mCheck = new TargetLivenessCheck(connections);
         mStore = new QuarantineStore(store, mLoop, clock, settings.self().name(), log);
         mNews =
-                new PoisonNews(
+                new SuspectBroadcaster(
                         mLoop,
                         digests ->
-                                exchange.tellSuspects(
+                                exchange.sendSuspects(
                                         digests.stream()
                                                 .map(one -> mRegister.news(one, mClock.millis()))
                                                 .toList()));
         exchange.setSuspectListener(news -> mLoop.execute(() -> onNews(news)));
-        follower.onQuarantine(digest -> mLoop.execute(() -> onEntry(digest)));
+        follower.setQuarantineListener(digest -> mLoop.execute(() -> onEntry(digest)));
     }
 
     /**
@@ -98,7 +98,7 @@
      * @param digest the request
      * @param whenChecked runs once it is known whether the target has ended
      */
-    void onBroken(TargetOffer offer, RequestDigest digest, Runnable whenChecked) {
+    void onConnectionBroken(TargetAttempt offer, RequestDigest digest, Runnable whenChecked) {
         TargetEnd end =
                 new TargetEnd(offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
         mCheck.check(
@@ -109,7 +109,7 @@
                 });
     }
 
-    private void onChecked(TargetOffer offer, RequestDigest digest, TargetEnd end, boolean ended) {
+    private void onChecked(TargetAttempt offer, RequestDigest digest, TargetEnd end, boolean ended) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "connection_broken",
@@ -117,10 +117,10 @@
                         line.put("instance", offer.instance().name())
                                 .put("target", offer.target().toString())
                                 .put("target_ended", ended)
-                                .put("leaving", offer.isLeaving())
+                                .put("leaving", offer.isTargetDraining())
                                 .put("digest", digest.hex()));
         // A target that said that it leaves ends by itself.
-        if (!ended || offer.isLeaving()) {
+        if (!ended || offer.isTargetDraining()) {
             return;
         }
         mMetrics.onPoison("target_ended");
@@ -129,7 +129,7 @@
         if (!mRegister.onEnd(digest, end, now)) {
             return;
         }
-        mNews.changed(digest);
+        mNews.broadcast(digest);
         tellOfChange(digest, before, "this VM");
         if (mRegister.treatment(digest, now) == Treatment.QUARANTINED) {
             writeEntry(digest);
@@ -137,7 +137,7 @@
     }
 
     private void writeEntry(RequestDigest digest) {
-        mStore.ensure(digest, mRegister.news(digest, mClock.millis()).ends().size());
+        mStore.ensureEntry(digest, mRegister.news(digest, mClock.millis()).ends().size());
     }
 
     /**
@@ -145,14 +145,14 @@
      *
      * @param digest digests the request, which is saved while none is suspected
      */
-    void onAnswered(Supplier<RequestDigest> digest) {
+    void onResponse(Supplier<RequestDigest> digest) {
         if (mRegister.isEmpty()) {
             return;
         }
         Treatment before = mRegister.treatment(digest.get(), mClock.millis());
         if (mRegister.onAnswered(digest.get(), mClock.millis())) {
-            mStore.withdraw(digest.get());
-            mNews.changed(digest.get());
+            mStore.removeEntry(digest.get());
+            mNews.broadcast(digest.get());
             tellOfChange(digest.get(), before, "this VM");
         }
     }
@@ -162,10 +162,10 @@
         for (SuspectNews one : news) {
             Treatment before = mRegister.treatment(one.digest(), now);
             if (mRegister.onNews(one, now)) {
-                mNews.remind(one.digest());
+                mNews.resend(one.digest());
             }
             if (one.answered()) {
-                mStore.withdraw(one.digest());
+                mStore.removeEntry(one.digest());
             }
             tellOfChange(one.digest(), before, "another VM");
         }
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -52,15 +52,15 @@
     private final Clock mClock;
     private final EventLoop mLoop;
     private final EventLog mLog;
-    private final GatewayAnswers mAnswers;
+    private final GatewayResponses mAnswers;
     private final PoisonGuard mGuard;
-    private final List<TargetOffer> mRunning = new ArrayList<>();
+    private final List<TargetAttempt> mRunning = new ArrayList<>();
     private final List<JsonObject> mHistory = new ArrayList<>();
     private final Set<Endpoint> mTried = new HashSet<>();
     private CompletableFuture<Slot> mWaiting;
     private ScheduledFuture<?> mDeadline;
     private ScheduledFuture<?> mHedge;
-    private Optional<OfferResult.Answered> mError = Optional.empty();
+    private Optional<AttemptResult.Responded> mError = Optional.empty();
     private Optional<RequestDigest> mDigest = Optional.empty();
     private int mReached;
     private int mOffers;
@@ -75,7 +75,7 @@
             TargetConnections connections,
             Clock clock,
             EventLog log,
-            GatewayAnswers answers,
+            GatewayResponses answers,
             PoisonGuard guard) {
         mCall = call;
         mRequest = request;
@@ -141,7 +141,7 @@
         }
         finish(
                 mAnswers.quarantined(wait),
-                GatewayAnswers.UNAVAILABLE,
+                GatewayResponses.UNAVAILABLE,
                 "targets ended under requests like it");
     }
 
@@ -166,7 +166,7 @@
             }
             return;
         }
-        TargetOffer offer = new TargetOffer(mRequest, slot, mPool, mConnections, mClock);
+        TargetAttempt offer = new TargetAttempt(mRequest, slot, mPool, mConnections, mClock);
         if (mDone) {
             offer.abort(FailureKind.CANCELLED_BY_CALLER);
             return;
@@ -178,7 +178,7 @@
         offer(offer);
     }
 
-    private void offer(TargetOffer offer) {
+    private void offer(TargetAttempt offer) {
         planHedge();
         if (treatment() == Treatment.ALONE) {
             mGuard.turns().take(digest());
@@ -197,13 +197,13 @@
         }
     }
 
-    private void onResult(TargetOffer offer, OfferResult result, Throwable failure) {
+    private void onResult(TargetAttempt offer, AttemptResult result, Throwable failure) {
         if (!mRunning.remove(offer)) {
             // It was stopped, and noted then; what its connection still reported is no news.
             discard(result);
             return;
         }
-        boolean checked = result instanceof OfferResult.Failed failed && noteBroken(offer, failed);
+        boolean checked = result instanceof AttemptResult.Failed failed && noteBroken(offer, failed);
         if (!checked) {
             giveTurnBack();
         }
@@ -211,10 +211,10 @@
             note(offer, "failed: " + failure);
             mMayHaveRun = true;
             finishUnlessRunning();
-        } else if (result instanceof OfferResult.Answered answered) {
+        } else if (result instanceof AttemptResult.Responded answered) {
             note(offer, "answered " + answered.status());
             onAnswered(answered);
-        } else if (result instanceof OfferResult.Failed failed) {
+        } else if (result instanceof AttemptResult.Failed failed) {
             note(offer, failed.kind() + ": " + failed.cause());
             onFailed(failed);
         }
@@ -225,11 +225,11 @@
      *
      * @return whether it is checked, after which the turn is given back
      */
-    private boolean noteBroken(TargetOffer offer, OfferResult.Failed failed) {
+    private boolean noteBroken(TargetAttempt offer, AttemptResult.Failed failed) {
         if (!failed.kind().brokeConnection()) {
             return false;
         }
-        mGuard.onBroken(offer, digest(), this::giveTurnBack);
+        mGuard.onConnectionBroken(offer, digest(), this::giveTurnBack);
         return true;
     }
 
@@ -248,23 +248,23 @@
         return mDigest.get();
     }
 
-    private void onAnswered(OfferResult.Answered answered) {
+    private void onAnswered(AttemptResult.Responded answered) {
         mMayHaveRun = true;
         mReached++;
-        if (answered.isWhole()) {
-            mGuard.onAnswered(this::digest);
+        if (answered.isComplete()) {
+            mGuard.onResponse(this::digest);
         }
         if (mDone) {
             // The caller left while a request that must not repeat was still at its target.
-            answered.answer().drop();
+            answered.response().discard();
             return;
         }
         boolean error = answered.status() >= SERVER_ERROR;
         if (!error) {
-            finish(answered.answer(), answered.status(), "answered");
+            finish(answered.response(), answered.status(), "answered");
             return;
         }
-        mError.ifPresent(old -> old.answer().drop());
+        mError.ifPresent(old -> old.response().discard());
         mError = Optional.of(answered);
         if (!mRunning.isEmpty() || retry(answered.target(), FailureKind.SERVER_ERROR)) {
             return;
@@ -272,7 +272,7 @@
         finishUnlessRunning();
     }
 
-    private void onFailed(OfferResult.Failed failed) {
+    private void onFailed(AttemptResult.Failed failed) {
         boolean reached = failed.kind() != FailureKind.CONNECT_FAILED;
         mMayHaveRun |= failed.kind().mayHaveRun() && reached;
         if (reached) {
@@ -333,13 +333,13 @@
             return;
         }
         if (mError.isPresent()) {
-            OfferResult.Answered error = mError.get();
-            finish(error.answer(), error.status(), "the target's own failure");
+            AttemptResult.Responded error = mError.get();
+            finish(error.response(), error.status(), "the target's own failure");
         } else if (mMayHaveRun) {
-            finish(mAnswers.failed(), GatewayAnswers.BAD_GATEWAY, "may have run");
+            finish(mAnswers.failed(), GatewayResponses.BAD_GATEWAY, "may have run");
         } else {
-            long wait = mAnswers.comeBackMillis(mRequest.remainingMillis(mClock.millis()));
-            finish(mAnswers.refused(wait), GatewayAnswers.UNAVAILABLE, "no target took it");
+            long wait = mAnswers.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
+            finish(mAnswers.refused(wait), GatewayResponses.UNAVAILABLE, "no target took it");
         }
     }
 
@@ -350,8 +350,8 @@
         }
         Throwable cause = Futures.cause(failure);
         String reason = cause instanceof RefusedException ? cause.getMessage() : cause.toString();
-        long wait = mAnswers.comeBackMillis(mRequest.remainingMillis(mClock.millis()));
-        finish(mAnswers.refused(wait), GatewayAnswers.UNAVAILABLE, reason);
+        long wait = mAnswers.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
+        finish(mAnswers.refused(wait), GatewayResponses.UNAVAILABLE, reason);
     }
 
     /**
@@ -368,11 +368,11 @@
         mDone = true;
         stopOffers(FailureKind.TIMED_OUT);
         if (mError.isPresent()) {
-            finish(mError.get().answer(), mError.get().status(), "the target's own failure");
+            finish(mError.get().response(), mError.get().status(), "the target's own failure");
         } else if (mayHaveRun) {
-            finish(mAnswers.timedOut(), GatewayAnswers.TIMEOUT, "the time is over");
+            finish(mAnswers.timedOut(), GatewayResponses.TIMEOUT, "the time is over");
         } else {
-            finish(mAnswers.refused(0), GatewayAnswers.UNAVAILABLE, "no slot came free in time");
+            finish(mAnswers.refused(0), GatewayResponses.UNAVAILABLE, "no slot came free in time");
         }
     }
 
@@ -393,22 +393,22 @@
             mWaiting.cancel(false);
         }
         // Taken out first: an offer that is stopped ends at once, and would be noted twice.
-        List<TargetOffer> stopped = List.copyOf(mRunning);
+        List<TargetAttempt> stopped = List.copyOf(mRunning);
         mRunning.clear();
         giveTurnBack();
-        for (TargetOffer offer : stopped) {
+        for (TargetAttempt offer : stopped) {
             note(offer, "stopped: " + kind);
             offer.abort(kind);
         }
     }
 
-    private void finish(CallerAnswer answer, int status, String outcome) {
+    private void finish(CallerResponse answer, int status, String outcome) {
         mDone = true;
         if (mHedge != null) {
             mHedge.cancel(false);
         }
         if (answer != null) {
-            answer.give(mCall);
+            answer.send(mCall);
         }
         if (mRequest.kind().idempotency().isRepeatable()) {
             stopOffers(FailureKind.CANCELLED_BY_CALLER);
@@ -418,21 +418,21 @@
         if (mRunning.isEmpty()) {
             mDeadline.cancel(false);
         }
-        mError.filter(error -> error.answer() != answer).ifPresent(error -> error.answer().drop());
+        mError.filter(error -> error.response() != answer).ifPresent(error -> error.response().discard());
         log(status, outcome);
     }
 
-    private static void discard(OfferResult result) {
-        if (result instanceof OfferResult.Answered answered) {
-            answered.answer().drop();
+    private static void discard(AttemptResult result) {
+        if (result instanceof AttemptResult.Responded answered) {
+            answered.response().discard();
         }
     }
 
-    private void note(TargetOffer offer, String end) {
+    private void note(TargetAttempt offer, String end) {
         JsonObject entry = new JsonObject();
         entry.put("target", offer.target().toString())
                 .put("instance", offer.instance().name())
-                .put("bout_chance", Math.round(offer.chanceOfBout() * PERCENT) / PERCENT)
+                .put("bout_chance", Math.round(offer.failureProbability() * PERCENT) / PERCENT)
                 .put("sent_after_ms", offer.sentMillis() - mRequest.arrivalMillis())
                 .put("took_ms", mClock.millis() - offer.sentMillis())
                 .put("end", end);
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
@@ -42,8 +42,8 @@
     private final WeightedRoundRobin mShares;
     private final TargetConnections mConnections;
     private final EventLog mLog;
-    private final GatewayAnswers mAnswers;
-    private final VmLoad mLoad;
+    private final GatewayResponses mAnswers;
+    private final LoadReporter mLoad;
     private final BooleanSupplier mUpToDate;
     private final Runnable mOnWork;
     private final PoisonGuard mGuard;
@@ -58,8 +58,8 @@
             WeightedRoundRobin shares,
             TargetConnections connections,
             EventLog log,
-            GatewayAnswers answers,
-            VmLoad load,
+            GatewayResponses answers,
+            LoadReporter load,
             BooleanSupplier upToDate,
             Runnable onWork,
             PoisonGuard guard) {
@@ -85,11 +85,11 @@
             call.closeAfterAnswer();
         }
         Optional<RouteTable> routes = mFollower.view().routes();
-        if (!mState.phase().serves() || routes.isEmpty()) {
-            mAnswers.refused(STARTING_WAIT_MILLIS).give(call);
+        if (!mState.phase().acceptsRequests() || routes.isEmpty()) {
+            mAnswers.refused(STARTING_WAIT_MILLIS).send(call);
             return;
         }
-        if (mLoad.isBehind()) {
+        if (mLoad.isFallingBehind()) {
             refuseUnread(call);
             return;
         }
@@ -106,12 +106,12 @@
             return;
         }
         if (!head.headers().contains(TargetHeaders.ATTEMPT_ID)) {
-            mAnswers.noId().give(call);
+            mAnswers.missingAttemptId().send(call);
             return;
         }
         RequestLimits limits = routes.configuration().limits();
         if (headBytes(head) > limits.headerBytes()) {
-            mAnswers.headTooLarge().give(call);
+            mAnswers.headTooLarge().send(call);
             return;
         }
         long arrivalMillis = mClock.millis();
@@ -119,11 +119,11 @@
                 limits.bodyBytes(),
                 body -> {
                     mOnWork.run();
-                    mPools.whenCurrent(
+                    mPools.runWhenCurrent(
                             call.loop(),
                             () -> exchange(call, target, body, routes, route.get(), arrivalMillis));
                 },
-                () -> mAnswers.tooLarge().give(call));
+                () -> mAnswers.bodyTooLarge().send(call));
     }
 
     /**
@@ -134,11 +134,11 @@
      */
     private void denyOrPutOff(ServerCall call, RouteTable routes) {
         if (mUpToDate.getAsBoolean()) {
-            mAnswers.noRoute().give(call);
+            mAnswers.noRoute().send(call);
             return;
         }
         HttpHeaders headers = call.head().headers();
-        long wait = mAnswers.comeBackMillis(patience(headers, UNTOLD_PATIENCE_MILLIS));
+        long wait = mAnswers.retryAfterMillis(patience(headers, UNTOLD_PATIENCE_MILLIS));
         mLog.write(
                 EventLog.Kind.REQUEST,
                 "route_unsure",
@@ -147,7 +147,7 @@
                                 .put("version", routes.configuration().version())
                                 .put("come_back_ms", wait)
                                 .put("cause", "no news of changes for too long"));
-        mAnswers.refused(wait).give(call);
+        mAnswers.refused(wait).send(call);
     }
 
     /**
@@ -157,7 +157,7 @@
     private void refuseUnread(ServerCall call) {
         HttpHeaders headers = call.head().headers();
         long left = patience(headers, UNTOLD_PATIENCE_MILLIS);
-        long wait = mAnswers.comeBackMillis(left);
+        long wait = mAnswers.retryAfterMillis(left);
         mLog.write(
                 EventLog.Kind.REQUEST,
                 "request_refused_unread",
@@ -166,7 +166,7 @@
                                 .put("left_ms", left)
                                 .put("come_back_ms", wait)
                                 .put("cause", "this VM's thread is behind"));
-        mAnswers.refused(wait).give(call);
+        mAnswers.refused(wait).send(call);
     }
 
     /** Forgets what was counted for routes that are gone; runs on the traffic thread only. */
@@ -187,7 +187,7 @@
         String service = mShares.next(route);
         Optional<ServicePool> pool = mPools.find(service);
         if (pool.isEmpty()) {
-            mAnswers.refused(STARTING_WAIT_MILLIS).give(call);
+            mAnswers.refused(STARTING_WAIT_MILLIS).send(call);
             return;
         }
         HttpHeaders headers = new DefaultHttpHeaders().set(call.head().headers());
@@ -199,7 +199,7 @@
                         routes.configuration().version(),
                         route,
                         service,
-                        RouteKinds.of(
+                        RequestKinds.of(
                                 route, routes.configuration().limits(), mSettings.retryShare()),
                         target.path(),
                         call.head().method(),
@@ -224,7 +224,7 @@
 
     /** Returns how long the caller waits, in milliseconds; as long as the route if it says not. */
     private static long patience(HttpHeaders headers, long routeMillis) {
-        String text = headers.get(TargetHeaders.TIME_LEFT_MILLIS);
+        String text = headers.get(TargetHeaders.REMAINING_MILLIS);
         if (text == null) {
             return routeMillis;
         }
--- a/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
@@ -59,7 +59,7 @@
     }
 
     /** Writes an entry unless there is one; one that can't be written now is asked for again. */
-    void ensure(RequestDigest digest, int ends) {
+    void ensureEntry(RequestDigest digest, int ends) {
         long now = mClock.millis();
         if (mLeases.containsKey(digest) || now - mWrittenMillis < PAUSE_MILLIS) {
             return;
@@ -92,13 +92,13 @@
     }
 
     /** Takes out an entry of this VM's, whose request was answered. */
-    void withdraw(RequestDigest digest) {
+    void removeEntry(RequestDigest digest) {
         Long lease = mLeases.remove(digest);
         if (lease == null || lease == FOREIGN) {
             return;
         }
         Futures.whenDone(
-                mStore.endLease(lease),
+                mStore.revokeLease(lease),
                 (ignored, failure) -> {
                     if (failure != null) {
                         mLog.write(
--- a/gateway/src/main/java/org/dahliapass/gateway/RouteKinds.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/RequestKinds.java
@@ -10,7 +10,7 @@
 import org.dahliapass.model.routing.RouteRule;
 
 /** Turns routes into the request kinds that the traffic decisions know. */
-final class RouteKinds {
+final class RequestKinds {
     /** A hedge starts when an answer has used this share of its objective. */
     private static final double HEDGE_AFTER_SHARE = 0.6;
 
@@ -22,7 +22,7 @@
     /** The share of good answers that the burn report expects where the operator names none. */
     private static final double OBJECTIVE = 0.99;
 
-    private RouteKinds() {}
+    private RequestKinds() {}
 
     /** Returns the kind of a route's requests. */
     static RequestKind of(RouteRule route, RequestLimits limits, double retryShare) {
--- a/gateway/src/main/java/org/dahliapass/gateway/AnswerCheck.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ResponseCheck.java
@@ -7,18 +7,18 @@
 import org.dahliapass.platform.TargetHeaders;
 
 /** What the head of an answer says of its origin and of the request. */
-enum AnswerCheck {
+enum ResponseCheck {
     /** The target's own answer to this request. */
-    OWN(null, ""),
+    VALID(null, ""),
     /** The target states that it didn't run this request. */
-    NOT_RUN(FailureKind.REFUSED_NOT_PROCESSED, "the target states that it did not run it"),
+    NOT_EXECUTED(FailureKind.REFUSED_NOT_PROCESSED, "the target states that it did not run it"),
     /**
      * The answer to another request, or bytes of unknown origin. Shows when a target sends an
      * answer twice: the second one is taken for the answer to the next request on the connection.
      */
-    FOREIGN(FailureKind.RESET_AFTER_SEND, "the answer names another request"),
+    MISMATCHED(FailureKind.RESET_AFTER_SEND, "the answer names another request"),
     /** An answer that a target of this fleet doesn't make: no signature, or an encoded body. */
-    SPOILED(FailureKind.RESET_AFTER_SEND, "the answer has no signature of a target");
+    INVALID(FailureKind.RESET_AFTER_SEND, "the answer has no signature of a target");
 
     private static final int MISDIRECTED = 421;
 
@@ -28,13 +28,13 @@
     private final FailureKind mFailure;
     private final String mCause;
 
-    AnswerCheck(FailureKind failure, String cause) {
+    ResponseCheck(FailureKind failure, String cause) {
         mFailure = failure;
         mCause = cause;
     }
 
     /** Returns what it proves if the answer can't be passed on. */
-    FailureKind failure() {
+    FailureKind failureKind() {
         return mFailure;
     }
 
@@ -50,17 +50,17 @@
      * @param headers its headers
      * @param id the id of the request that waits for an answer on this connection
      */
-    static AnswerCheck of(int status, HttpHeaders headers, String id) {
+    static ResponseCheck of(int status, HttpHeaders headers, String id) {
         String named = headers.get(TargetHeaders.ATTEMPT_ID);
         if (named != null && !named.equals(id)) {
-            return FOREIGN;
+            return MISMATCHED;
         }
         boolean refused = REFUSALS.contains(status) && headers.contains(TargetHeaders.NOT_EXECUTED);
         if (refused || status == MISDIRECTED) {
-            return NOT_RUN;
+            return NOT_EXECUTED;
         }
         boolean signed = headers.contains(TargetHeaders.SIGNATURE);
         boolean encoded = headers.contains(HttpHeaderNames.CONTENT_ENCODING);
-        return named == null || !signed || encoded ? SPOILED : OWN;
+        return named == null || !signed || encoded ? INVALID : VALID;
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/FleetEntry.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
@@ -21,7 +21,7 @@
  * <p>Renewals also tell early that the store is away: they cost a tenth of a read. All state
  * belongs to the control thread.
  */
-public final class FleetEntry implements KernelService {
+public final class SelfRegistration implements KernelService {
     /** The name under which the kernel holds the entry. */
     public static final String NAME = "fleet-entry";
 
@@ -73,7 +73,7 @@
      * @param isFollowed whether other VMs hear of changes through this one; asked on the control
      *     thread
      */
-    FleetEntry(KeyValueStore store, FleetVm self, BooleanSupplier isFollowed, EventLog log) {
+    SelfRegistration(KeyValueStore store, FleetVm self, BooleanSupplier isFollowed, EventLog log) {
         mStore = store;
         mSelf = self;
         mIsFollowed = isFollowed;
@@ -90,7 +90,7 @@
     }
 
     /** Takes the entry out; asks stop naming this VM as soon as the other VMs hear of it. */
-    CompletableFuture<Void> leave() {
+    CompletableFuture<Void> deregister() {
         return mLoop.ask(
                         () -> {
                             mLeft = true;
@@ -100,7 +100,7 @@
                         lease ->
                                 lease == NONE
                                         ? CompletableFuture.completedFuture(null)
-                                        : mStore.endLease(lease));
+                                        : mStore.revokeLease(lease));
     }
 
     private Optional<Duration> keepUpIfDue() {
@@ -142,9 +142,9 @@
                                 () -> {
                                     mBusy = false;
                                     if (failure != null) {
-                                        mFollower.onFailure(failure);
+                                        mFollower.onStoreFailure(failure);
                                     } else {
-                                        mFollower.onAnswer();
+                                        mFollower.onStoreResponse();
                                     }
                                 }));
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePool.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePool.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns who is registered at an address now. */
-    Optional<TargetRegistration> at(Endpoint target) {
+    Optional<TargetRegistration> registrationAt(Endpoint target) {
         return Optional.ofNullable(mRegistrations.get(target));
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -111,12 +111,12 @@
     }
 
     /** Returns the names of all services; any thread may call this. */
-    Set<String> names() {
+    Set<String> serviceNames() {
         return mPools.keySet();
     }
 
     /** Sets who tells the other VMs of work that ended; while the kernel starts. */
-    void setNewsListener(BiConsumer<ServiceId, WorkNews> listener) {
+    void setOutcomeListener(BiConsumer<ServiceId, WorkNews> listener) {
         mNewsListener = listener;
     }
 
@@ -125,7 +125,7 @@
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
         mLateRefresh = new PeriodicTask(mLoop, LATE_REFRESH, this::refreshLate);
-        mFollower.onChange(this::onNews);
+        mFollower.addChangeListener(this::onNews);
         mTick = new PeriodicTask(mLoop, TICK, this::tick);
         return CompletableFuture.completedFuture(null);
     }
@@ -162,7 +162,7 @@
     }
 
     /** Takes that this VM has work; any thread may call this. */
-    void onWork() {
+    void onRequest() {
         mWorkMillis = mClock.millis();
     }
 
@@ -171,7 +171,7 @@
      *
      * @param loop the thread of the request, which calls this
      */
-    void whenCurrent(EventLoop loop, Runnable next) {
+    void runWhenCurrent(EventLoop loop, Runnable next) {
         if (!mStale) {
             next.run();
             return;
@@ -209,13 +209,13 @@
         }
         RoutingConfiguration configuration = found.get();
         Map<String, Map<Endpoint, TargetRegistration>> registered =
-                ServiceTemplates.registeredByService(mFollower.targets().values());
+                ServiceTemplates.targetsByService(mFollower.targets().values());
         Map<String, List<RouteRule>> routes = ServiceTemplates.routesByService(configuration);
         Map<String, ServicePool> pools = new HashMap<>();
         for (String service : configuration.services().keySet()) {
             Map<Endpoint, TargetRegistration> targets = registered.getOrDefault(service, Map.of());
             List<RequestKind> kinds =
-                    RouteKinds.of(
+                    RequestKinds.of(
                             routes.getOrDefault(service, List.of()),
                             configuration.limits(),
                             mSettings.retryShare());
@@ -283,7 +283,7 @@
         Set<Endpoint> replaced = new HashSet<>();
         targets.forEach(
                 (endpoint, target) -> {
-                    Optional<TargetRegistration> old = before.at(endpoint);
+                    Optional<TargetRegistration> old = before.registrationAt(endpoint);
                     if (old.isPresent() && !old.get().incarnation().equals(target.incarnation())) {
                         replaced.add(endpoint);
                     }
@@ -354,7 +354,7 @@
         health.takeExplanations().forEach(explanation -> explain(service, explanation));
         List<WeightedTarget> targets = new ArrayList<>();
         for (TargetStatus status : health.view().targets().values()) {
-            Optional<TargetRegistration> registered = pool.at(status.target().endpoint());
+            Optional<TargetRegistration> registered = pool.registrationAt(status.target().endpoint());
             if (registered.isEmpty()) {
                 continue;
             }
--- a/gateway/src/main/java/org/dahliapass/gateway/ServiceTemplates.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServiceTemplates.java
@@ -19,7 +19,7 @@
     private ServiceTemplates() {}
 
     /** Returns the targets of each service that take new work, by their addresses. */
-    static Map<String, Map<Endpoint, TargetRegistration>> registeredByService(
+    static Map<String, Map<Endpoint, TargetRegistration>> targetsByService(
             Collection<TargetRegistration> targets) {
         Map<String, Map<Endpoint, TargetRegistration>> registered = new HashMap<>();
         for (TargetRegistration target : targets) {
--- a/gateway/src/main/java/org/dahliapass/gateway/Hangup.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SighupHandler.java
@@ -11,18 +11,18 @@
  * <p>The runtime's signal classes are no part of the Java platform, and naming them is a warning
  * that can't be silenced; so they are looked up by name.
  */
-final class Hangup {
+final class SighupHandler {
     private static final String SIGNAL = "sun.misc.Signal";
     private static final String HANDLER = "sun.misc.SignalHandler";
 
-    private Hangup() {}
+    private SighupHandler() {}
 
     /**
      * Sets the action.
      *
      * @throws StepException if this runtime has no such classes
      */
-    static void onSignal(Runnable action) {
+    static void install(Runnable action) {
         try {
             Class<?> signal = Class.forName(SIGNAL);
             Class<?> handler = Class.forName(HANDLER);
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -107,7 +107,7 @@
      * Adds what is run on the control thread after each change of the configuration or the targets;
      * before the start.
      */
-    void onChange(Runnable listener) {
+    void addChangeListener(Runnable listener) {
         mListeners.add(listener);
     }
 
@@ -115,27 +115,27 @@
      * Sets what tells since when this VM has heard of all changes without a gap, in milliseconds;
      * the greatest number if it hasn't. Asked on the control thread.
      */
-    void setNewsSince(LongSupplier newsSince) {
+    void setUpToDateSince(LongSupplier newsSince) {
         mNewsSince = newsSince;
     }
 
     /** Sets who takes requests that the fleet has quarantined; before the start of the feed. */
-    void onQuarantine(Consumer<RequestDigest> listener) {
+    void setQuarantineListener(Consumer<RequestDigest> listener) {
         mQuarantineListener = listener;
     }
 
     /** Returns whether the store gave no answer when last asked; control thread only. */
-    boolean isAway() {
+    boolean isStoreUnavailable() {
         return mAway;
     }
 
     /** Returns when the store last answered a call, in milliseconds; any thread may call this. */
-    long heardMillis() {
+    long lastResponseMillis() {
         return mHeardMillis;
     }
 
     /** Takes a failed call to the store from any part of this VM; control thread only. */
-    void onFailure(Throwable failure) {
+    void onStoreFailure(Throwable failure) {
         if (mAway) {
             return;
         }
@@ -150,7 +150,7 @@
     }
 
     /** Takes an answered call to the store from any part of this VM; control thread only. */
-    void onAnswer() {
+    void onStoreResponse() {
         long now = mLoop.nowMillis();
         mHeardMillis = now;
         if (!mAway) {
@@ -178,7 +178,7 @@
     }
 
     /** Takes a whole read of the store; control thread only. */
-    void takeAll(List<StoredItem> items) {
+    void applySnapshot(List<StoredItem> items) {
         Set<String> seen = new HashSet<>();
         mReadsAll = true;
         for (StoredItem item : items) {
@@ -205,7 +205,7 @@
     }
 
     /** Takes changes in order; control thread only. */
-    void takeEvents(List<StoreEvent> events) {
+    void applyEvents(List<StoreEvent> events) {
         if (events.isEmpty()) {
             return;
         }
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreMirror.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreMirror.java
@@ -9,7 +9,7 @@
 import org.dahliapass.platform.RangePage;
 import org.dahliapass.platform.StoreEvent;
 import org.dahliapass.platform.StoredItem;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 
 /**
  * A copy of the store with its newest changes, from which other VMs read.
@@ -26,7 +26,7 @@
     private long mRevision;
 
     /** Takes a whole read of the store; the changes before it are unknown. */
-    void reset(List<StoredItem> items, long revision) {
+    void load(List<StoredItem> items, long revision) {
         mItems.clear();
         items.forEach(item -> mItems.put(item.key(), item));
         mEvents.clear();
@@ -51,25 +51,25 @@
     }
 
     /** Returns whether anything was read yet. */
-    boolean isFilled() {
+    boolean isLoaded() {
         return mRevision > 0;
     }
 
     /** Returns all that is known. */
-    RangePage all() {
+    RangePage snapshot() {
         return new RangePage(new ArrayList<>(mItems.values()), false, mRevision);
     }
 
     /** Returns the changes after a revision; empty if there is none yet. */
-    Optional<WatchAnswer> changesAfter(long revision) {
+    Optional<WatchResponse> changesAfter(long revision) {
         if (revision < mForgottenRevision) {
-            return Optional.of(new WatchAnswer.HistoryLost());
+            return Optional.of(new WatchResponse.Compacted());
         }
         List<StoreEvent> newer =
                 mEvents.stream().filter(event -> revisionOf(event) > revision).toList();
         return newer.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new WatchAnswer.Changes(newer, mRevision));
+                : Optional.of(new WatchResponse.Changes(newer, mRevision));
     }
 
     private static long revisionOf(StoreEvent event) {
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
@@ -10,7 +10,7 @@
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.KeyValueStore;
-import org.dahliapass.platform.KeyValueStore.Freshness;
+import org.dahliapass.platform.KeyValueStore.Consistency;
 import org.dahliapass.platform.RangePage;
 import org.dahliapass.platform.StoredItem;
 
@@ -21,11 +21,11 @@
  */
 final class StoreReader {
     /** All keys. */
-    static final String EVERYTHING = "";
+    static final String ALL_KEYS = "";
 
     private final ControlLoop mLoop;
     private final KeyValueStore mStore;
-    private final PeerCopies mPeers;
+    private final PeerStoreClients mPeers;
     private final List<Endpoint> mSeeds;
     private final StoreBackoff mBackoff;
     private final EventLog mLog;
@@ -35,16 +35,16 @@
     /** What the reader tells; on the control thread. */
     interface Listener {
         /** The store answered a call. */
-        void onStoreAnswered();
+        void onStoreResponse();
 
         /** The store gave no answer to a call. */
-        void onStoreFailed(Throwable failure);
+        void onStoreFailure(Throwable failure);
 
         /** Returns whether anything was read before, so that a copy of a VM is of no use. */
-        boolean knowsStore();
+        boolean hasSnapshot();
 
         /** All was read, as of a revision. */
-        void onRead(List<StoredItem> items, long revision);
+        void onSnapshot(List<StoredItem> items, long revision);
     }
 
     /**
@@ -55,7 +55,7 @@
     StoreReader(
             ControlLoop loop,
             KeyValueStore store,
-            PeerCopies peers,
+            PeerStoreClients peers,
             List<Endpoint> seeds,
             StoreBackoff backoff,
             EventLog log,
@@ -70,18 +70,18 @@
     }
 
     /** Reads the store, or a copy while the store gives no answers. */
-    void read(Freshness freshness) {
+    void read(Consistency freshness) {
         readPage(new ArrayList<>(), Long.MAX_VALUE, "", freshness);
     }
 
     private void readPage(
-            List<StoredItem> items, long oldestRevision, String after, Freshness freshness) {
-        onControl(
+            List<StoredItem> items, long oldestRevision, String after, Consistency freshness) {
+        onControlThread(
                 mLoop,
-                mStore.range(EVERYTHING, after, freshness),
+                mStore.range(ALL_KEYS, after, freshness),
                 page -> takePage(items, oldestRevision, page, freshness),
                 failure -> {
-                    mListener.onStoreFailed(failure);
+                    mListener.onStoreFailure(failure);
                     mLoop.after(backoff(), () -> readSeed(freshness));
                 });
     }
@@ -91,36 +91,36 @@
      * begins at the oldest revision of all, and what changed since is told once more.
      */
     private void takePage(
-            List<StoredItem> items, long oldestRevision, RangePage page, Freshness freshness) {
-        mListener.onStoreAnswered();
+            List<StoredItem> items, long oldestRevision, RangePage page, Consistency freshness) {
+        mListener.onStoreResponse();
         long revision = Math.min(oldestRevision, page.revision());
         items.addAll(page.items());
         if (page.hasMore() && !page.items().isEmpty()) {
             readPage(items, revision, page.items().get(page.items().size() - 1).key(), freshness);
             return;
         }
-        mListener.onRead(items, revision);
+        mListener.onSnapshot(items, revision);
     }
 
     /**
      * Reads the copy of a VM that may be there, so that a VM which starts while the store is away
      * serves by what the fleet knew last. The store is asked again if none answers.
      */
-    private void readSeed(Freshness freshness) {
-        if (mListener.knowsStore() || mSeeds.isEmpty()) {
+    private void readSeed(Consistency freshness) {
+        if (mListener.hasSnapshot() || mSeeds.isEmpty()) {
             read(freshness);
             return;
         }
         Endpoint seed = mSeeds.get(mNextSeed++ % mSeeds.size());
-        onControl(
+        onControlThread(
                 mLoop,
-                mPeers.at(seed).range(EVERYTHING, "", Freshness.PERHAPS_OLD),
+                mPeers.clientFor(seed).range(ALL_KEYS, "", Consistency.STALE_ALLOWED),
                 page -> {
                     mLog.write(
                             EventLog.Kind.DEPENDENCY,
                             "copy_read",
                             line -> line.put("seed", seed.toString()));
-                    mListener.onRead(page.items(), page.revision());
+                    mListener.onSnapshot(page.items(), page.revision());
                 },
                 failure -> {
                     mLog.write(
@@ -136,7 +136,7 @@
     }
 
     /** Goes on with the end of a call on the control thread. */
-    static <T> void onControl(
+    static <T> void onControlThread(
             ControlLoop loop,
             CompletableFuture<T> call,
             Consumer<T> onAnswer,
--- a/gateway/src/main/java/org/dahliapass/gateway/StreamedAnswer.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StreamedResponse.java
@@ -12,7 +12,7 @@
  * <p>Guards against memory that grows with the size of an answer and the slowness of its caller:
  * the target is read only while the caller's connection takes more.
  */
-final class StreamedAnswer implements CallerAnswer {
+final class StreamedResponse implements CallerResponse {
     private final HttpResponseStatus mStatus;
     private final HttpHeaders mHeaders;
     private final long mLength;
@@ -29,7 +29,7 @@
      * @param reading makes the target be read, or not
      * @param abort ends the offer that the answer comes from
      */
-    StreamedAnswer(
+    StreamedResponse(
             HttpResponseStatus status,
             HttpHeaders headers,
             long length,
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void give(ServerCall call) {
+    public void send(ServerCall call) {
         mCall = call;
         call.onGone(mAbort);
         call.onWritable(() -> mReading.accept(true));
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void drop() {
+    public void discard() {
         mAbort.run();
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Breaks the caller's answer off, so that it doesn't look whole. */
-    void cut() {
+    void abort() {
         if (mCall != null) {
             mCall.cut();
         }
--- a/gateway/src/main/java/org/dahliapass/gateway/PoisonNews.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SuspectBroadcaster.java
@@ -15,7 +15,7 @@
  *
  * <p>All state belongs to the traffic thread.
  */
-final class PoisonNews {
+final class SuspectBroadcaster {
     /** With one datagram of thirty lost, one of 27,000 pieces of news reaches a VM not at all. */
     private static final int TIMES = 3;
 
@@ -40,18 +40,18 @@
      *
      * @param teller sends one datagram about some requests to each VM that takes callers
      */
-    PoisonNews(EventLoop loop, Consumer<List<RequestDigest>> teller) {
+    SuspectBroadcaster(EventLoop loop, Consumer<List<RequestDigest>> teller) {
         mLoop = loop;
         mTeller = teller;
     }
 
     /** Tells of a request at once, unless other news went out just now, and again later. */
-    void changed(RequestDigest digest) {
+    void broadcast(RequestDigest digest) {
         plan(digest, TIMES);
     }
 
     /** Tells of a request once more. */
-    void remind(RequestDigest digest) {
+    void resend(RequestDigest digest) {
         if (!mLeft.containsKey(digest)) {
             plan(digest, 1);
         }
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetOffer.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
@@ -31,7 +31,7 @@
  * for again where the request may repeat; an answer too large to be kept is passed on as it comes.
  * Runs on the traffic thread. Each offer gives its slot back exactly once.
  */
-final class TargetOffer implements AnswerListener {
+final class TargetAttempt implements AnswerListener {
     /** Answers up to this size, in bytes, are kept until they are whole. */
     private static final int KEPT_BYTES = 2 * 1024 * 1024;
 
@@ -52,16 +52,16 @@
     private final ServicePool mPool;
     private final TargetConnections mConnections;
     private final Clock mClock;
-    private final CompletableFuture<OfferResult> mResult = new CompletableFuture<>();
+    private final CompletableFuture<AttemptResult> mResult = new CompletableFuture<>();
     private ClientCall mCall;
     private HttpResponse mHead;
     private ByteBuf mKept;
-    private StreamedAnswer mStream;
+    private StreamedResponse mStream;
     private long mSentMillis;
     private long mHeadMillis;
     private boolean mReleased;
 
-    TargetOffer(
+    TargetAttempt(
             ProxyRequest request,
             Slot slot,
             ServicePool pool,
@@ -76,7 +76,7 @@
     }
 
     /** Sends the request; the future completes once the answer is whole or the offer failed. */
-    CompletableFuture<OfferResult> send() {
+    CompletableFuture<AttemptResult> send() {
         mSentMillis = mClock.millis();
         mCall =
                 mConnections
@@ -102,12 +102,12 @@
     }
 
     /** Returns whether the target said that it leaves, as far as known when the request came. */
-    boolean isLeaving() {
-        return mPool.at(target()).map(TargetRegistration::draining).orElse(false);
+    boolean isTargetDraining() {
+        return mPool.registrationAt(target()).map(TargetRegistration::draining).orElse(false);
     }
 
     /** Returns the chance that the target was in a bout of failure, when it was chosen. */
-    double chanceOfBout() {
+    double failureProbability() {
         return mChanceOfBout;
     }
 
@@ -131,7 +131,7 @@
     private HttpHeaders headersFor(long remaining) {
         HttpHeaders headers = new DefaultHttpHeaders().set(mRequest.headers());
         HopHeaders.strip(headers, ALWAYS_PASSED_ON);
-        headers.set(TargetHeaders.TIME_LEFT_MILLIS, Long.toString(remaining));
+        headers.set(TargetHeaders.REMAINING_MILLIS, Long.toString(remaining));
         headers.set(TargetHeaders.EXPECTED_INSTANCE, instance().name());
         return headers;
     }
@@ -141,13 +141,13 @@
         mHeadMillis = mClock.millis();
         mHead = head;
         int status = head.status().code();
-        AnswerCheck check = AnswerCheck.of(status, head.headers(), mRequest.id());
-        if (check == AnswerCheck.OWN) {
+        ResponseCheck check = ResponseCheck.of(status, head.headers(), mRequest.id());
+        if (check == ResponseCheck.VALID) {
             mKept = Unpooled.buffer(firstBytes());
             return;
         }
-        fail(check.failure(), check.cause() + " (status " + status + ")");
-        if (check != AnswerCheck.NOT_RUN) {
+        fail(check.failureKind(), check.cause() + " (status " + status + ")");
+        if (check != ResponseCheck.NOT_EXECUTED) {
             // Guards against more bytes of unknown origin that would meet the next request.
             mCall.abort();
         }
@@ -179,7 +179,7 @@
     /** Begins to pass on an answer that is too large to be kept. */
     private void passOn() {
         mStream =
-                new StreamedAnswer(
+                new StreamedResponse(
                         mHead.status(),
                         forCaller(),
                         HttpUtil.getContentLength(mHead, -1L),
@@ -187,7 +187,7 @@
                         mCall::setReading,
                         () -> abort(FailureKind.CANCELLED_BY_CALLER));
         mKept = null;
-        mResult.complete(new OfferResult.Answered(target(), mHead.status().code(), mStream));
+        mResult.complete(new AttemptResult.Responded(target(), mHead.status().code(), mStream));
     }
 
     @Override
@@ -203,8 +203,8 @@
         }
         Answer answer = new Answer(mHead.status(), forCaller(), mKept, trailers);
         mResult.complete(
-                new OfferResult.Answered(
-                        target(), mHead.status().code(), CallerAnswer.whole(answer)));
+                new AttemptResult.Responded(
+                        target(), mHead.status().code(), CallerResponse.buffered(answer)));
     }
 
     @Override
@@ -212,7 +212,7 @@
         FailureKind kind = classify(failure);
         if (mStream != null) {
             release(kind);
-            mStream.cut();
+            mStream.abort();
             return;
         }
         fail(kind, describe(failure));
@@ -227,7 +227,7 @@
 
     private void fail(FailureKind kind, String cause) {
         release(kind);
-        mResult.complete(new OfferResult.Failed(target(), kind, cause));
+        mResult.complete(new AttemptResult.Failed(target(), kind, cause));
     }
 
     private HttpHeaders forCaller() {
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetEndCheck.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetLivenessCheck.java
@@ -14,14 +14,14 @@
  * <p>A process that ended listens no more. Checks of one target are made once for all who ask
  * meanwhile. All state belongs to the traffic thread.
  */
-final class TargetEndCheck {
+final class TargetLivenessCheck {
     /** Targets that are checked at once; a rack that is lost must not cost more than that. */
     private static final int MOST_AT_ONCE = 32;
 
     private final TargetConnections mConnections;
     private final Map<Endpoint, List<Consumer<Boolean>>> mAsking = new HashMap<>();
 
-    TargetEndCheck(TargetConnections connections) {
+    TargetLivenessCheck(TargetConnections connections) {
         mConnections = connections;
     }
 
--- a/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
@@ -24,12 +24,12 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.ConfigurationDocument;
 import org.dahliapass.platform.KeyValueStore;
-import org.dahliapass.platform.KeyValueStore.Freshness;
+import org.dahliapass.platform.KeyValueStore.Consistency;
 import org.dahliapass.platform.RangePage;
 import org.dahliapass.platform.StoreEvent;
 import org.dahliapass.platform.StoredItem;
 import org.dahliapass.platform.VmEntry;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 import org.dahliapass.standins.GatewaySample;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -74,7 +74,7 @@
                         .register(StoreFollower.NAME, mFollower)
                         .register(ChangeFeed.NAME, mFeed);
         mKernel.start().join();
-        PathFixture.await(() -> mStore.mWatches.get() == 1);
+        GatewayFixture.await(() -> mStore.mWatches.get() == 1);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -92,10 +92,10 @@
     @Test
     public void storeThatFallsSilentIsLeftBeforeItsWatchTimesOut() {
         mStore.answerWatch(0, List.of());
-        PathFixture.await(this::isCurrent);
-        PathFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(this::isCurrent);
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         mClock.advance(Duration.ofMillis(1_100));
-        PathFixture.await(() -> !isCurrent());
+        GatewayFixture.await(() -> !isCurrent());
     }
 
     /**
@@ -105,7 +105,7 @@
      */
     @Test
     public void firstReadMayBeOldAndTheWatchGoesOnFromItsOldestPage() {
-        assertEquals(mStore.mFreshness, List.of(Freshness.PERHAPS_OLD, Freshness.PERHAPS_OLD));
+        assertEquals(mStore.mFreshness, List.of(Consistency.STALE_ALLOWED, Consistency.STALE_ALLOWED));
         assertEquals(mStore.mWatched, List.of(1L));
     }
 
@@ -121,13 +121,13 @@
         for (int number = 0; number < 5; number++) {
             mStore.answerWatch(number, List.of());
             int next = number + 2;
-            PathFixture.await(() -> mStore.mWatches.get() == next);
+            GatewayFixture.await(() -> mStore.mWatches.get() == next);
             longest = mStore.mWaits.get(number + 1).toMillis();
         }
         assertTrue(mStore.mWaits.get(0).toMillis() <= 500, "first: " + mStore.mWaits);
         assertTrue(longest >= 3_000, "steady: " + mStore.mWaits);
         mStore.mWaiting.get(5).completeExceptionally(new IllegalStateException("cut"));
-        PathFixture.await(() -> passTime() && mStore.mWatches.get() == 7);
+        GatewayFixture.await(() -> passTime() && mStore.mWatches.get() == 7);
         assertTrue(mStore.mWaits.get(6).toMillis() <= 500, "after trouble: " + mStore.mWaits);
     }
 
@@ -139,18 +139,18 @@
     /** After a loss of history what was removed meanwhile is known from a current read only. */
     @Test
     public void readAfterALossOfHistoryIsCurrent() {
-        mStore.mWaiting.get(0).complete(new WatchAnswer.HistoryLost());
-        PathFixture.await(() -> mStore.mWatches.get() == 2);
-        assertEquals(mStore.mFreshness.get(2), Freshness.CURRENT);
+        mStore.mWaiting.get(0).complete(new WatchResponse.Compacted());
+        GatewayFixture.await(() -> mStore.mWatches.get() == 2);
+        assertEquals(mStore.mFreshness.get(2), Consistency.LINEARIZABLE);
     }
 
     /** The watch that was left behind is answered after all: its news must not start a second. */
     @Test
     public void answerOfAnAbandonedWatchStartsNoSecondOne() {
         mStore.answerWatch(0, List.of());
-        PathFixture.await(() -> mStore.mWatches.get() >= 2 && isCurrent());
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2 && isCurrent());
         mClock.advance(Duration.ofMillis(1_100));
-        PathFixture.await(() -> mStore.mWatches.get() >= 3);
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 3);
         int watches = mStore.mWatches.get();
         mStore.answerWatch(1, List.of());
         assertTrue(mLoop.ask(() -> mStore.mWatches.get() == watches).join());
@@ -175,8 +175,8 @@
                                         ConfigurationDocument.KEY,
                                         GatewaySample.configuration(3, "/r/"),
                                         3))));
-        PathFixture.await(() -> mFollower.view().routes().isPresent());
-        PathFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mFollower.view().routes().isPresent());
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
     }
 
     /**
@@ -186,14 +186,14 @@
     @Test
     public void entryOfAnEarlierStartChangesNothing() {
         mStore.answerWatch(0, List.of(target("i-1", 2_000, 7, 2), target("i-1", 1_000, 6, 3)));
-        PathFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(mLoop.ask(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
     }
 
     @Test
     public void entryOfALaterStartReplacesTheEarlierOne() {
         mStore.answerWatch(0, List.of(target("i-1", 1_000, 6, 2), target("i-1", 2_000, 7, 3)));
-        PathFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
                 mLoop.ask(() -> mFollower.targets().get("i-1").incarnation()).join(), "i-1@2000");
     }
@@ -207,7 +207,7 @@
                         target("i-1", 1_000, 6, 2),
                         target("i-2", 1_000, 7, 3),
                         new StoreEvent.Written(StoredItem.of("servers/i-1", "no JSON", 4))));
-        PathFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
                 mLoop.ask(() -> List.copyOf(mFollower.targets().keySet())).join(), List.of("i-2"));
     }
@@ -229,20 +229,20 @@
     /** A store whose watches wait until a test answers them, and never time out. */
     private static final class FakeStore implements KeyValueStore {
         private final AtomicInteger mWatches = new AtomicInteger();
-        private final List<CompletableFuture<WatchAnswer>> mWaiting = new CopyOnWriteArrayList<>();
-        private final List<Freshness> mFreshness = new CopyOnWriteArrayList<>();
+        private final List<CompletableFuture<WatchResponse>> mWaiting = new CopyOnWriteArrayList<>();
+        private final List<Consistency> mFreshness = new CopyOnWriteArrayList<>();
         private final List<Long> mWatched = new CopyOnWriteArrayList<>();
         private final List<Duration> mWaits = new CopyOnWriteArrayList<>();
         private volatile StoredItem mSelf;
 
         private void answerWatch(int number, List<StoreEvent> events) {
-            mWaiting.get(number).complete(new WatchAnswer.Changes(events, 3 + events.size()));
+            mWaiting.get(number).complete(new WatchResponse.Changes(events, 3 + events.size()));
         }
 
         /** Two pages, of which the second comes from an older state. */
         @Override
         public CompletableFuture<RangePage> range(
-                String prefix, String after, Freshness freshness) {
+                String prefix, String after, Consistency freshness) {
             mFreshness.add(freshness);
             RangePage page =
                     after.isEmpty()
@@ -252,8 +252,8 @@
         }
 
         @Override
-        public CompletableFuture<WatchAnswer> watch(String prefix, long revision, Duration wait) {
-            CompletableFuture<WatchAnswer> answer = new CompletableFuture<>();
+        public CompletableFuture<WatchResponse> watch(String prefix, long revision, Duration wait) {
+            CompletableFuture<WatchResponse> answer = new CompletableFuture<>();
             mWatched.add(revision);
             mWaits.add(wait);
             mWaiting.add(answer);
@@ -277,7 +277,7 @@
         }
 
         @Override
-        public CompletableFuture<Void> endLease(long lease) {
+        public CompletableFuture<Void> revokeLease(long lease) {
             return new CompletableFuture<>();
         }
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/EventLogTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/EventLogTest.java
@@ -79,7 +79,7 @@
     public void lineNamesTimeVmPartAndEvent() throws IOException {
         Reader reader = new Reader(false);
         log(reader).write(EventLog.Kind.LIFE, "started", line -> line.put("release", "1"));
-        PathFixture.await(() -> reader.count() == 1);
+        GatewayFixture.await(() -> reader.count() == 1);
         assertEquals(reader.last().path("at_ms").asLong(), mClock.millis());
         assertEquals(reader.last().path("vm").asText(), "vm");
         assertEquals(reader.last().path("part").asText(), "life");
@@ -96,12 +96,12 @@
             log.write(EventLog.Kind.DEPENDENCY, "flood", line -> {});
         }
         log.write(EventLog.Kind.LIFE, "other", line -> {});
-        PathFixture.await(() -> reader.count() == 21);
+        GatewayFixture.await(() -> reader.count() == 21);
         assertEquals(reader.last().path("event").asText(), "other");
         assertEquals(reader.last().path("lines_dropped").asInt(), 5);
         mClock.advance(SECOND);
         log.write(EventLog.Kind.DEPENDENCY, "next", line -> {});
-        PathFixture.await(() -> reader.count() == 22);
+        GatewayFixture.await(() -> reader.count() == 22);
         assertTrue(reader.last().path("lines_dropped").isMissingNode());
     }
 
@@ -120,12 +120,12 @@
         }
         reader.mReads.countDown();
         // The queue holds 1,000 lines, and the writing thread may hold one more.
-        PathFixture.await(() -> reader.count() >= 1_000);
+        GatewayFixture.await(() -> reader.count() >= 1_000);
         int before = reader.count();
         mClock.advance(SECOND);
         log.write(EventLog.Kind.REQUEST, "after", line -> {});
-        PathFixture.await(() -> reader.count() > before);
-        PathFixture.await(() -> lastEvent(reader).equals("after"));
+        GatewayFixture.await(() -> reader.count() > before);
+        GatewayFixture.await(() -> lastEvent(reader).equals("after"));
         int written = reader.count();
         assertTrue(written <= 1_002, "lines written: " + written);
         // A line that found room while others were lost tells of those before it; none goes untold.
--- a/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.dahliapass.kernel.IniFile;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.standins.CallerStandIn;
 import org.dahliapass.standins.GatewaySample;
 import org.dahliapass.standins.MetadataStoreStandIn;
@@ -55,7 +55,7 @@
         mSettings.add(settings);
         mVms.add(vm);
         vm.start().join();
-        PathFixture.await(() -> CallerStandIn.status(get(number, "/r/warm")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(get(number, "/r/warm")) == 200);
         for (int asked = 0; asked <= number; asked++) {
             awaitNamed(asked, number + 1);
         }
@@ -63,11 +63,11 @@
 
     /** Waits until a VM names so many VMs to callers. */
     private void awaitNamed(int asked, int vms) {
-        PathFixture.await(
+        GatewayFixture.await(
                 () ->
                         CallerStandIn.read(
-                                                mSettings.get(asked).asks(),
-                                                AskCalls.ASK_PATH
+                                                mSettings.get(asked).discovery(),
+                                                DiscoveryCalls.DISCOVERY_PATH
                                                         + "?name=a.example&region=r&zone=zone-a")
                                         .split("127.0.0.1")
                                         .length
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayCrowdTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayAddressPlanTest.java
@@ -12,7 +12,7 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.routing.FleetVm;
 import org.dahliapass.model.routing.VmCapacity;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.VmEntry;
 import org.dahliapass.standins.CallerStandIn;
 import org.dahliapass.standins.GatewaySample;
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of whom a VM names to callers in a large fleet of unequal VMs. */
-public final class GatewayCrowdTest {
+public final class GatewayAddressPlanTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final List<String> ZONES = List.of("zone-b", "zone-c", "zone-d");
     private static final int VMS_PER_ZONE = 29;
@@ -40,11 +40,11 @@
     private static final double CORE_SECONDS_A_REQUEST = 0.003;
 
     private final Map<String, VmCapacity> mCapacities = new HashMap<>();
-    private PathFixture mPath;
+    private GatewayFixture mPath;
 
     @BeforeMethod
     public void start() {
-        mPath = new PathFixture();
+        mPath = new GatewayFixture();
         mCapacities.clear();
     }
 
@@ -64,21 +64,21 @@
     @Test
     public void callersAreSentToVmsThatCarryThem() {
         enterFleet(LARGE_PER_ZONE);
-        ZONES.forEach(zone -> PathFixture.await(() -> isCarried(zone)));
+        ZONES.forEach(zone -> GatewayFixture.await(() -> isCarried(zone)));
     }
 
     /** The same after the large VMs of all zones are lost: many small ones carry the load. */
     @Test
     public void smallVmsShareTheLoadOnceTheLargeAreGone() {
         enterFleet(0);
-        ZONES.forEach(zone -> PathFixture.await(() -> isCarried(zone)));
+        ZONES.forEach(zone -> GatewayFixture.await(() -> isCarried(zone)));
     }
 
     /** Callers of a small load stay at two VMs, which then see most of what the targets do. */
     @Test
     public void fewCallersStayTogether() {
         ZONES.forEach(zone -> enterZone(zone, LARGE_PER_ZONE));
-        PathFixture.await(
+        GatewayFixture.await(
                 () ->
                         named("zone-b").stream()
                                 .map(mCapacities::get)
@@ -130,8 +130,8 @@
     private List<String> named(String zone) {
         String answer =
                 CallerStandIn.read(
-                        mPath.mSettings.asks(),
-                        AskCalls.ASK_PATH + "?name=a.example&region=r&zone=" + zone);
+                        mPath.mSettings.discovery(),
+                        DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=" + zone);
         List<String> named = new ArrayList<>();
         try {
             JsonNode body = JSON.readTree(answer.substring(answer.indexOf('{')));
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerGoneTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
@@ -18,11 +18,11 @@
 import org.testng.annotations.Test;
 
 /** Tests of what a gateway VM does when a caller leaves while its request is at a target. */
-public final class GatewayCallerGoneTest {
+public final class GatewayCallerDisconnectTest {
     /** The requests that both targets take together: three slots each. */
     private static final int PLACES = 6;
 
-    private PathFixture mPath;
+    private GatewayFixture mPath;
 
     /** How a caller leaves. */
     private enum Leaving {
@@ -50,12 +50,12 @@
      */
     @BeforeMethod
     public void start() {
-        mPath = new PathFixture();
+        mPath = new GatewayFixture();
         String patient =
                 GatewaySample.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "60,30,2,null,1");
         mPath.mStore.put("op/config", patient);
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -82,10 +82,10 @@
     public void listingWhoseCallerLeftIsStopped(Leaving leaving, boolean once) throws IOException {
         behave(Behaviour.HANG);
         Socket caller = mPath.caller().open(request("/slow/left", once));
-        PathFixture.await(() -> mPath.seen("/slow/left") == 1);
+        GatewayFixture.await(() -> mPath.seen("/slow/left") == 1);
         int before = ended();
         leaving.leave(caller);
-        PathFixture.await(() -> ended() == before + 1);
+        GatewayFixture.await(() -> ended() == before + 1);
         assertEquals(mPath.seen("/slow/left"), 1);
     }
 
@@ -93,16 +93,16 @@
     @Test
     public void listingOnAKeptConnectionWhoseCallerLeftIsStopped() throws IOException {
         Socket caller = mPath.caller().open(request("/slow/first", false));
-        PathFixture.await(() -> mPath.seen("/slow/first") == 1);
+        GatewayFixture.await(() -> mPath.seen("/slow/first") == 1);
         int first = caller.getInputStream().read();
         assertEquals(first, 'H');
         behave(Behaviour.HANG);
         caller.getOutputStream()
                 .write(request("/slow/second", false).getBytes(StandardCharsets.ISO_8859_1));
-        PathFixture.await(() -> mPath.seen("/slow/second") == 1);
+        GatewayFixture.await(() -> mPath.seen("/slow/second") == 1);
         int before = ended();
         caller.close();
-        PathFixture.await(() -> ended() == before + 1);
+        GatewayFixture.await(() -> ended() == before + 1);
     }
 
     /**
@@ -117,7 +117,7 @@
         for (int number = 0; number < PLACES; number++) {
             busy.add(mPath.caller().open(request("/slow/busy", false)));
         }
-        PathFixture.await(() -> mPath.seen("/slow/busy") == PLACES);
+        GatewayFixture.await(() -> mPath.seen("/slow/busy") == PLACES);
         String queued =
                 request("/slow/queued", once)
                         .replace("GET", "POST")
@@ -130,7 +130,7 @@
         for (Socket one : busy) {
             one.close();
         }
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/slow/after")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/after")) == 200);
         assertEquals(mPath.seen("/slow/queued"), 0);
     }
 
@@ -147,10 +147,10 @@
                         .replace("GET", "POST")
                         .replace(": 60000\r\n", ": 300\r\nContent-Length: 0\r\n");
         Socket caller = mPath.caller().open(lock);
-        PathFixture.await(() -> mPath.seen("/l/left") == 1);
+        GatewayFixture.await(() -> mPath.seen("/l/left") == 1);
         caller.close();
         // Idle connections end after a while, too; the one that carries the lock is the last.
-        PathFixture.await(() -> ended() == opened());
+        GatewayFixture.await(() -> ended() == opened());
     }
 
     private int opened() {
@@ -171,7 +171,7 @@
                 + " HTTP/1.1\r\nHost: a.example\r\n"
                 + TargetHeaders.ATTEMPT_ID
                 + ": gone\r\n"
-                + TargetHeaders.TIME_LEFT_MILLIS
+                + TargetHeaders.REMAINING_MILLIS
                 + ": 60000\r\n"
                 + (once ? "Connection: close\r\n" : "")
                 + "\r\n";
--- a/gateway/src/test/java/org/dahliapass/gateway/PathFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
@@ -12,7 +12,7 @@
 import org.dahliapass.standins.SealingTargetStandIn;
 
 /** One gateway VM before a store and two targets, all on the loopback address. */
-final class PathFixture implements AutoCloseable {
+final class GatewayFixture implements AutoCloseable {
     private static final int POLL_MILLIS = 5;
     private static final int TRIES = 4_000;
 
@@ -23,12 +23,12 @@
     final GatewayVm mVm;
 
     /** Starts a VM that has served a read. */
-    PathFixture() {
+    GatewayFixture() {
         this(true);
         await(() -> CallerStandIn.status(get("/r/warm")) == 200);
     }
 
-    private PathFixture(boolean registered) {
+    private GatewayFixture(boolean registered) {
         mStore.start();
         mTargets.forEach(SealingTargetStandIn::start);
         if (registered) {
@@ -48,8 +48,8 @@
     }
 
     /** Starts a VM that has its routes and no target yet. */
-    static PathFixture withoutTargets() {
-        PathFixture path = new PathFixture(false);
+    static GatewayFixture withoutTargets() {
+        GatewayFixture path = new GatewayFixture(false);
         await(() -> CallerStandIn.status(path.get("/other/")) == 404);
         return path;
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
@@ -22,17 +22,17 @@
     /** Two targets with three slots, and one request more that may wait at each. */
     private static final int PLACES = 8;
 
-    private PathFixture mPath;
+    private GatewayFixture mPath;
 
     /** Reads may take half a minute and have an objective of 0.8 s, after which they are hedged. */
     @BeforeMethod
     public void start() {
-        mPath = new PathFixture();
+        mPath = new GatewayFixture();
         String patient =
                 GatewaySample.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "30,0.8,2,null,2");
         mPath.mStore.put("op/config", patient);
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -50,7 +50,7 @@
         mPath.mTargets.forEach(target -> target.behave(seen -> behaviour(seen, first)));
         CompletableFuture<String> read =
                 CompletableFuture.supplyAsync(() -> mPath.caller().raw(request("GET /slow/read")));
-        PathFixture.await(() -> mPath.seen("/slow/read") == 1);
+        GatewayFixture.await(() -> mPath.seen("/slow/read") == 1);
         List<Socket> locks = new ArrayList<>();
         for (int number = 0; number < PLACES - 1; number++) {
             locks.add(mPath.caller().open(request("POST /l/" + number)));
@@ -75,7 +75,7 @@
                 + ": "
                 + call.hashCode()
                 + "\r\n"
-                + TargetHeaders.TIME_LEFT_MILLIS
+                + TargetHeaders.REMAINING_MILLIS
                 + ": 30000\r\nContent-Length: 0\r\n\r\n";
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayLifeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.StoreCalls;
 import org.dahliapass.standins.CallerStandIn;
 import org.dahliapass.standins.GatewaySample;
@@ -14,12 +14,12 @@
 import org.testng.annotations.Test;
 
 /** Tests of what a gateway VM does while targets, the store or it itself come and go. */
-public final class GatewayLifeTest {
-    private PathFixture mPath;
+public final class GatewayLifecycleTest {
+    private GatewayFixture mPath;
 
     @BeforeMethod
     public void start() {
-        mPath = new PathFixture();
+        mPath = new GatewayFixture();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -32,7 +32,7 @@
     public void drainingTargetGetsNothingNew() {
         mPath.mStore.put(
                 mPath.mTargets.get(0).key(), mPath.mTargets.get(0).registration("x", "draining"));
-        PathFixture.await(
+        GatewayFixture.await(
                 () -> {
                     int before = mPath.mTargets.get(0).seen().size();
                     for (int number = 0; number < 10; number++) {
@@ -49,20 +49,20 @@
      */
     @Test
     public void slowStartOfTargetsEndsWithoutWork() {
-        try (PathFixture path = PathFixture.withoutTargets()) {
+        try (GatewayFixture path = GatewayFixture.withoutTargets()) {
             path.registerTargets();
-            PathFixture.await(() -> CallerStandIn.status(path.post("/l/first", "body")) == 200);
+            GatewayFixture.await(() -> CallerStandIn.status(path.post("/l/first", "body")) == 200);
         }
     }
 
     @Test
     public void newConfigurationIsInForceAndAnOlderOneIsIgnored() {
         mPath.mStore.put("op/config", GatewaySample.configuration(5, "/new/"));
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/new/1")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/new/1")) == 200);
         assertEquals(CallerStandIn.status(mPath.get("/r/1")), 404);
         mPath.mStore.put("op/config", GatewaySample.configuration(4, "/r/"));
         mPath.mStore.put("op/config", GatewaySample.configuration(6, "/newest/"));
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/newest/1")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/newest/1")) == 200);
         assertEquals(CallerStandIn.status(mPath.get("/r/1")), 404);
     }
 
@@ -72,7 +72,7 @@
         mPath.mStore.put("op/config", "{\"version\":9,\"routes\":");
         mPath.mStore.put(
                 mPath.mTargets.get(0).key(), mPath.mTargets.get(0).registration("x", "draining"));
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/r/1")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/r/1")) == 200);
     }
 
     @Test
@@ -83,7 +83,7 @@
         }
         mPath.mStore.setAway(false);
         mPath.mStore.put("op/config", GatewaySample.configuration(5, "/back/"));
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/back/1")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/back/1")) == 200);
     }
 
     @Test
@@ -92,7 +92,7 @@
         mPath.mStore.put("op/config", GatewaySample.configuration(5, "/lost/"));
         mPath.mStore.forgetHistory();
         mPath.mStore.setAway(false);
-        PathFixture.await(() -> CallerStandIn.status(mPath.get("/lost/1")) == 200);
+        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/lost/1")) == 200);
     }
 
     /**
@@ -101,22 +101,22 @@
      */
     @Test
     public void vmThatLeavesIsNotReadyAndServesWhatComes() {
-        PathFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").size() == 1);
-        CompletableFuture<Void> drained = mPath.mVm.leave();
+        GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").size() == 1);
+        CompletableFuture<Void> drained = mPath.mVm.drain();
         assertEquals(CallerStandIn.status(mPath.get("/r/leaving")), 200);
-        String readiness = CallerStandIn.read(mPath.mSettings.readiness(), AskCalls.READINESS_PATH);
+        String readiness = CallerStandIn.read(mPath.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
         assertEquals(CallerStandIn.status(readiness), 503);
-        PathFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").equals(List.of()));
+        GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").equals(List.of()));
         drained.join();
     }
 
     @Test
     public void asksNameThisVm() {
-        PathFixture.await(
+        GatewayFixture.await(
                 () ->
                         CallerStandIn.read(
-                                        mPath.mSettings.asks(),
-                                        AskCalls.ASK_PATH + "?name=a.example&region=r&zone=zone-a")
+                                        mPath.mSettings.discovery(),
+                                        DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a")
                                 .contains(mPath.mSettings.self().callerEndpoint().toString()));
     }
 
@@ -133,7 +133,7 @@
     /** The store's operators pay for each call, and must see which kind of call grows. */
     @Test
     public void callsToTheStoreAreCountedByKind() {
-        PathFixture.await(
+        GatewayFixture.await(
                 () ->
                         CallerStandIn.read(mPath.mSettings.self().peerEndpoint(), "/metrics")
                                 .contains("dahliapass_store_calls_total{call=\"watch\"}"));
@@ -146,12 +146,12 @@
      */
     @Test
     public void routeIsNotDeniedByAVmWithoutNews() {
-        try (PathFixture path = new PathFixture()) {
+        try (GatewayFixture path = new GatewayFixture()) {
             assertEquals(CallerStandIn.status(path.get("/new/")), 404);
             path.mStore.setAway(true);
-            PathFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 503);
+            GatewayFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 503);
             path.mStore.setAway(false);
-            PathFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 404);
+            GatewayFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 404);
         }
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
@@ -73,7 +73,7 @@
                 fleet.post(0, "/l/poison", "body");
             }
             long ended = fleet.ended();
-            PathFixture.await(() -> fleet.mStore.keys(QuarantineEntry.PREFIX).size() == 1);
+            GatewayFixture.await(() -> fleet.mStore.keys(QuarantineEntry.PREFIX).size() == 1);
             fleet.startVm();
             assertRefused(fleet.post(1, "/l/poison", "body"));
             assertEquals(fleet.ended(), ended);
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayPathTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayRequestTest.java
@@ -15,12 +15,12 @@
 import org.testng.annotations.Test;
 
 /** Tests of the whole path of a gateway VM: callers, VM, targets, store. */
-public final class GatewayPathTest {
-    private PathFixture mPath;
+public final class GatewayRequestTest {
+    private GatewayFixture mPath;
 
     @BeforeClass
     public void start() {
-        mPath = new PathFixture();
+        mPath = new GatewayFixture();
     }
 
     @AfterClass(alwaysRun = true)
@@ -52,7 +52,7 @@
                         .filter(request -> request.line().contains("/r/2 "))
                         .findFirst()
                         .orElseThrow();
-        assertTrue(Integer.parseInt(header(seen, TargetHeaders.TIME_LEFT_MILLIS)) <= 1_500);
+        assertTrue(Integer.parseInt(header(seen, TargetHeaders.REMAINING_MILLIS)) <= 1_500);
         assertTrue(header(seen, TargetHeaders.EXPECTED_INSTANCE).startsWith("i-"));
         assertEquals(seen.headers().get("host"), "a.example");
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayIdentityTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Tests that no request runs at a service that it wasn't sent to. */
-public final class GatewayIdentityTest {
+public final class GatewayTargetInstanceTest {
     private static final int MOST_ROUNDS = 20;
 
     /**
@@ -20,7 +20,7 @@
      */
     @Test
     public void targetThatJoinedLaterIsNamed() {
-        try (PathFixture path = PathFixture.withoutTargets()) {
+        try (GatewayFixture path = GatewayFixture.withoutTargets()) {
             SealingTargetStandIn first = path.mTargets.get(0);
             path.mStore.put(first.key(), first.registration("x", "ready"));
             boolean reached = false;
@@ -33,17 +33,17 @@
 
     /** Returns whether the request was sent to the target that joined. */
     private static boolean sendToOneThatJoinedLater(
-            PathFixture path, SealingTargetStandIn first, String request) {
+            GatewayFixture path, SealingTargetStandIn first, String request) {
         try (SealingTargetStandIn foreign = new SealingTargetStandIn("i-foreign")) {
             foreign.start();
             CountDownLatch joined = new CountDownLatch(1);
             first.behave(seen -> shedOnceJoined(seen, request, joined));
-            PathFixture.await(() -> CallerStandIn.status(path.get("/r/warm")) == 200);
+            GatewayFixture.await(() -> CallerStandIn.status(path.get("/r/warm")) == 200);
             CompletableFuture<String> waiting =
                     CompletableFuture.supplyAsync(() -> path.get(request));
-            PathFixture.await(() -> path.seen(request) == 1);
+            GatewayFixture.await(() -> path.seen(request) == 1);
             path.mStore.put("servers/i-gone", foreign.registration("x", "ready"));
-            PathFixture.await(
+            GatewayFixture.await(
                     () -> {
                         path.get("/r/probe");
                         return foreign.misdirected() > 0;
--- a/gateway/src/test/java/org/dahliapass/gateway/WorkExchangeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/PeerExchangeTest.java
@@ -18,8 +18,8 @@
 import org.dahliapass.wire.message.WorkAtTarget;
 import org.testng.annotations.Test;
 
-/** Tests of {@link WorkExchange} over the loopback address. */
-public final class WorkExchangeTest {
+/** Tests of {@link PeerExchange} over the loopback address. */
+public final class PeerExchangeTest {
     /** Targets at which a VM that takes 120 requests/s has work at the same time. */
     private static final int TARGETS_WITH_WORK = 120;
 
@@ -43,7 +43,7 @@
             send(settings.self().peerEndpoint(), report());
             // No report, so its refusal marks the place up to which all datagrams were read.
             send(settings.self().peerEndpoint(), new byte[] {-1});
-            PathFixture.await(() -> refusals(output) > 0);
+            GatewayFixture.await(() -> refusals(output) > 0);
             assertEquals(refusals(output), 1);
             vm.stopNow().join();
         }
--- a/gateway/src/test/java/org/dahliapass/gateway/AnswerCheckTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ResponseCheckTest.java
@@ -8,18 +8,18 @@
 import org.dahliapass.platform.TargetHeaders;
 import org.testng.annotations.Test;
 
-/** Tests of {@link AnswerCheck}. */
-public final class AnswerCheckTest {
+/** Tests of {@link ResponseCheck}. */
+public final class ResponseCheckTest {
     private static final String ID = "9c41d07be2a35f68";
 
     @Test
     public void signedAnswerToThisRequestIsPassedOn() {
-        assertEquals(AnswerCheck.of(200, signed(ID), ID), AnswerCheck.OWN);
+        assertEquals(ResponseCheck.of(200, signed(ID), ID), ResponseCheck.VALID);
     }
 
     @Test
     public void targetsOwnFailureIsPassedOn() {
-        assertEquals(AnswerCheck.of(500, signed(ID), ID), AnswerCheck.OWN);
+        assertEquals(ResponseCheck.of(500, signed(ID), ID), ResponseCheck.VALID);
     }
 
     /**
@@ -28,7 +28,7 @@
      */
     @Test
     public void answerToAnotherRequestIsForeign() {
-        assertEquals(AnswerCheck.of(200, signed("other"), ID), AnswerCheck.FOREIGN);
+        assertEquals(ResponseCheck.of(200, signed("other"), ID), ResponseCheck.MISMATCHED);
     }
 
     /** The late copy of a refusal must not be read as the refusal of the next request. */
@@ -38,7 +38,7 @@
                 new DefaultHttpHeaders()
                         .set(TargetHeaders.ATTEMPT_ID, "other")
                         .set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(AnswerCheck.of(503, late, ID), AnswerCheck.FOREIGN);
+        assertEquals(ResponseCheck.of(503, late, ID), ResponseCheck.MISMATCHED);
     }
 
     @Test
@@ -47,35 +47,35 @@
                 new DefaultHttpHeaders()
                         .set(TargetHeaders.ATTEMPT_ID, ID)
                         .set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(AnswerCheck.of(503, refusal, ID), AnswerCheck.NOT_RUN);
+        assertEquals(ResponseCheck.of(503, refusal, ID), ResponseCheck.NOT_EXECUTED);
     }
 
     @Test
     public void anotherInstanceAtTheAddressDidNotRunIt() {
-        assertEquals(AnswerCheck.of(421, new DefaultHttpHeaders(), ID), AnswerCheck.NOT_RUN);
+        assertEquals(ResponseCheck.of(421, new DefaultHttpHeaders(), ID), ResponseCheck.NOT_EXECUTED);
     }
 
     @Test
     public void refusalWithoutTheStatementProvesNothing() {
-        assertEquals(AnswerCheck.of(503, new DefaultHttpHeaders(), ID), AnswerCheck.SPOILED);
+        assertEquals(ResponseCheck.of(503, new DefaultHttpHeaders(), ID), ResponseCheck.INVALID);
     }
 
     @Test
     public void successWithTheStatementIsNoRefusal() {
         HttpHeaders odd = signed(ID).set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(AnswerCheck.of(200, odd, ID), AnswerCheck.OWN);
+        assertEquals(ResponseCheck.of(200, odd, ID), ResponseCheck.VALID);
     }
 
     @Test
     public void unsignedSuccessIsSpoiled() {
         HttpHeaders unsigned = new DefaultHttpHeaders().set(TargetHeaders.ATTEMPT_ID, ID);
-        assertEquals(AnswerCheck.of(200, unsigned, ID), AnswerCheck.SPOILED);
+        assertEquals(ResponseCheck.of(200, unsigned, ID), ResponseCheck.INVALID);
     }
 
     @Test
     public void encodedBodyIsNotTheTargetsBody() {
         HttpHeaders encoded = signed(ID).set(HttpHeaderNames.CONTENT_ENCODING, "gzip");
-        assertEquals(AnswerCheck.of(200, encoded, ID), AnswerCheck.SPOILED);
+        assertEquals(ResponseCheck.of(200, encoded, ID), ResponseCheck.INVALID);
     }
 
     private static HttpHeaders signed(String id) {
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
@@ -38,7 +38,7 @@
         mKernel = new Kernel();
         mKernel.register(ControlLoop.NAME, mLoop).register(StoreFollower.NAME, mFollower);
         mKernel.start().join();
-        run(() -> mFollower.takeAll(List.of(item("i-1"), item("i-2"))));
+        run(() -> mFollower.applySnapshot(List.of(item("i-1"), item("i-2"))));
     }
 
     @AfterMethod(alwaysRun = true)
@@ -54,12 +54,12 @@
     public void entryThatIsKeptIsDroppedWhenItsGraceEnds() {
         run(
                 () -> {
-                    mFollower.onFailure(new IllegalStateException("away"));
-                    mFollower.onAnswer();
+                    mFollower.onStoreFailure(new IllegalStateException("away"));
+                    mFollower.onStoreResponse();
                 });
         Duration left = Duration.ofMillis(300);
         mClock.advance(GRACE.minus(left));
-        run(() -> mFollower.takeEvents(List.of(new StoreEvent.Removed("servers/i-1", 9))));
+        run(() -> mFollower.applyEvents(List.of(new StoreEvent.Removed("servers/i-1", 9))));
         mClock.advance(left);
         // The loop runs what is due earlier first, however late it is.
         assertEquals(targetsAfter(GRACE.minus(left)), Set.of("i-2"));
@@ -68,13 +68,13 @@
     /** Guards against a target that is kept since the store turned away this VM only. */
     @Test
     public void vmThatHeardOfAllChangesKeepsNothing() {
-        run(() -> mFollower.onFailure(new IllegalStateException("turned away")));
+        run(() -> mFollower.onStoreFailure(new IllegalStateException("turned away")));
         mClock.advance(GRACE);
-        mFollower.setNewsSince(() -> 0);
+        mFollower.setUpToDateSince(() -> 0);
         run(
                 () -> {
-                    mFollower.onAnswer();
-                    mFollower.takeEvents(List.of(new StoreEvent.Removed("servers/i-1", 9)));
+                    mFollower.onStoreResponse();
+                    mFollower.applyEvents(List.of(new StoreEvent.Removed("servers/i-1", 9)));
                 });
         assertEquals(targetsAfter(Duration.ZERO), Set.of("i-2"));
     }
@@ -82,13 +82,13 @@
     /** Guards against a service without targets, after an outage of which news had a gap. */
     @Test
     public void vmWhoseNewsHadAGapKeepsWhatLapsed() {
-        run(() -> mFollower.onFailure(new IllegalStateException("away")));
+        run(() -> mFollower.onStoreFailure(new IllegalStateException("away")));
         mClock.advance(GRACE);
-        mFollower.setNewsSince(mClock::millis);
+        mFollower.setUpToDateSince(mClock::millis);
         run(
                 () -> {
-                    mFollower.onAnswer();
-                    mFollower.takeEvents(List.of(new StoreEvent.Removed("servers/i-1", 9)));
+                    mFollower.onStoreResponse();
+                    mFollower.applyEvents(List.of(new StoreEvent.Removed("servers/i-1", 9)));
                 });
         assertEquals(targetsAfter(Duration.ZERO), Set.of("i-1", "i-2"));
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.dahliapass.platform.StoreEvent;
 import org.dahliapass.platform.StoredItem;
-import org.dahliapass.platform.WatchAnswer;
+import org.dahliapass.platform.WatchResponse;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -18,7 +18,7 @@
     @BeforeMethod
     public void fill() {
         mMirror = new StoreMirror();
-        mMirror.reset(List.of(item("a", 3), item("b", 7)), 10);
+        mMirror.load(List.of(item("a", 3), item("b", 7)), 10);
     }
 
     @Test
@@ -30,7 +30,7 @@
     public void followerGetsOnlyWhatIsNewer() {
         mMirror.apply(List.of(written("a", 11)), 11);
         mMirror.apply(List.of(new StoreEvent.Removed("b", 12)), 12);
-        WatchAnswer.Changes changes = (WatchAnswer.Changes) mMirror.changesAfter(11).orElseThrow();
+        WatchResponse.Changes changes = (WatchResponse.Changes) mMirror.changesAfter(11).orElseThrow();
         assertEquals(changes.events(), List.of(new StoreEvent.Removed("b", 12)));
         assertEquals(changes.revision(), 12);
     }
@@ -41,7 +41,7 @@
      */
     @Test
     public void followerFromBeforeTheLastWholeReadMustReadAnew() {
-        assertEquals(mMirror.changesAfter(9), Optional.of(new WatchAnswer.HistoryLost()));
+        assertEquals(mMirror.changesAfter(9), Optional.of(new WatchResponse.Compacted()));
     }
 
     @Test
@@ -49,16 +49,16 @@
         for (int revision = 11; revision <= 3_000; revision++) {
             mMirror.apply(List.of(written("a", revision)), revision);
         }
-        assertEquals(mMirror.changesAfter(10), Optional.of(new WatchAnswer.HistoryLost()));
-        assertTrue(mMirror.changesAfter(2_999).orElseThrow() instanceof WatchAnswer.Changes);
+        assertEquals(mMirror.changesAfter(10), Optional.of(new WatchResponse.Compacted()));
+        assertTrue(mMirror.changesAfter(2_999).orElseThrow() instanceof WatchResponse.Changes);
     }
 
     @Test
     public void wholeCopyHoldsTheNewestValues() {
         mMirror.apply(List.of(written("c", 11), new StoreEvent.Removed("a", 12)), 12);
         assertEquals(
-                mMirror.all().items().stream().map(StoredItem::key).toList(), List.of("b", "c"));
-        assertEquals(mMirror.all().revision(), 12);
+                mMirror.snapshot().items().stream().map(StoredItem::key).toList(), List.of("b", "c"));
+        assertEquals(mMirror.snapshot().revision(), 12);
     }
 
     private static StoreEvent written(String key, long revision) {
--- a/gateway/src/test/java/org/dahliapass/gateway/PoisonNewsTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/SuspectBroadcasterTest.java
@@ -10,8 +10,8 @@
 import org.dahliapass.model.RequestDigest;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PoisonNews} on a clock of their own. */
-public final class PoisonNewsTest {
+/** Tests of {@link SuspectBroadcaster} on a clock of their own. */
+public final class SuspectBroadcasterTest {
     private static final int FLOOD = 10_000;
     private static final int STEP_MILLIS = 100;
 
@@ -21,8 +21,8 @@
     @Test
     public void eachPieceOfNewsIsToldThreeTimes() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        PoisonNews news = new PoisonNews(channel.eventLoop(), mTold::add);
-        news.changed(digest(1));
+        SuspectBroadcaster news = new SuspectBroadcaster(channel.eventLoop(), mTold::add);
+        news.broadcast(digest(1));
         assertEquals(mTold, List.of(List.of(digest(1))));
         run(channel, 10);
         assertEquals(mTold.stream().filter(List.of(digest(1))::equals).count(), 3);
@@ -33,9 +33,9 @@
     public void floodOfNewsIsBounded() {
         List<List<RequestDigest>> told = new ArrayList<>();
         EmbeddedChannel channel = new EmbeddedChannel();
-        PoisonNews news = new PoisonNews(channel.eventLoop(), told::add);
+        SuspectBroadcaster news = new SuspectBroadcaster(channel.eventLoop(), told::add);
         for (int number = 0; number < FLOOD; number++) {
-            news.changed(digest(number));
+            news.broadcast(digest(number));
         }
         run(channel, 10);
         assertTrue(told.size() <= 6, told.size() + " datagrams in a second.");
--- a/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
+++ b/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
@@ -12,7 +12,7 @@
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.kernel.StepException;
 import org.dahliapass.model.Endpoint;
-import org.dahliapass.platform.AskCalls;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.ConfigurationDocument;
 import org.dahliapass.standins.CallerStandIn;
 import org.dahliapass.standins.GatewaySample;
@@ -62,8 +62,8 @@
         awaitListening(settings.self().callerEndpoint());
         boolean served = serves(new CallerStandIn(settings.self().callerEndpoint(), "a.example"), targets);
         CallerStandIn.read(
-                settings.asks(), AskCalls.ASK_PATH + "?name=a.example&region=r&zone=zone-a");
-        CallerStandIn.read(settings.readiness(), AskCalls.READINESS_PATH);
+                settings.discovery(), DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a");
+        CallerStandIn.read(settings.readiness(), DiscoveryCalls.READINESS_PATH);
         store.put(ConfigurationDocument.KEY, GatewaySample.configuration(2, "/other/"));
         return served;
     }
