--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/AskPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/AddressSelector.java
@@ -14,7 +14,7 @@
 import org.dahliapass.model.Vm;
 
 /** Chooses the addresses that an ask gets, and for how long they hold. */
-public final class AskPolicy {
+public final class AddressSelector {
     private static final int SHORTENED_BY = 4;
 
     private final int mAddresses;
@@ -28,7 +28,7 @@
      * @param timeToLive how long an answer holds while the cell is whole
      * @param random spreads callers over the cell
      */
-    public AskPolicy(int addresses, Duration timeToLive, RandomGenerator random) {
+    public AddressSelector(int addresses, Duration timeToLive, RandomGenerator random) {
         mAddresses = addresses;
         mTimeToLive = timeToLive;
         mRandom = random;
@@ -45,7 +45,7 @@
      * @param cell the cell of the service, from {@link CellPlanner}
      * @param zone the caller's availability zone, whose VMs come first
      */
-    public AskAnswer answer(List<MemberUpdate> cell, Optional<String> zone) {
+    public SelectedAddresses select(List<MemberUpdate> cell, Optional<String> zone) {
         List<Vm> usable = vmsIn(cell, MemberState.ALIVE);
         boolean whole = usable.size() == cell.size();
         if (usable.isEmpty()) {
@@ -55,7 +55,7 @@
         List<Vm> candidates = usable;
         zone.ifPresent(name -> candidates.sort(inZoneFirst(name)));
         Duration timeToLive = whole ? mTimeToLive : mTimeToLive.dividedBy(SHORTENED_BY);
-        return new AskAnswer(differentZonesFirst(usable), timeToLive);
+        return new SelectedAddresses(differentZonesFirst(usable), timeToLive);
     }
 
     private static Comparator<Vm> inZoneFirst(String zone) {
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
@@ -58,7 +58,7 @@
     }
 
     /** Takes the names and zones of all members that may be in cells, this VM's among them. */
-    public void onMembers(Map<String, String> zoneOfName) {
+    public void updateMembers(Map<String, String> zoneOfName) {
         List<String> gone = new ArrayList<>(mZoneOf.keySet());
         gone.removeIf(name -> mZoneOf.get(name).equals(zoneOfName.get(name)));
         gone.forEach(this::remove);
@@ -93,12 +93,12 @@
     }
 
     /** Forgets the services that aren't in this collection. */
-    public void retain(Collection<ServiceId> services) {
+    public void retainServices(Collection<ServiceId> services) {
         mPlaces.keySet().retainAll(services);
     }
 
     /** Returns whether this VM is in the cell of a service with that many places. */
-    public boolean isIn(ServiceId service, int size) {
+    public boolean isInCell(ServiceId service, int size) {
         if (!mZoneOf.containsKey(mName)) {
             return false;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/AskAnswer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/SelectedAddresses.java
@@ -10,4 +10,4 @@
  * @param vms which VMs to use, the preferred one first; empty if the fleet has none
  * @param timeToLive how long the caller may keep the answer
  */
-public record AskAnswer(List<Vm> vms, Duration timeToLive) {}
+public record SelectedAddresses(List<Vm> vms, Duration timeToLive) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptOutcome.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptOutcome.java
@@ -15,9 +15,9 @@
     /**
      * Another change of the same customer came first; this one isn't and won't be in the order.
      *
-     * @param standing the change that stands now; empty if the customer has none
+     * @param current the change that stands now; empty if the customer has none
      */
-    record Conflict(Optional<ChangeRecord> standing) implements AcceptOutcome {}
+    record Conflict(Optional<ChangeRecord> current) implements AcceptOutcome {}
 
     /**
      * The change isn't and won't be in the order, for another reason.
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Accept.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptProtocol.java
@@ -15,12 +15,12 @@
  * text, the indexes and the pointers of changes that leave the ring, then swaps the head. Only that
  * last swap is the accept; whatever a writer that dies earlier leaves behind is true or harmless.
  */
-public class Accept implements StoreMachine {
+public class AcceptProtocol implements StoreProtocol {
     /** Calls without an answer after which this gives up. */
-    static final int PATIENCE = 8;
+    static final int MAX_FAILURES = 8;
 
     /** Times that others may come first before this gives up. */
-    static final int ROUNDS = 200;
+    static final int MAX_CONFLICTS = 200;
 
     private enum Step {
         READ_HEAD,
@@ -48,7 +48,7 @@
      *
      * @param ringCapacity how many changes the head keeps; {@link Head#RING_CAPACITY} in the field
      */
-    public Accept(AcceptRequest request, int ringCapacity) {
+    public AcceptProtocol(AcceptRequest request, int ringCapacity) {
         mRequest = request;
         mRingCapacity = ringCapacity;
     }
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public final StoreAction onSwap(SwapAnswer answer) {
+    public final StoreAction onSwap(SwapOutcome answer) {
         return mStep == Step.SWAP_HEAD ? onHeadSwapped(answer) : onPrepared(answer);
     }
 
@@ -93,7 +93,7 @@
      */
     List<Preparation> preparations(Head head, int ringCapacity) {
         List<Preparation> all = new ArrayList<>();
-        ChangeRecord next = mRequest.numbered(head.number() + 1);
+        ChangeRecord next = mRequest.toRecord(head.number() + 1);
         TemplateText text = mRequest.text();
         all.add(new Preparation(StoreKey.text(mRequest.customer(), text.digest()), text));
         CustomerIndex index = CustomerIndex.of(mRequest.customer());
@@ -153,7 +153,7 @@
     }
 
     private boolean mayHaveForgotten(Optional<Pointer> pointer) {
-        return pointer.isPresent() && pointer.get().mayHaveForgotten(mPending.get().number());
+        return pointer.isPresent() && pointer.get().mayHaveEvicted(mPending.get().number());
     }
 
     private StoreAction prepare() {
@@ -172,14 +172,14 @@
 
     private StoreAction swapPrepared(Optional<StoreItem> standing, long index) {
         Preparation preparation = mToPrepare.element();
-        MergeableItem merged = preparation.item().mergedInto(standing);
+        MergeableItem merged = preparation.item().mergedWith(standing);
         if (standing.isPresent() && standing.get().equals(merged)) {
             return preparationDone();
         }
         return new StoreAction.Swap(preparation.key(), merged, index);
     }
 
-    private StoreAction onPrepared(SwapAnswer answer) {
+    private StoreAction onPrepared(SwapOutcome answer) {
         return switch (answer) {
             case SWAPPED -> preparationDone();
             case CONFLICT -> anotherRound().orElseGet(this::repeatRead);
@@ -194,8 +194,8 @@
 
     private StoreAction swapHead() {
         mStep = Step.SWAP_HEAD;
-        ChangeRecord record = mRequest.numbered(mHead.number() + 1);
-        return new StoreAction.Swap(StoreKey.HEAD, mHead.with(record, mRingCapacity), mHeadIndex);
+        ChangeRecord record = mRequest.toRecord(mHead.number() + 1);
+        return new StoreAction.Swap(StoreKey.HEAD, mHead.append(record, mRingCapacity), mHeadIndex);
     }
 
     /**
@@ -205,7 +205,7 @@
      * still has that index the swap is only repeated, and once the head has another one the late
      * swap can't take effect any more.
      */
-    private StoreAction onHeadSwapped(SwapAnswer answer) {
+    private StoreAction onHeadSwapped(SwapOutcome answer) {
         return switch (answer) {
             case SWAPPED -> new StoreAction.Finish(new AcceptOutcome.Accepted(mHead.number() + 1));
             case CONFLICT -> anotherRound().orElseGet(this::readHead);
@@ -219,14 +219,14 @@
 
     private Optional<StoreAction> fail() {
         mFailures++;
-        return mFailures < PATIENCE
+        return mFailures < MAX_FAILURES
                 ? Optional.empty()
                 : Optional.of(giveUp("The store gave no answer; nothing was accepted."));
     }
 
     private Optional<StoreAction> anotherRound() {
         mRounds++;
-        return mRounds < ROUNDS
+        return mRounds < MAX_CONFLICTS
                 ? Optional.empty()
                 : Optional.of(giveUp("Other changes came first each time; accept it again."));
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptRequest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptRequest.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns the change with its number in the fleet-wide order. */
-    ChangeRecord numbered(long number) {
+    ChangeRecord toRecord(long number) {
         return new ChangeRecord(
                 number, customer, text.digest(), services, operationId, author, baseNumber);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/TemplatesInForce.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ActiveTemplates.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 
 /** The templates that this VM serves by, and a few texts that a watcher keeps for its peers. */
-class TemplatesInForce {
+class ActiveTemplates {
     private record InForce(long number, String digest, String text) {}
 
     private record TextKey(String customer, String digest) {}
@@ -20,7 +20,7 @@
     private final Map<TextKey, String> mCache = new LinkedHashMap<>();
     private long mRejections;
 
-    TemplatesInForce(Function<String, Optional<String>> check, int cacheSize) {
+    ActiveTemplates(Function<String, Optional<String>> check, int cacheSize) {
         mCheck = check;
         mCacheSize = cacheSize;
     }
@@ -53,7 +53,7 @@
     }
 
     /** Returns whether a change is newer than the one in force and the last one that failed. */
-    boolean isNews(ChangeRecord record) {
+    boolean isNewer(ChangeRecord record) {
         InForce inForce = mInForce.get(record.customer());
         return (inForce == null || record.number() > inForce.number())
                 && record.number() > mRejected.getOrDefault(record.customer(), 0L);
@@ -65,8 +65,8 @@
      * <p>Guards against a text that a later release accepted and this one can't read, which would
      * show as a customer without any template. It holds because the last good one stays.
      */
-    final List<FollowerAction> put(ChangeRecord record, String text) {
-        if (!isNews(record)) {
+    final List<FollowerAction> activate(ChangeRecord record, String text) {
+        if (!isNewer(record)) {
             return List.of();
         }
         String customer = record.customer();
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeWindow.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeWindow.java
@@ -57,7 +57,7 @@
     }
 
     /** Gives up on everything before a number: the window begins there. */
-    void jumpTo(long first) {
+    void resetTo(long first) {
         mRecords.clear();
         mThrough = first - 1;
         mAhead.headMap(first).clear();
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
@@ -25,10 +25,10 @@
     private final RandomGenerator mRandom;
     private final ChangeWindow mWindow;
     private final KnownCustomers mCustomers;
-    private final Groups mGroups;
-    private final TemplatesInForce mTemplates;
-    private final TextFetches mTexts;
-    private final StoreBudget mBudget;
+    private final GroupTracker mGroups;
+    private final ActiveTemplates mTemplates;
+    private final TextFetcher mTexts;
+    private final StoreReadLimiter mBudget;
     private final List<FollowerAction> mActions = new ArrayList<>();
     private Optional<StoreBackfill> mBackfill = Optional.empty();
     private Optional<VmIdentity> mAhead = Optional.empty();
@@ -46,23 +46,23 @@
             FollowerPeers peers,
             Function<String, Optional<String>> check,
             RandomGenerator random) {
-        this(settings, peers, new TemplatesInForce(check, settings.textCache()), random);
+        this(settings, peers, new ActiveTemplates(check, settings.textCacheSize()), random);
     }
 
     ConfigurationFollower(
             FollowerSettings settings,
             FollowerPeers peers,
-            TemplatesInForce templates,
+            ActiveTemplates templates,
             RandomGenerator random) {
         mSettings = settings;
         mPeers = peers;
         mRandom = random;
         mWindow = new ChangeWindow(settings.windowCapacity());
         mCustomers = new KnownCustomers(peers);
-        mGroups = new Groups(settings, peers);
+        mGroups = new GroupTracker(settings, peers);
         mTemplates = templates;
-        mTexts = new TextFetches(settings, peers);
-        mBudget = new StoreBudget(settings.storePauseMillis());
+        mTexts = new TextFetcher(settings, peers);
+        mBudget = new StoreReadLimiter(settings.storeReadIntervalMillis());
     }
 
     /** Takes changes that a member passed on. */
@@ -90,11 +90,11 @@
     }
 
     /** Takes a peer's answer to a {@link FollowerAction.FetchRecords}, however late. */
-    public final List<FollowerAction> onAnswer(RecordsAnswer answer, long nowMillis) {
+    public final List<FollowerAction> onAnswer(RecordsResponse answer, long nowMillis) {
         mAskedUntil = Long.MIN_VALUE;
         jumpIfBehind(answer.firstNumber(), answer.through());
         learn(answer.records());
-        for (GroupFill fill : answer.fills()) {
+        for (GroupSnapshot fill : answer.snapshots()) {
             fill(fill, answer.through());
         }
         return actions(nowMillis);
@@ -122,7 +122,7 @@
         }
         mBackfill.ifPresent(backfill -> backfill.onItem(read, item));
         if (mBackfill.isPresent() && mBackfill.get().isDone()) {
-            fill(mBackfill.get().fill(), mBackfill.get().through());
+            fill(mBackfill.get().snapshot(), mBackfill.get().through());
             mBackfill = Optional.empty();
         }
         return actions(nowMillis);
@@ -140,13 +140,13 @@
     }
 
     /** Answers a peer's {@link FollowerAction.FetchRecords}. */
-    public final RecordsAnswer answer(RecordsRequest request) {
-        List<GroupFill> fills =
+    public final RecordsResponse answer(RecordsRequest request) {
+        List<GroupSnapshot> fills =
                 request.groups().stream()
-                        .filter(mGroups::isFilled)
-                        .map(group -> new GroupFill(group, mCustomers.of(group)))
+                        .filter(mGroups::isComplete)
+                        .map(group -> new GroupSnapshot(group, mCustomers.of(group)))
                         .toList();
-        return new RecordsAnswer(
+        return new RecordsResponse(
                 mWindow.first(), mWindow.through(), mWindow.since(request.since()), fills);
     }
 
@@ -162,11 +162,11 @@
 
     /** Returns whether all that this VM must know, as far as it can tell, is known. */
     public final boolean isReady() {
-        return mGroups.unfilled().isEmpty() && mTexts.size() == 0;
+        return mGroups.incomplete().isEmpty() && mTexts.size() == 0;
     }
 
     /** Returns the number of the change that is in force for a customer. */
-    public final Optional<Long> numberInForce(String customer) {
+    public final Optional<Long> activeNumber(String customer) {
         return mTemplates.number(customer);
     }
 
@@ -181,7 +181,7 @@
                 mWindow.through(),
                 mCustomers.size(),
                 mTemplates.size(),
-                mGroups.unfilled().size(),
+                mGroups.incomplete().size(),
                 mTexts.size(),
                 mPassedOn,
                 mBudget.reads(),
@@ -212,8 +212,8 @@
      */
     private void jumpIfBehind(long firstNumber, long through) {
         if (through > mWindow.through() && firstNumber > mWindow.through() + 1) {
-            mWindow.jumpTo(firstNumber);
-            mGroups.unfillAll();
+            mWindow.resetTo(firstNumber);
+            mGroups.resetAll();
         }
     }
 
@@ -243,15 +243,15 @@
     private void want(ChangeRecord record) {
         Optional<String> cached = mTemplates.text(record.customer(), record.digest());
         if (cached.isPresent()) {
-            mTexts.forget(record.customer());
-            mActions.addAll(mTemplates.put(record, cached.get()));
-        } else if (mTemplates.isNews(record)) {
-            mTexts.want(record);
+            mTexts.cancel(record.customer());
+            mActions.addAll(mTemplates.activate(record, cached.get()));
+        } else if (mTemplates.isNewer(record)) {
+            mTexts.request(record);
         }
     }
 
     private void release(String customer) {
-        mTexts.forget(customer);
+        mTexts.cancel(customer);
         if (mTemplates.release(customer)) {
             mActions.add(new FollowerAction.Release(customer));
         }
@@ -259,7 +259,7 @@
 
     private void refreshGroups() {
         List<CustomerGroup> added = mGroups.refresh(mCustomers.cellSizes().keySet());
-        for (ChangeRecord record : mCustomers.dropUnneeded()) {
+        for (ChangeRecord record : mCustomers.removeUnneeded()) {
             release(record.customer());
         }
         for (ChangeRecord record : mCustomers.providers()) {
@@ -274,25 +274,25 @@
     private void considerServed(ChangeRecord record) {
         if (!mCustomers.isServed(record)) {
             release(record.customer());
-        } else if (mTemplates.isNews(record) && !mTexts.wants(record)) {
+        } else if (mTemplates.isNewer(record) && !mTexts.isRequested(record)) {
             want(record);
         }
     }
 
-    private void fill(GroupFill fill, long through) {
-        if (!mGroups.mayFill(fill.group()) || through < mWindow.first() - 1) {
+    private void fill(GroupSnapshot fill, long through) {
+        if (!mGroups.contains(fill.group()) || through < mWindow.first() - 1) {
             return;
         }
-        mGroups.markFilled(fill.group());
+        mGroups.markComplete(fill.group());
         fill.newest().forEach(this::consider);
-        for (ChangeRecord gone : mCustomers.dropMissing(fill, through, mWindow.first())) {
+        for (ChangeRecord gone : mCustomers.removeMissing(fill, through, mWindow.first())) {
             release(gone.customer());
         }
     }
 
     private void readText(ChangeRecord record) {
         if (mTemplates.text(record.customer(), record.digest()).isEmpty()) {
-            mBudget.count();
+            mBudget.recordUnthrottled();
             mActions.add(
                     new FollowerAction.ReadStore(
                             StoreKey.text(record.customer(), record.digest()), mBudget.reads()));
@@ -311,11 +311,11 @@
 
     private void takeText(String customer, String digest, Optional<String> text) {
         if (text.isEmpty() || !new TemplateText(text.get()).digest().equals(digest)) {
-            mTexts.missing(customer, digest);
+            mTexts.retryNextSource(customer, digest);
             return;
         }
-        mTexts.arrived(customer, digest)
-                .ifPresent(record -> mActions.addAll(mTemplates.put(record, text.get())));
+        mTexts.complete(customer, digest)
+                .ifPresent(record -> mActions.addAll(mTemplates.activate(record, text.get())));
     }
 
     private void passOn(List<ChangeRecord> news) {
@@ -328,7 +328,7 @@
             chosen.add(members.remove(mRandom.nextInt(members.size())));
         }
         mPassedOn += news.size();
-        mActions.add(new FollowerAction.PassOn(chosen, news));
+        mActions.add(new FollowerAction.SendRumor(chosen, news));
     }
 
     /**
@@ -361,22 +361,22 @@
         Optional<VmIdentity> peer = mAhead.or(() -> mGroups.nextSource(nowMillis));
         mAhead = Optional.empty();
         if (peer.isPresent()) {
-            mAskedUntil = nowMillis + mSettings.answerMillis();
+            mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
             mActions.add(
                     new FollowerAction.FetchRecords(
-                            peer.get(), new RecordsRequest(mWindow.through(), mGroups.unfilled())));
+                            peer.get(), new RecordsRequest(mWindow.through(), mGroups.incomplete())));
         }
     }
 
     private void readStore(long nowMillis) {
-        if (mBackfill.isPresent() && mGroups.isFilled(mBackfill.get().group())) {
+        if (mBackfill.isPresent() && mGroups.isComplete(mBackfill.get().group())) {
             mBackfill = Optional.empty();
         }
         if (mBackfill.isEmpty()) {
-            mBackfill = mGroups.dueForStore(nowMillis).map(StoreBackfill::new);
+            mBackfill = mGroups.nextForStore(nowMillis).map(StoreBackfill::new);
         }
         mBackfill
-                .flatMap(b -> b.due(nowMillis, mSettings.answerMillis(), mBudget))
+                .flatMap(b -> b.due(nowMillis, mSettings.responseTimeoutMillis(), mBudget))
                 .ifPresent(mActions::add);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerGroup.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerGroup.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns whether a customer with this newest change belongs to the group. */
-    public boolean has(ChangeRecord record) {
+    public boolean contains(ChangeRecord record) {
         if (service.isEmpty()) {
             return record.provides();
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerIndex.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerIndex.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public CustomerIndex mergedInto(Optional<StoreItem> standing) {
+    public CustomerIndex mergedWith(Optional<StoreItem> standing) {
         if (standing.isEmpty()) {
             return this;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
@@ -12,7 +12,7 @@
      * @param members the receivers
      * @param records the changes
      */
-    record PassOn(List<VmIdentity> members, List<ChangeRecord> records) implements FollowerAction {}
+    record SendRumor(List<VmIdentity> members, List<ChangeRecord> records) implements FollowerAction {}
 
     /**
      * Ask a peer for changes.
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerCounters.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerCounters.java
@@ -5,19 +5,19 @@
  *
  * @param headNumber the newest number up to which it knows all changes
  * @param customersKnown the customers whose newest change it keeps
- * @param templatesInForce the customers whose template it holds
- * @param unfilledGroups the groups that it doesn't know whole
+ * @param activeTemplates the customers whose template it holds
+ * @param incompleteGroups the groups that it doesn't know whole
  * @param textsWanted the texts that it still looks for
- * @param passedOn the records that it passed on, each counted once
+ * @param recordsForwarded the records that it passed on, each counted once
  * @param storeReads the reads of the store that it asked for
  * @param rejected the templates that failed their check
  */
 public record FollowerCounters(
         long headNumber,
         int customersKnown,
-        int templatesInForce,
-        int unfilledGroups,
+        int activeTemplates,
+        int incompleteGroups,
         int textsWanted,
-        long passedOn,
+        long recordsForwarded,
         long storeReads,
         long rejected) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerSettings.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerSettings.java
@@ -5,21 +5,21 @@
  *
  * @param windowCapacity how many of the newest changes it keeps
  * @param fanout to how many members it passes news on
- * @param answerMillis how long it waits for an answer before it asks somebody else
- * @param storePauseMillis the least time between two reads of the store as a last resort
- * @param storePatienceMillis how long each later rank waits for the one before it to read a group
- * @param textsInFlight how many texts it fetches at once
- * @param textCache how many texts of others a watcher keeps
+ * @param responseTimeoutMillis how long it waits for an answer before it asks somebody else
+ * @param storeReadIntervalMillis the least time between two reads of the store as a last resort
+ * @param storeRankDelayMillis how long each later rank waits for the one before it to read a group
+ * @param maxTextsInFlight how many texts it fetches at once
+ * @param textCacheSize how many texts of others a watcher keeps
  */
 public record FollowerSettings(
         int windowCapacity,
         int fanout,
-        long answerMillis,
-        long storePauseMillis,
-        long storePatienceMillis,
-        int textsInFlight,
-        int textCache) {
+        long responseTimeoutMillis,
+        long storeReadIntervalMillis,
+        long storeRankDelayMillis,
+        int maxTextsInFlight,
+        int textCacheSize) {
     /** What runs in the field. */
-    public static final FollowerSettings FIELD =
+    public static final FollowerSettings DEFAULTS =
             new FollowerSettings(Head.RING_CAPACITY, 4, 500, 50, 2_000, 16, 32);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupFill.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupSnapshot.java
@@ -8,10 +8,10 @@
  * @param group the group
  * @param newest the changes, in no order
  */
-public record GroupFill(CustomerGroup group, List<ChangeRecord> newest) {
+public record GroupSnapshot(CustomerGroup group, List<ChangeRecord> newest) {
 
     /** Copies the list. */
-    public GroupFill {
+    public GroupSnapshot {
         newest = List.copyOf(newest);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Groups.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupTracker.java
@@ -12,7 +12,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** The groups of customers that this VM must know whole, and how far it got with each. */
-final class Groups {
+final class GroupTracker {
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final class State {
@@ -26,7 +26,7 @@
     private final Map<CustomerGroup, State> mStates = new LinkedHashMap<>();
     private long mNextAskMillis = NEVER;
 
-    Groups(FollowerSettings settings, FollowerPeers peers) {
+    GroupTracker(FollowerSettings settings, FollowerPeers peers) {
         mSettings = settings;
         mPeers = peers;
         mStates.put(CustomerGroup.PROVIDERS, new State());
@@ -43,25 +43,25 @@
         return List.copyOf(needed);
     }
 
-    boolean mayFill(CustomerGroup group) {
+    boolean contains(CustomerGroup group) {
         return mStates.containsKey(group);
     }
 
-    boolean isFilled(CustomerGroup group) {
+    boolean isComplete(CustomerGroup group) {
         return mStates.containsKey(group) && mStates.get(group).mFilled;
     }
 
-    void markFilled(CustomerGroup group) {
+    void markComplete(CustomerGroup group) {
         mStates.get(group).mFilled = true;
     }
 
-    void unfillAll() {
+    void resetAll() {
         mStates.replaceAll((group, state) -> new State());
     }
 
-    List<CustomerGroup> unfilled() {
+    List<CustomerGroup> incomplete() {
         List<CustomerGroup> unfilled = new ArrayList<>(mStates.keySet());
-        unfilled.removeIf(this::isFilled);
+        unfilled.removeIf(this::isComplete);
         return unfilled;
     }
 
@@ -72,7 +72,7 @@
      * because there is a pause after each question, answered or not.
      */
     Optional<VmIdentity> nextSource(long nowMillis) {
-        List<CustomerGroup> unfilled = unfilled();
+        List<CustomerGroup> unfilled = incomplete();
         if (unfilled.isEmpty() || nowMillis < mNextAskMillis) {
             return Optional.empty();
         }
@@ -80,22 +80,22 @@
         State state = mStates.get(group);
         List<VmIdentity> sources = mPeers.groupSources(group);
         state.mAsked++;
-        mNextAskMillis = nowMillis + mSettings.answerMillis();
+        mNextAskMillis = nowMillis + mSettings.responseTimeoutMillis();
         return sources.isEmpty()
                 ? Optional.empty()
                 : Optional.of(sources.get((state.mAsked - 1) % sources.size()));
     }
 
     /** Returns a group that no peer could fill and that it is this VM's turn to read. */
-    Optional<CustomerGroup> dueForStore(long nowMillis) {
-        for (CustomerGroup group : unfilled()) {
+    Optional<CustomerGroup> nextForStore(long nowMillis) {
+        for (CustomerGroup group : incomplete()) {
             State state = mStates.get(group);
             if (state.mSinceMillis == NEVER) {
                 state.mSinceMillis = nowMillis;
             }
             long patience =
-                    mSettings.answerMillis()
-                            + mPeers.storeRank(group) * mSettings.storePatienceMillis();
+                    mSettings.responseTimeoutMillis()
+                            + mPeers.storeRank(group) * mSettings.storeRankDelayMillis();
             if (state.mAsked >= mPeers.groupSources(group).size()
                     && nowMillis >= state.mSinceMillis + patience) {
                 return Optional.of(group);
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Head.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Head.java
@@ -18,7 +18,7 @@
     public static final int RING_CAPACITY = 256;
 
     /** How many services all changes of the ring may name: the store's values are bounded. */
-    static final int MAXIMUM_USES = 4096;
+    static final int MAX_SERVICE_USES = 4096;
 
     /** Copies the list. */
     public Head {
@@ -33,7 +33,7 @@
     }
 
     /** Returns the change that this operation accepted if the ring holds it. */
-    public Optional<ChangeRecord> ofOperation(String operationId) {
+    public Optional<ChangeRecord> findByOperation(String operationId) {
         return ring.stream().filter(record -> record.operationId().equals(operationId)).findFirst();
     }
 
@@ -41,7 +41,7 @@
     public List<ChangeRecord> evictedBy(ChangeRecord record, int capacity) {
         int first = 0;
         int uses = record.services().size() + usesOf(ring);
-        while (first < ring.size() && (ring.size() - first >= capacity || uses > MAXIMUM_USES)) {
+        while (first < ring.size() && (ring.size() - first >= capacity || uses > MAX_SERVICE_USES)) {
             uses -= ring.get(first).services().size();
             first++;
         }
@@ -49,7 +49,7 @@
     }
 
     /** Returns the head with one more change. */
-    public Head with(ChangeRecord record, int capacity) {
+    public Head append(ChangeRecord record, int capacity) {
         int evicted = evictedBy(record, capacity).size();
         List<ChangeRecord> next = new ArrayList<>(ring.subList(evicted, ring.size()));
         next.add(record);
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/KnownCustomers.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/KnownCustomers.java
@@ -46,7 +46,7 @@
     }
 
     List<ChangeRecord> of(CustomerGroup group) {
-        return mNewest.values().stream().filter(group::has).toList();
+        return mNewest.values().stream().filter(group::contains).toList();
     }
 
     List<ChangeRecord> providers() {
@@ -54,12 +54,12 @@
     }
 
     /** Lets go of the changes that this VM no longer needs, and returns them. */
-    List<ChangeRecord> dropUnneeded() {
+    List<ChangeRecord> removeUnneeded() {
         return drop(record -> !record.provides() && !isServed(record));
     }
 
     /** Lets go of the group's customers that left it before the window began, and returns them. */
-    List<ChangeRecord> dropMissing(GroupFill fill, long through, long windowFirst) {
+    List<ChangeRecord> removeMissing(GroupSnapshot fill, long through, long windowFirst) {
         Set<String> listed = new HashSet<>();
         fill.newest().forEach(record -> listed.add(record.customer()));
         List<ChangeRecord> gone =
@@ -67,7 +67,7 @@
                         record ->
                                 record.number() <= through
                                         && record.number() < windowFirst
-                                        && fill.group().has(record)
+                                        && fill.group().contains(record)
                                         && !listed.contains(record.customer()));
         countCells();
         return gone;
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/MergeableItem.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/MergeableItem.java
@@ -12,5 +12,5 @@
      * @param standing what the key holds now
      * @throws IllegalArgumentException if the standing value is of another type
      */
-    MergeableItem mergedInto(Optional<StoreItem> standing);
+    MergeableItem mergedWith(Optional<StoreItem> standing);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationSearch.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationSearch.java
@@ -8,7 +8,7 @@
 
     /** Returns the number that the operation's change got, if it is found. */
     static Optional<Long> numberOf(String operationId, Head head, Optional<Pointer> pointer) {
-        return head.ofOperation(operationId)
+        return head.findByOperation(operationId)
                 .map(ChangeRecord::number)
                 .or(() -> pointer.flatMap(found -> found.numberOf(operationId)));
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
@@ -9,12 +9,12 @@
  * What is known of a customer's changes that left the ring of the {@link Head}.
  *
  * @param newest the newest of them
- * @param operations the last {@link #OPERATIONS} accepts, by growing number
+ * @param operations the last {@link #MAX_OPERATIONS} accepts, by growing number
  */
 public record Pointer(ChangeRecord newest, List<PastOperation> operations)
         implements MergeableItem {
     /** How many accepts of a customer can be looked up after they left the ring. */
-    public static final int OPERATIONS = 32;
+    public static final int MAX_OPERATIONS = 32;
 
     /** Copies the list. */
     public Pointer {
@@ -36,8 +36,8 @@
     }
 
     /** Returns whether an accept of this number may have been forgotten. */
-    public boolean mayHaveForgotten(long number) {
-        return operations.size() >= OPERATIONS && operations.get(0).number() > number;
+    public boolean mayHaveEvicted(long number) {
+        return operations.size() >= MAX_OPERATIONS && operations.get(0).number() > number;
     }
 
     /**
@@ -47,7 +47,7 @@
      * as a template that reverts. It holds because the merge takes the higher number.
      */
     @Override
-    public Pointer mergedInto(Optional<StoreItem> standing) {
+    public Pointer mergedWith(Optional<StoreItem> standing) {
         if (standing.isEmpty()) {
             return this;
         }
@@ -60,6 +60,6 @@
                         .sorted(Comparator.comparingLong(PastOperation::number))
                         .toList();
         ChangeRecord higher = newest.number() > other.newest.number() ? newest : other.newest;
-        return new Pointer(higher, all.subList(Math.max(0, all.size() - OPERATIONS), all.size()));
+        return new Pointer(higher, all.subList(Math.max(0, all.size() - MAX_OPERATIONS), all.size()));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/RecordsAnswer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/RecordsResponse.java
@@ -8,14 +8,14 @@
  * @param firstNumber from this number up to {@code through} the peer knows every change
  * @param through the newest number up to which the peer knows all changes
  * @param records of these changes the ones that were asked for, by growing number
- * @param fills the groups that the peer knows whole, as of {@code through}
+ * @param snapshots the groups that the peer knows whole, as of {@code through}
  */
-public record RecordsAnswer(
-        long firstNumber, long through, List<ChangeRecord> records, List<GroupFill> fills) {
+public record RecordsResponse(
+        long firstNumber, long through, List<ChangeRecord> records, List<GroupSnapshot> snapshots) {
 
     /** Copies the lists. */
-    public RecordsAnswer {
+    public RecordsResponse {
         records = List.copyOf(records);
-        fills = List.copyOf(fills);
+        snapshots = List.copyOf(snapshots);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Resolve.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ResolveProtocol.java
@@ -6,14 +6,14 @@
  * Finds out whether an accept took effect whose outcome was unknown, and if not, makes sure that it
  * never will.
  */
-public final class Resolve implements StoreMachine {
+public final class ResolveProtocol implements StoreProtocol {
     private final OperationHandle mHandle;
     private boolean mPointerAsked;
     private Head mHead = Head.EMPTY;
     private int mFailures;
 
     /** Creates the machine that resolves one accept. */
-    public Resolve(OperationHandle handle) {
+    public ResolveProtocol(OperationHandle handle) {
         mHandle = handle;
     }
 
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public StoreAction onSwap(SwapAnswer answer) {
-        return answer == SwapAnswer.SWAPPED ? start() : startAgain();
+    public StoreAction onSwap(SwapOutcome answer) {
+        return answer == SwapOutcome.SWAPPED ? start() : startAgain();
     }
 
     /**
@@ -47,7 +47,7 @@
      */
     private StoreAction onHead(Head head, long index) {
         mHead = head;
-        Optional<ChangeRecord> found = head.ofOperation(mHandle.operationId());
+        Optional<ChangeRecord> found = head.findByOperation(mHandle.operationId());
         if (found.isPresent()) {
             return new StoreAction.Finish(new AcceptOutcome.Accepted(found.get().number()));
         }
@@ -63,7 +63,7 @@
         if (number.isPresent()) {
             return new StoreAction.Finish(new AcceptOutcome.Accepted(number.get()));
         }
-        if (pointer.isPresent() && pointer.get().mayHaveForgotten(mHandle.number())) {
+        if (pointer.isPresent() && pointer.get().mayHaveEvicted(mHandle.number())) {
             return new StoreAction.Finish(new AcceptOutcome.Unknown(mHandle));
         }
         return new StoreAction.Finish(
@@ -72,7 +72,7 @@
 
     private StoreAction startAgain() {
         mFailures++;
-        return mFailures < Accept.PATIENCE
+        return mFailures < AcceptProtocol.MAX_FAILURES
                 ? start()
                 : new StoreAction.Finish(new AcceptOutcome.Unknown(mHandle));
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreAction.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.configuration;
 
-/** What a {@link StoreMachine} wants done next. */
+/** What a {@link StoreProtocol} wants done next. */
 public sealed interface StoreAction {
 
     /**
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreBackfill.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreBackfill.java
@@ -43,20 +43,20 @@
     }
 
     /** Returns the newest changes of the group's customers. */
-    GroupFill fill() {
+    GroupSnapshot snapshot() {
         List<ChangeRecord> newest = new ArrayList<>(mFound);
         for (ChangeRecord record : mHead.ring()) {
             if (mHead.newestOf(record.customer()).orElseThrow().equals(record)) {
                 newest.add(record);
             }
         }
-        newest.removeIf(record -> !mGroup.has(record));
-        return new GroupFill(mGroup, newest);
+        newest.removeIf(record -> !mGroup.contains(record));
+        return new GroupSnapshot(mGroup, newest);
     }
 
     /** Returns the read to do now; a read without an answer is repeated. */
-    Optional<FollowerAction> due(long nowMillis, long answerMillis, StoreBudget budget) {
-        if (isDone() || nowMillis < mAskedUntil || !budget.take(nowMillis)) {
+    Optional<FollowerAction> due(long nowMillis, long answerMillis, StoreReadLimiter budget) {
+        if (isDone() || nowMillis < mAskedUntil || !budget.tryAcquire(nowMillis)) {
             return Optional.empty();
         }
         mAskedUntil = nowMillis + answerMillis;
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreMachine.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreProtocol.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** A protocol with the store, one call at a time; the caller does the calls and reports answers. */
-public interface StoreMachine {
+public interface StoreProtocol {
 
     /** Returns the first action. */
     StoreAction start();
@@ -20,5 +20,5 @@
     StoreAction onReadFailed();
 
     /** Takes the answer to a {@link StoreAction.Swap}. */
-    StoreAction onSwap(SwapAnswer answer);
+    StoreAction onSwap(SwapOutcome answer);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreBudget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreReadLimiter.java
@@ -6,12 +6,12 @@
  * <p>Guards against a fleet that loses its state at once and floods the store, which would show as
  * a store that answers nobody. It holds because each VM reads at most once in each pause.
  */
-final class StoreBudget {
+final class StoreReadLimiter {
     private final long mPauseMillis;
     private long mNextMillis = Long.MIN_VALUE;
     private long mReads;
 
-    StoreBudget(long pauseMillis) {
+    StoreReadLimiter(long pauseMillis) {
         mPauseMillis = pauseMillis;
     }
 
@@ -20,7 +20,7 @@
     }
 
     /** Takes one read if it may be done now. */
-    boolean take(long nowMillis) {
+    boolean tryAcquire(long nowMillis) {
         if (nowMillis < mNextMillis) {
             return false;
         }
@@ -30,7 +30,7 @@
     }
 
     /** Counts a read that a watcher's duty brings and that isn't spaced. */
-    void count() {
+    void recordUnthrottled() {
         mReads++;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/SwapAnswer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/SwapOutcome.java
@@ -1,7 +1,7 @@
 package org.dahliapass.decisions.configuration;
 
 /** How a compare-and-swap ended. */
-public enum SwapAnswer {
+public enum SwapOutcome {
     /** The value was written. */
     SWAPPED,
     /** The key had another index; nothing was written. */
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/TemplateText.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/TemplateText.java
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public TemplateText mergedInto(Optional<StoreItem> standing) {
+    public TemplateText mergedWith(Optional<StoreItem> standing) {
         return this;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/TextFetches.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/TextFetcher.java
@@ -8,7 +8,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Looks for texts: each source in turn, then the store, then from the start again. */
-final class TextFetches {
+final class TextFetcher {
     private static final class Want {
         private final ChangeRecord mRecord;
         private List<VmIdentity> mSources = List.of();
@@ -25,7 +25,7 @@
     private final FollowerPeers mPeers;
     private final Map<String, Want> mWants = new LinkedHashMap<>();
 
-    TextFetches(FollowerSettings settings, FollowerPeers peers) {
+    TextFetcher(FollowerSettings settings, FollowerPeers peers) {
         mSettings = settings;
         mPeers = peers;
     }
@@ -34,22 +34,22 @@
         return mWants.size();
     }
 
-    boolean wants(ChangeRecord record) {
+    boolean isRequested(ChangeRecord record) {
         Want want = mWants.get(record.customer());
         return want != null && want.mRecord.equals(record);
     }
 
     /** Looks for this text in place of the one wanted until now. */
-    void want(ChangeRecord record) {
+    void request(ChangeRecord record) {
         mWants.put(record.customer(), new Want(record));
     }
 
-    void forget(String customer) {
+    void cancel(String customer) {
         mWants.remove(customer);
     }
 
     /** Returns the change whose text this is if it is still wanted, and looks no further. */
-    Optional<ChangeRecord> arrived(String customer, String digest) {
+    Optional<ChangeRecord> complete(String customer, String digest) {
         Want want = mWants.get(customer);
         if (want == null || !want.mRecord.digest().equals(digest)) {
             return Optional.empty();
@@ -59,7 +59,7 @@
     }
 
     /** Lets the next source be asked at once. */
-    void missing(String customer, String digest) {
+    void retryNextSource(String customer, String digest) {
         Want want = mWants.get(customer);
         if (want != null && want.mRecord.digest().equals(digest)) {
             want.mAskedUntil = Long.MIN_VALUE;
@@ -67,11 +67,11 @@
     }
 
     /** Returns what to ask now, within the bound on texts in flight. */
-    List<FollowerAction> due(long nowMillis, StoreBudget budget) {
+    List<FollowerAction> due(long nowMillis, StoreReadLimiter budget) {
         List<FollowerAction> actions = new ArrayList<>();
         long inFlight = mWants.values().stream().filter(w -> w.mAskedUntil > nowMillis).count();
         for (Want want : mWants.values()) {
-            if (inFlight >= mSettings.textsInFlight()) {
+            if (inFlight >= mSettings.maxTextsInFlight()) {
                 break;
             }
             if (want.mAskedUntil <= nowMillis) {
@@ -82,7 +82,7 @@
         return actions;
     }
 
-    private Optional<FollowerAction> ask(Want want, long nowMillis, StoreBudget budget) {
+    private Optional<FollowerAction> ask(Want want, long nowMillis, StoreReadLimiter budget) {
         ChangeRecord record = want.mRecord;
         if (!want.mStarted) {
             want.mStarted = true;
@@ -92,15 +92,15 @@
         if (want.mNext < want.mSources.size()) {
             VmIdentity source = want.mSources.get(want.mNext);
             want.mNext++;
-            want.mAskedUntil = nowMillis + mSettings.answerMillis();
+            want.mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
             return Optional.of(
                     new FollowerAction.FetchText(source, record.customer(), record.digest()));
         }
-        if (!budget.take(nowMillis)) {
+        if (!budget.tryAcquire(nowMillis)) {
             return Optional.empty();
         }
         want.mStarted = false;
-        want.mAskedUntil = nowMillis + mSettings.answerMillis();
+        want.mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
         return Optional.of(
                 new FollowerAction.ReadStore(
                         StoreKey.text(record.customer(), record.digest()), budget.reads()));
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/ContactBook.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/AntiEntropyScheduler.java
@@ -18,7 +18,7 @@
  * would never speak again; it would show as two fleets with disjoint lists. The hints and the
  * addresses of former members lead across.
  */
-final class ContactBook {
+final class AntiEntropyScheduler {
     private static final int MOST_FORMER = 16;
     private static final int MEMBERS_PER_INTERVAL = 256;
     private static final double JITTER = 0.25;
@@ -32,18 +32,18 @@
     private long mNextHintMillis = Long.MIN_VALUE;
     private long mNextJoinMillis = Long.MIN_VALUE;
 
-    ContactBook(MembershipSettings settings, RandomGenerator random, MemberTable table) {
+    AntiEntropyScheduler(MembershipSettings settings, RandomGenerator random, MemberTable table) {
         mSettings = settings;
         mRandom = random;
         mTable = table;
     }
 
-    void setHints(Collection<Endpoint> hints) {
+    void setSeeds(Collection<Endpoint> hints) {
         mHints = List.copyOf(hints);
     }
 
     /** Remembers the address of a member that is being forgotten. */
-    void rememberFormer(Endpoint peers) {
+    void addFormerMember(Endpoint peers) {
         mFormer.add(peers);
         if (mFormer.size() > MOST_FORMER) {
             mFormer.remove(mFormer.iterator().next());
@@ -52,7 +52,7 @@
 
     void onTick(
             MemberUpdate self, boolean outdated, long nowMillis, List<MembershipAction> actions) {
-        if (outdated || mTable.live() == 0) {
+        if (outdated || mTable.liveCount() == 0) {
             joinIfDue(self, nowMillis, actions);
             return;
         }
@@ -61,14 +61,14 @@
             compareWithMember(self, actions);
         }
         if (nowMillis >= mNextHintMillis) {
-            mNextHintMillis = nowMillis + jittered(mSettings.hintInterval().toMillis());
+            mNextHintMillis = nowMillis + jittered(mSettings.seedInterval().toMillis());
             contactStranger(self, actions);
         }
     }
 
     /** Grows with the fleet, since the list does: its bytes a second stay the same. */
     private long exchangeMillis() {
-        double factor = Math.max(1.0, (double) mTable.live() / MEMBERS_PER_INTERVAL);
+        double factor = Math.max(1.0, (double) mTable.liveCount() / MEMBERS_PER_INTERVAL);
         return Math.round(mSettings.exchangeInterval().toMillis() * factor);
     }
 
@@ -82,7 +82,7 @@
     }
 
     private void compareWithMember(MemberUpdate self, List<MembershipAction> actions) {
-        List<Member> picked = mTable.pick(1, member -> member.state().isOwnWord());
+        List<Member> picked = mTable.sample(1, member -> member.state().isSelfReported());
         for (Member member : picked) {
             long incarnation = member.identity().incarnation();
             actions.add(exchange(member.update().vm().peerEndpoint(), incarnation, self));
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
@@ -35,8 +35,8 @@
     }
 
     /** Writes a datagram to a member. */
-    SendGossip write(Member to, GossipKind kind, long sequence) {
-        return write(to, kind, sequence, Optional.empty());
+    SendGossip compose(Member to, GossipKind kind, long sequence) {
+        return compose(to, kind, sequence, Optional.empty());
     }
 
     /**
@@ -46,20 +46,20 @@
      * longer repeated; it would show as a live VM that gets no work. A datagram to a VM under a
      * verdict always carries this verdict, so it can refute it.
      */
-    SendGossip write(Member to, GossipKind kind, long sequence, Optional<VmIdentity> subject) {
+    SendGossip compose(Member to, GossipKind kind, long sequence, Optional<VmIdentity> subject) {
         List<MemberUpdate> updates = new ArrayList<>();
         updates.add(mSelf);
         int room = mSettings.datagramBytes() - mSelf.sizeBytes();
-        if (!to.state().isOwnWord()) {
+        if (!to.state().isSelfReported()) {
             updates.add(to.update());
             room -= to.update().sizeBytes();
         }
-        updates.addAll(mRumors.next(room, mSettings.transmissions(mTable.live())));
+        updates.addAll(mRumors.next(room, mSettings.transmissions(mTable.liveCount())));
         return address(to.update(), kind, sequence, subject, updates);
     }
 
     /** Writes a datagram that carries just the one piece of news besides the sender's own. */
-    SendGossip tell(MemberUpdate to, MemberUpdate news) {
+    SendGossip composeRumor(MemberUpdate to, MemberUpdate news) {
         return address(to, GossipKind.RUMOR, 0, Optional.empty(), List.of(mSelf, news));
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/JoinAnswer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/JoinResponse.java
@@ -8,4 +8,4 @@
  * @param members the list to reply with; empty if both lists are equal
  * @param actions what else to do
  */
-public record JoinAnswer(List<MemberUpdate> members, List<MembershipAction> actions) {}
+public record JoinResponse(List<MemberUpdate> members, List<MembershipAction> actions) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Member.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Member.java
@@ -38,7 +38,7 @@
     }
 
     /** Takes news; the time since when the state is held starts anew with another state. */
-    void take(MemberUpdate update, boolean localVerdict, long nowMillis) {
+    void apply(MemberUpdate update, boolean localVerdict, long nowMillis) {
         boolean sameLife = identity().equals(update.identity());
         if (!sameLife || update.state() != state()) {
             mSinceMillis = nowMillis;
@@ -50,33 +50,33 @@
         mLocalVerdict = localVerdict;
     }
 
-    long sinceMillis() {
+    long stateSinceMillis() {
         return mSinceMillis;
     }
 
     /** Moves the time since when the state is held, for a time in which this process was paused. */
-    void shiftSince(long gapMillis) {
+    void shiftStateSince(long gapMillis) {
         mSinceMillis += gapMillis;
     }
 
     /** Lets the time since when the state is held start anew. */
-    void restartSince(long nowMillis) {
+    void restartStateTimer(long nowMillis) {
         mSinceMillis = nowMillis;
     }
 
-    long heardMillis() {
+    long lastHeardMillis() {
         return mHeardMillis;
     }
 
-    void heard(long nowMillis) {
+    void recordHeard(long nowMillis) {
         mHeardMillis = nowMillis;
     }
 
-    int sent() {
+    int transmissions() {
         return mSent;
     }
 
-    void setSent(int sent) {
+    void setTransmissions(int sent) {
         mSent = sent;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberState.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberState.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns whether only the VM itself says this of itself; others' verdicts are not. */
-    public boolean isOwnWord() {
+    public boolean isSelfReported() {
         return mOwnWord;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberJudge.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
@@ -7,7 +7,7 @@
 import org.dahliapass.decisions.membership.MembershipAction.Replaced;
 
 /** Judges what is held of each VM: takes news, suspects, declares dead and forgets. */
-final class MemberJudge {
+final class MemberStateMachine {
     private static final int HEARD_PERIODS = 2;
 
     private final MembershipSettings mSettings;
@@ -15,17 +15,17 @@
     private final RumorQueue mRumors;
     private final GossipComposer mComposer;
     private final Prober mProber;
-    private final ContactBook mContacts;
+    private final AntiEntropyScheduler mContacts;
     private long mHeardAnyMillis;
     private boolean mUrgentNews;
 
-    MemberJudge(
+    MemberStateMachine(
             MembershipSettings settings,
             MemberTable table,
             RumorQueue rumors,
             GossipComposer composer,
             Prober prober,
-            ContactBook contacts,
+            AntiEntropyScheduler contacts,
             long nowMillis) {
         mSettings = settings;
         mTable = table;
@@ -37,17 +37,17 @@
     }
 
     /** Notes that some VM was heard. */
-    void heardAny(long nowMillis) {
+    void recordHeard(long nowMillis) {
         mHeardAnyMillis = nowMillis;
     }
 
     /** Returns whether there is news that others should get at once. */
-    boolean hasUrgentNews() {
+    boolean hasUrgentUpdates() {
         return mUrgentNews;
     }
 
     /** Notes that the urgent news is on its way. */
-    void urgentNewsSent() {
+    void clearUrgentUpdates() {
         mUrgentNews = false;
     }
 
@@ -65,8 +65,8 @@
         MemberUpdate softened = softened(member, update, nowMillis);
         boolean withdrawsLocalVerdict =
                 member.isLocalVerdict()
-                        && update.state().isOwnWord()
-                        && update.sameRound(member.update());
+                        && update.state().isSelfReported()
+                        && update.hasSameVersion(member.update());
         if (softened.supersedes(member.update()) || withdrawsLocalVerdict) {
             change(member, softened, false, nowMillis, actions);
         } else if (update.equals(member.update())) {
@@ -75,11 +75,11 @@
     }
 
     /** Drops the members that another VM's list lacks and that weren't heard since. */
-    void dropUnlisted(
+    void markUnlistedDead(
             Set<String> listed, long sinceMillis, long nowMillis, List<MembershipAction> actions) {
         for (Member member : mTable.all()) {
             boolean vouchedFor =
-                    listed.contains(member.name()) || member.heardMillis() >= sinceMillis;
+                    listed.contains(member.name()) || member.lastHeardMillis() >= sinceMillis;
             if (!member.isDead() && !vouchedFor) {
                 MemberUpdate dead = member.update().withState(MemberState.DEAD);
                 change(member, dead, true, nowMillis, actions);
@@ -120,42 +120,42 @@
      * Takes that a member answered neither directly nor through others. One that was leaving has
      * most likely stopped; a suspicion would put it back into its cells.
      */
-    void onUnanswered(Member member, long nowMillis, List<MembershipAction> actions) {
-        if (!member.state().isOwnWord()) {
+    void onProbeFailed(Member member, long nowMillis, List<MembershipAction> actions) {
+        if (!member.state().isSelfReported()) {
             return;
         }
         boolean leaving = member.state() == MemberState.LEAVING;
         judge(member, leaving ? MemberState.DEAD : MemberState.SUSPECT, nowMillis, actions);
-        actions.add(mComposer.tell(member.update(), member.update()));
+        actions.add(mComposer.composeRumor(member.update(), member.update()));
     }
 
     /** Ends suspicions that weren't refuted in time, and forgets the long dead. */
     void expire(long nowMillis, List<MembershipAction> actions) {
-        long suspicionMillis = mSettings.suspicionMillis(mTable.live());
-        long tombstoneMillis = mSettings.tombstone().toMillis();
+        long suspicionMillis = mSettings.suspicionMillis(mTable.liveCount());
+        long tombstoneMillis = mSettings.tombstoneRetention().toMillis();
         boolean forget = false;
         for (Member member : mTable.all()) {
-            long heldMillis = nowMillis - member.sinceMillis();
+            long heldMillis = nowMillis - member.stateSinceMillis();
             if (member.state() == MemberState.SUSPECT && heldMillis >= suspicionMillis) {
                 endSuspicion(member, nowMillis, actions);
             } else if (member.isDead() && heldMillis >= tombstoneMillis) {
-                mContacts.rememberFormer(member.update().vm().peerEndpoint());
+                mContacts.addFormerMember(member.update().vm().peerEndpoint());
                 forget = true;
             }
         }
         if (forget) {
-            mTable.forgetDead(member -> nowMillis - member.sinceMillis() >= tombstoneMillis);
+            mTable.forgetDead(member -> nowMillis - member.stateSinceMillis() >= tombstoneMillis);
         }
     }
 
     private boolean isDeaf(long nowMillis) {
-        long window = mSettings.suspicionMillis(mTable.live());
+        long window = mSettings.suspicionMillis(mTable.liveCount());
         return nowMillis - mHeardAnyMillis > window;
     }
 
     /** Returns whether a member, null if unknown, was heard within the window. */
     static boolean heardWithin(Member member, long nowMillis, long windowMillis) {
-        return member != null && nowMillis - member.heardMillis() <= windowMillis;
+        return member != null && nowMillis - member.lastHeardMillis() <= windowMillis;
     }
 
     /**
@@ -185,7 +185,7 @@
             actions.add(new Replaced(update.identity()));
             return;
         }
-        if (order == 0 && !update.state().isOwnWord() && update.refutation() >= self.refutation()) {
+        if (order == 0 && !update.state().isSelfReported() && update.refutation() >= self.refutation()) {
             mComposer.setSelf(self.withState(self.state(), update.refutation() + 1));
             mUrgentNews = true;
         }
@@ -210,7 +210,7 @@
             long nowMillis,
             List<MembershipAction> actions) {
         MemberUpdate before = member.update();
-        mTable.take(member, update, localVerdict, nowMillis);
+        mTable.apply(member, update, localVerdict, nowMillis);
         if (!localVerdict) {
             mRumors.add(member);
         }
@@ -243,8 +243,8 @@
             judge(member, MemberState.DEAD, nowMillis, actions);
             return;
         }
-        member.restartSince(nowMillis);
+        member.restartStateTimer(nowMillis);
         change(member, member.update(), false, nowMillis, actions);
-        actions.add(mComposer.tell(member.update(), member.update()));
+        actions.add(mComposer.composeRumor(member.update(), member.update()));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns how many members aren't dead. */
-    int live() {
+    int liveCount() {
         return mLive;
     }
 
@@ -39,9 +39,9 @@
     }
 
     /** Gives a member its news and keeps the count of live ones. */
-    void take(Member member, MemberUpdate update, boolean localVerdict, long nowMillis) {
+    void apply(Member member, MemberUpdate update, boolean localVerdict, long nowMillis) {
         mLive -= member.isDead() ? 0 : 1;
-        member.take(update, localVerdict, nowMillis);
+        member.apply(update, localVerdict, nowMillis);
         mLive += member.isDead() ? 0 : 1;
     }
 
@@ -51,12 +51,12 @@
     }
 
     /** Returns a random number from 0 up to, but without, the bound. */
-    int draw(int bound) {
+    int randomInt(int bound) {
         return mRandom.nextInt(bound);
     }
 
     /** Returns up to that many different random members that fulfil the condition. */
-    List<Member> pick(int count, Predicate<Member> condition) {
+    List<Member> sample(int count, Predicate<Member> condition) {
         List<Member> picked = new ArrayList<>(count);
         if (mMembers.isEmpty()) {
             return picked;
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns whether both are of the same incarnation and refutation counter. */
-    boolean sameRound(MemberUpdate other) {
+    boolean hasSameVersion(MemberUpdate other) {
         return identity().equals(other.identity()) && refutation == other.refutation;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
@@ -25,8 +25,8 @@
     private final RumorQueue mRumors = new RumorQueue();
     private final GossipComposer mComposer;
     private final Prober mProber;
-    private final ContactBook mContacts;
-    private final MemberJudge mJudge;
+    private final AntiEntropyScheduler mContacts;
+    private final MemberStateMachine mJudge;
     private long mLastTickMillis;
     private boolean mOutdated;
     private long mOutdatedSinceMillis;
@@ -49,10 +49,10 @@
         mTable = new MemberTable(random);
         mComposer = new GossipComposer(settings, mTable, mRumors, self);
         mProber = new Prober(settings, random, mTable, mComposer);
-        mContacts = new ContactBook(settings, random, mTable);
+        mContacts = new AntiEntropyScheduler(settings, random, mTable);
         mLastTickMillis = nowMillis;
         mJudge =
-                new MemberJudge(
+                new MemberStateMachine(
                         settings, mTable, mRumors, mComposer, mProber, mContacts, nowMillis);
     }
 
@@ -63,7 +63,7 @@
 
     /** Returns this VM and all others that aren't held dead; a new list each time. */
     public List<MemberUpdate> members() {
-        List<MemberUpdate> members = new ArrayList<>(mTable.live() + 1);
+        List<MemberUpdate> members = new ArrayList<>(mTable.liveCount() + 1);
         members.add(self());
         for (Member member : mTable.all()) {
             if (!member.isDead()) {
@@ -80,8 +80,8 @@
     }
 
     /** Sets the addresses for peers in the platform's VM list; they are contacted, not believed. */
-    public void setHints(Collection<Endpoint> hints) {
-        mContacts.setHints(hints);
+    public void setSeeds(Collection<Endpoint> hints) {
+        mContacts.setSeeds(hints);
     }
 
     /** Sets the newest configuration change that this VM has; each datagram carries it. */
@@ -95,7 +95,7 @@
         guardAgainstPause(nowMillis);
         endWaitForList(nowMillis);
         mProber.onTick(nowMillis, actions)
-                .ifPresent(member -> mJudge.onUnanswered(member, nowMillis, actions));
+                .ifPresent(member -> mJudge.onProbeFailed(member, nowMillis, actions));
         mJudge.expire(nowMillis, actions);
         mContacts.onTick(self(), mOutdated, nowMillis, actions);
         spreadIfDue(nowMillis, actions);
@@ -125,8 +125,8 @@
             answerFormerIncarnation(sender, message, actions);
             return actions;
         }
-        sender.heard(nowMillis);
-        mJudge.heardAny(nowMillis);
+        sender.recordHeard(nowMillis);
+        mJudge.recordHeard(nowMillis);
         answer(sender, message, nowMillis, actions);
         return actions;
     }
@@ -135,22 +135,22 @@
     public void onHeard(VmIdentity identity, long nowMillis) {
         Member member = mTable.find(identity.name());
         if (member != null && member.identity().equals(identity)) {
-            member.heard(nowMillis);
-            mJudge.heardAny(nowMillis);
+            member.recordHeard(nowMillis);
+            mJudge.recordHeard(nowMillis);
         }
     }
 
     /** Takes another VM's request for the list. */
-    public JoinAnswer onJoinRequest(JoinRequest request, long nowMillis) {
+    public JoinResponse onJoinRequest(JoinRequest request, long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
         guardAgainstPause(nowMillis);
         if (mOutdated) {
-            return new JoinAnswer(List.of(self()), actions);
+            return new JoinResponse(List.of(self()), actions);
         }
         mJudge.apply(request.self(), nowMillis, actions);
         onHeard(request.self().identity(), nowMillis);
         boolean equal = mTable.digest(self()) == request.digest();
-        return new JoinAnswer(equal ? List.of() : listFor(request.self()), actions);
+        return new JoinResponse(equal ? List.of() : listFor(request.self()), actions);
     }
 
     /**
@@ -164,16 +164,16 @@
     public List<MembershipAction> onJoinReply(List<MemberUpdate> members, long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
         if (!members.isEmpty()) {
-            mJudge.heardAny(nowMillis);
+            mJudge.recordHeard(nowMillis);
         }
         Set<String> names = names(members);
         if (mOutdated && members.size() > 1) {
-            mJudge.dropUnlisted(names, mOutdatedSinceMillis, nowMillis, actions);
+            mJudge.markUnlistedDead(names, mOutdatedSinceMillis, nowMillis, actions);
         }
         mOutdated &= members.size() == 1;
         mJudge.confirmVerdicts(names);
         int notices = 0;
-        int start = members.isEmpty() ? 0 : mTable.draw(members.size());
+        int start = members.isEmpty() ? 0 : mTable.randomInt(members.size());
         for (int i = 0; i < members.size(); i++) {
             MemberUpdate update = members.get((start + i) % members.size());
             Member known = mTable.find(update.identity().name());
@@ -181,10 +181,10 @@
                 mJudge.apply(update, nowMillis, actions);
             } else if (known == null) {
                 mJudge.addListed(update, nowMillis, actions);
-            } else if (update.state().isOwnWord()) {
+            } else if (update.state().isSelfReported()) {
                 mJudge.apply(update, nowMillis, actions);
                 if (known.isDead() && notices++ < MOST_NOTICES) {
-                    actions.add(mComposer.tell(known.update(), known.update()));
+                    actions.add(mComposer.composeRumor(known.update(), known.update()));
                 }
             } else if (update.supersedes(known.update())) {
                 mProber.probeSoon(known);
@@ -206,14 +206,14 @@
      * Returns which share of the named VMs was heard within the window; 1 if none is named. VMs
      * that aren't known count as not heard.
      */
-    public double heardFromShare(Collection<VmIdentity> vms, long nowMillis, long windowMillis) {
+    public double heardFraction(Collection<VmIdentity> vms, long nowMillis, long windowMillis) {
         if (vms.isEmpty()) {
             return 1;
         }
         long heard =
                 vms.stream()
                         .map(identity -> mTable.find(identity.name()))
-                        .filter(member -> MemberJudge.heardWithin(member, nowMillis, windowMillis))
+                        .filter(member -> MemberStateMachine.heardWithin(member, nowMillis, windowMillis))
                         .count();
         return (double) heard / vms.size();
     }
@@ -232,9 +232,9 @@
     private void answer(
             Member sender, GossipMessage message, long nowMillis, List<MembershipAction> actions) {
         switch (message.kind()) {
-            case PING -> actions.add(mComposer.write(sender, GossipKind.ACK, message.sequence()));
-            case ACK, INDIRECT_ACK -> mProber.onAnswer(sender, message.sequence(), actions);
-            case PING_REQUEST -> mProber.onRequest(sender, message, nowMillis, actions);
+            case PING -> actions.add(mComposer.compose(sender, GossipKind.ACK, message.sequence()));
+            case ACK, INDIRECT_ACK -> mProber.onAck(sender, message.sequence(), actions);
+            case PING_REQUEST -> mProber.onPingRequest(sender, message, nowMillis, actions);
             case RUMOR -> {
                 // Not answered: two VMs that hold each other dead would answer without end.
             }
@@ -251,7 +251,7 @@
         message.updates().stream()
                 .filter(update -> update.identity().equals(message.sender()))
                 .findFirst()
-                .map(former -> mComposer.tell(former, successor.update()))
+                .map(former -> mComposer.composeRumor(former, successor.update()))
                 .ifPresent(actions::add);
     }
 
@@ -269,8 +269,8 @@
             return;
         }
         mProber.abandonRound();
-        mTable.all().forEach(member -> member.shiftSince(gap));
-        if (gap >= mSettings.suspicionMillis(mTable.live())) {
+        mTable.all().forEach(member -> member.shiftStateSince(gap));
+        if (gap >= mSettings.suspicionMillis(mTable.liveCount())) {
             mRumors.clear();
             mOutdated = true;
             mOutdatedSinceMillis = nowMillis;
@@ -291,18 +291,18 @@
     }
 
     private void spreadIfDue(long nowMillis, List<MembershipAction> actions) {
-        if (mJudge.hasUrgentNews() && nowMillis >= mNextRumorMillis) {
+        if (mJudge.hasUrgentUpdates() && nowMillis >= mNextRumorMillis) {
             spread(nowMillis, actions);
         }
     }
 
     private void spread(long nowMillis, List<MembershipAction> actions) {
-        mJudge.urgentNewsSent();
+        mJudge.clearUrgentUpdates();
         mNextRumorMillis = nowMillis + mSettings.rumorInterval().toMillis();
         List<Member> picked =
-                mTable.pick(mSettings.rumorFanout(), member -> member.state().isOwnWord());
+                mTable.sample(mSettings.rumorFanout(), member -> member.state().isSelfReported());
         for (Member member : picked) {
-            actions.add(mComposer.write(member, GossipKind.RUMOR, 0));
+            actions.add(mComposer.compose(member, GossipKind.RUMOR, 0));
         }
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipSettings.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipSettings.java
@@ -16,9 +16,9 @@
  * @param rumorInterval least time between two such rounds
  * @param exchangeInterval time between two comparisons of the whole list with a random VM, in a
  *     fleet of up to 256; proportionally longer in a larger one
- * @param hintInterval time between two contacts to an address of the VM list that isn't a live
+ * @param seedInterval time between two contacts to an address of the VM list that isn't a live
  *     member's
- * @param tombstone how long a dead VM is remembered
+ * @param tombstoneRetention how long a dead VM is remembered
  * @param datagramBytes room for news in one datagram
  */
 public record MembershipSettings(
@@ -30,12 +30,12 @@
         int rumorFanout,
         Duration rumorInterval,
         Duration exchangeInterval,
-        Duration hintInterval,
-        Duration tombstone,
+        Duration seedInterval,
+        Duration tombstoneRetention,
         int datagramBytes) {
 
     /** Returns the values that are used if the settings file names none. */
-    public static MembershipSettings standard() {
+    public static MembershipSettings defaults() {
         return new MembershipSettings(
                 Duration.ofSeconds(1),
                 Duration.ofMillis(300),
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Prober.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Prober.java
@@ -77,7 +77,7 @@
     }
 
     /** Takes an answer, direct or passed on. */
-    void onAnswer(Member from, long sequence, List<MembershipAction> actions) {
+    void onAck(Member from, long sequence, List<MembershipAction> actions) {
         Relay relay = mRelays.remove(sequence);
         if (relay != null) {
             passOn(from, relay, actions);
@@ -89,7 +89,7 @@
     }
 
     /** Pings a member on another VM's request. */
-    void onRequest(
+    void onPingRequest(
             Member requester,
             GossipMessage message,
             long nowMillis,
@@ -105,7 +105,7 @@
         mRelays.put(
                 sequence,
                 new Relay(requester.identity(), message.sequence(), subject.identity(), nowMillis));
-        actions.add(mComposer.write(subject, GossipKind.PING, sequence));
+        actions.add(mComposer.compose(subject, GossipKind.PING, sequence));
     }
 
     private void passOn(Member from, Relay relay, List<MembershipAction> actions) {
@@ -114,7 +114,7 @@
             return;
         }
         actions.add(
-                mComposer.write(
+                mComposer.compose(
                         requester,
                         GossipKind.INDIRECT_ACK,
                         relay.sequence(),
@@ -140,7 +140,7 @@
         mTargetSequence = ++mSequence;
         mAnswered = false;
         mIndirect = false;
-        actions.add(mComposer.write(mTarget, GossipKind.PING, mTargetSequence));
+        actions.add(mComposer.compose(mTarget, GossipKind.PING, mTargetSequence));
     }
 
     /**
@@ -154,12 +154,12 @@
         }
         mIndirect = true;
         List<Member> helpers =
-                mTable.pick(
+                mTable.sample(
                         mSettings.indirectProbes(),
-                        member -> member != mTarget && member.state().isOwnWord());
+                        member -> member != mTarget && member.state().isSelfReported());
         for (Member helper : helpers) {
             actions.add(
-                    mComposer.write(
+                    mComposer.compose(
                             helper,
                             GossipKind.PING_REQUEST,
                             mTargetSequence,
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/RumorQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/RumorQueue.java
@@ -39,8 +39,8 @@
         List<MemberUpdate> updates = new ArrayList<>(taken.size());
         for (Member member : taken) {
             updates.add(member.update());
-            if (member.sent() + 1 < transmissions) {
-                put(member, member.sent() + 1);
+            if (member.transmissions() + 1 < transmissions) {
+                put(member, member.transmissions() + 1);
             }
         }
         return updates;
@@ -66,13 +66,13 @@
         while (mBySent.size() <= sent) {
             mBySent.add(new LinkedHashSet<>());
         }
-        member.setSent(sent);
+        member.setTransmissions(sent);
         mBySent.get(sent).add(member);
     }
 
     private void remove(Member member) {
-        if (member.sent() < mBySent.size()) {
-            mBySent.get(member.sent()).remove(member);
+        if (member.transmissions() < mBySent.size()) {
+            mBySent.get(member.transmissions()).remove(member);
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeAction.java
@@ -18,7 +18,7 @@
      * @param answer what to say
      * @param notice what to send to the witness, if anything
      */
-    record Settle(OperationAnswer answer, Optional<OutcomeNotice> notice) implements HomeAction {}
+    record Respond(OperationAnswer answer, Optional<OutcomeNotice> notice) implements HomeAction {}
 
     /** Do nothing: the event came late or twice. */
     record Ignore() implements HomeAction {}
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeLedger.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeLedger.java
@@ -43,11 +43,11 @@
      * @param deadlineMillis when it is no longer worth starting, by this VM's clock
      * @param nowMillis this VM's clock
      */
-    public Beginning begin(
+    public BeginResult begin(
             Operation operation, String digest, long deadlineMillis, long nowMillis) {
         mTable.advance(nowMillis);
         if (!isHomeOf(operation.key())) {
-            return new Beginning.WrongHome(operation.key().home());
+            return new BeginResult.WrongHome(operation.key().home());
         }
         Optional<UnknownReason> refusal = mTable.refusal(operation.key());
         if (refusal.isPresent()) {
@@ -57,8 +57,8 @@
         if (known.isPresent()) {
             return answered(answerRepeat(known.get(), digest));
         }
-        if (mTable.add(operation, HomeRecord.asking(digest, deadlineMillis))) {
-            return new Beginning.AskWitness(operation.key().witness());
+        if (mTable.add(operation, HomeRecord.awaitingWitness(digest, deadlineMillis))) {
+            return new BeginResult.SendIntent(operation.key().witness());
         }
         return answered(refuse(operation, HomeRecord.tombstone(digest, NotRunReason.HOME_FULL)));
     }
@@ -102,7 +102,7 @@
     public HomeAction witnessTimedOut(Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
         return mTable.find(operation)
-                .filter(record -> record.state() == State.ASKING_WITNESS)
+                .filter(record -> record.state() == State.AWAITING_WITNESS)
                 .map(record -> abandon(operation, record, NotRunReason.WITNESS_SILENT))
                 .orElseGet(() -> late(operation));
     }
@@ -124,7 +124,7 @@
         if (known.isEmpty()) {
             return late(operation);
         }
-        boolean given = known.get().state() == State.LOST_TOUCH;
+        boolean given = known.get().state() == State.RESPONSE_LOST;
         if (given || !anotherTarget || attempt >= mMaxAttempts) {
             return abandon(operation, known.get(), NotRunReason.TARGETS_REFUSED);
         }
@@ -132,19 +132,19 @@
     }
 
     /** Takes in that an attempt may have run but its answer has not come: time-out or broken. */
-    public HomeAction lostTouch(Operation operation, int attempt, long nowMillis) {
+    public HomeAction responseLost(Operation operation, int attempt, long nowMillis) {
         mTable.advance(nowMillis);
         Optional<HomeRecord> known = openAttempt(operation, attempt);
         if (known.isEmpty()) {
             return late(operation);
         }
-        HomeRecord lost = known.get().lostTouch();
+        HomeRecord lost = known.get().withResponseLost();
         mTable.replace(operation, lost);
-        return new HomeAction.Settle(lost.answer(), Optional.empty());
+        return new HomeAction.Respond(lost.answer(), Optional.empty());
     }
 
     /**
-     * Takes in the whole answer of a target, also after {@link #lostTouch}. Who waits for that
+     * Takes in the whole answer of a target, also after {@link #responseLost}. Who waits for that
      * answer gets it whole in any case; the action tells what is kept and what repeats are told.
      */
     public HomeAction finished(
@@ -154,10 +154,10 @@
         if (known.isEmpty()) {
             return late(operation);
         }
-        RecordedResult kept = mTable.fit(operation, result);
-        mTable.replace(operation, known.get().ran(kept));
+        RecordedResult kept = mTable.fitResult(operation, result);
+        mTable.replace(operation, known.get().withResult(kept));
         OperationAnswer answer = new OperationAnswer.Result(result);
-        return new HomeAction.Settle(answer, Optional.of(OutcomeNotice.ran(operation, kept)));
+        return new HomeAction.Respond(answer, Optional.of(OutcomeNotice.ran(operation, kept)));
     }
 
     /** Returns how many keys are on record. */
@@ -175,7 +175,7 @@
      * key that was already dispatched or already answered "not run".
      */
     boolean awaitsWitness(HomeRecord record) {
-        return record.state() == State.ASKING_WITNESS;
+        return record.state() == State.AWAITING_WITNESS;
     }
 
     /** Guards against a run of which the witness knows nothing and answers "not run" later. */
@@ -183,8 +183,8 @@
         return reply == IntentReply.ACCEPTED;
     }
 
-    private static Beginning answered(OperationAnswer answer) {
-        return new Beginning.Answered(answer);
+    private static BeginResult answered(OperationAnswer answer) {
+        return new BeginResult.Answered(answer);
     }
 
     private static HomeRecord askedFirst() {
@@ -202,12 +202,12 @@
             return new HomeAction.Ignore();
         }
         OperationAnswer answer = new OperationAnswer.Unknown(UnknownReason.EXPIRED);
-        return new HomeAction.Settle(answer, Optional.empty());
+        return new HomeAction.Respond(answer, Optional.empty());
     }
 
     /** Guards against a late report on one attempt that would end, or repeat, the next. */
     Optional<HomeRecord> openAttempt(Operation operation, int attempt) {
-        return mTable.find(operation).filter(record -> record.awaits(attempt));
+        return mTable.find(operation).filter(record -> record.isOpenAttempt(attempt));
     }
 
     /**
@@ -227,15 +227,15 @@
         if (nowMillis > record.deadlineMillis()) {
             return abandon(operation, record, NotRunReason.DEADLINE_PASSED);
         }
-        HomeRecord dispatched = record.dispatchedAgain();
+        HomeRecord dispatched = record.withNextAttempt();
         mTable.replace(operation, dispatched);
         return new HomeAction.Dispatch(dispatched.attempt());
     }
 
     private HomeAction abandon(Operation operation, HomeRecord record, NotRunReason reason) {
-        HomeRecord tombstone = record.notRun(reason);
+        HomeRecord tombstone = record.withNotRun(reason);
         mTable.replace(operation, tombstone);
-        return new HomeAction.Settle(
+        return new HomeAction.Respond(
                 tombstone.answer(), Optional.of(OutcomeNotice.abandoned(operation)));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeRecord.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeRecord.java
@@ -22,19 +22,19 @@
 
     /** How far an operation has come at its home. */
     enum State {
-        ASKING_WITNESS,
+        AWAITING_WITNESS,
         DISPATCHED,
-        LOST_TOUCH,
+        RESPONSE_LOST,
         RAN,
         NOT_RUN
     }
 
-    static HomeRecord asking(String digest, long deadlineMillis) {
+    static HomeRecord awaitingWitness(String digest, long deadlineMillis) {
         return new HomeRecord(
                 digest,
                 deadlineMillis,
                 0,
-                State.ASKING_WITNESS,
+                State.AWAITING_WITNESS,
                 Optional.empty(),
                 Optional.empty());
     }
@@ -43,35 +43,35 @@
         return new HomeRecord(digest, 0, 0, State.NOT_RUN, Optional.empty(), Optional.of(reason));
     }
 
-    HomeRecord dispatchedAgain() {
+    HomeRecord withNextAttempt() {
         return new HomeRecord(
                 digest, deadlineMillis, attempt + 1, State.DISPATCHED, result, reason);
     }
 
-    HomeRecord lostTouch() {
-        return new HomeRecord(digest, deadlineMillis, attempt, State.LOST_TOUCH, result, reason);
+    HomeRecord withResponseLost() {
+        return new HomeRecord(digest, deadlineMillis, attempt, State.RESPONSE_LOST, result, reason);
     }
 
-    HomeRecord ran(RecordedResult kept) {
+    HomeRecord withResult(RecordedResult kept) {
         return new HomeRecord(
                 digest, deadlineMillis, attempt, State.RAN, Optional.of(kept), Optional.empty());
     }
 
-    HomeRecord notRun(NotRunReason why) {
+    HomeRecord withNotRun(NotRunReason why) {
         return new HomeRecord(
                 digest, deadlineMillis, attempt, State.NOT_RUN, Optional.empty(), Optional.of(why));
     }
 
     /** Tells whether the given attempt is the last one and its end is still open. */
-    boolean awaits(int endedAttempt) {
-        boolean open = state == State.DISPATCHED || state == State.LOST_TOUCH;
+    boolean isOpenAttempt(int endedAttempt) {
+        boolean open = state == State.DISPATCHED || state == State.RESPONSE_LOST;
         return open && attempt == endedAttempt;
     }
 
     OperationAnswer answer() {
         return switch (state) {
-            case ASKING_WITNESS, DISPATCHED -> new OperationAnswer.InProgress();
-            case LOST_TOUCH -> new OperationAnswer.Unknown(UnknownReason.MAY_HAVE_RUN);
+            case AWAITING_WITNESS, DISPATCHED -> new OperationAnswer.InProgress();
+            case RESPONSE_LOST -> new OperationAnswer.Unknown(UnknownReason.MAY_HAVE_RUN);
             case RAN -> new OperationAnswer.Result(result.orElseThrow());
             case NOT_RUN -> new OperationAnswer.NotRun(reason.orElseThrow());
         };
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationKey.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationKey.java
@@ -8,9 +8,9 @@
  * Names one operation of a customer, as the {@code Idempotency-Key} header carries it.
  *
  * @param token the part that an ask handed out
- * @param unique the caller's own part; 1 to 64 letters, digits, hyphens and underscores
+ * @param suffix the caller's own part; 1 to 64 letters, digits, hyphens and underscores
  */
-public record OperationKey(OperationToken token, String unique) {
+public record OperationKey(OperationToken token, String suffix) {
 
     /** Longest text of a key, in characters. */
     public static final int MAX_LENGTH = OperationToken.MAX_LENGTH + 1 + 64;
@@ -23,7 +23,7 @@
      * @throws IllegalArgumentException if {@code unique} is malformed
      */
     public OperationKey {
-        if (!UNIQUE.matcher(unique).matches()) {
+        if (!UNIQUE.matcher(suffix).matches()) {
             throw new IllegalArgumentException(
                     "The unique part must be 1 to 64 letters, digits, hyphens or underscores.");
         }
@@ -54,13 +54,13 @@
     }
 
     /** Returns when the key's token was handed out, in milliseconds since the epoch. */
-    public long bornMillis() {
-        return token.bornMillis();
+    public long issuedMillis() {
+        return token.issuedMillis();
     }
 
     /** Writes {@code home.witness.born.unique}. */
     @Override
     public String toString() {
-        return token + "." + unique;
+        return token + "." + suffix;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationTable.java
@@ -24,7 +24,7 @@
     private final Map<Operation, Long> mResultBytes = new HashMap<>();
     private final PriorityQueue<Operation> mOldestFirst =
             new PriorityQueue<>(
-                    Comparator.comparingLong(operation -> operation.key().bornMillis()));
+                    Comparator.comparingLong(operation -> operation.key().issuedMillis()));
     private long mBytes;
     private long mNowMillis = Long.MIN_VALUE;
 
@@ -37,14 +37,14 @@
     void advance(long nowMillis) {
         // A clock that went back would take a key again whose record is gone, and run it twice.
         mNowMillis = Math.max(mNowMillis, nowMillis);
-        while (!mOldestFirst.isEmpty() && mayDrop(mOldestFirst.peek(), mNowMillis)) {
+        while (!mOldestFirst.isEmpty() && canEvict(mOldestFirst.peek(), mNowMillis)) {
             drop(mOldestFirst.poll());
         }
     }
 
     /** Returns why the key isn't taken at the table's time; empty if it is. */
     Optional<UnknownReason> refusal(OperationKey key) {
-        return mWindow.refusal(key.bornMillis(), mNowMillis);
+        return mWindow.refusal(key.issuedMillis(), mNowMillis);
     }
 
     Optional<R> find(Operation operation) {
@@ -67,7 +67,7 @@
     }
 
     /** Returns as much of a result as there is room for, and takes that room. */
-    RecordedResult fit(Operation operation, RecordedResult result) {
+    RecordedResult fitResult(Operation operation, RecordedResult result) {
         boolean bodyIsLong =
                 result.body().map(RecordedBody::length).orElse(0) > mLimits.maxBodyBytes();
         if (!bodyIsLong && takeBytes(operation, result)) {
@@ -88,24 +88,24 @@
     }
 
     /** Guards against a repeated key that finds no record and runs again. */
-    boolean mayDrop(Operation operation, long nowMillis) {
-        return mWindow.isOver(operation.key().bornMillis(), nowMillis);
+    boolean canEvict(Operation operation, long nowMillis) {
+        return mWindow.isExpired(operation.key().issuedMillis(), nowMillis);
     }
 
     /** Guards against room made by dropping a live record, whose key would then run again. */
-    boolean hasRoom(int maxRecords) {
+    boolean hasCapacity(int maxRecords) {
         return mRecords.size() < maxRecords && mBytes + BASE_BYTES <= mLimits.maxBytes();
     }
 
     /** Removes the oldest record, expired or not. */
-    final void dropOldest() {
+    final void evictOldest() {
         if (!mOldestFirst.isEmpty()) {
             drop(mOldestFirst.poll());
         }
     }
 
     private boolean add(Operation operation, R record, int maxRecords) {
-        if (mRecords.containsKey(operation) || !hasRoom(maxRecords)) {
+        if (mRecords.containsKey(operation) || !hasCapacity(maxRecords)) {
             return false;
         }
         mRecords.put(operation, record);
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationToken.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationToken.java
@@ -12,9 +12,9 @@
  *
  * @param home the only VM incarnation that ever dispatches a key with this token
  * @param witness the VM incarnation that acknowledges the intent before the home dispatches
- * @param bornMillis when the token was handed out, milliseconds since the epoch by the asked VM
+ * @param issuedMillis when the token was handed out, milliseconds since the epoch by the asked VM
  */
-public record OperationToken(VmIdentity home, VmIdentity witness, long bornMillis) {
+public record OperationToken(VmIdentity home, VmIdentity witness, long issuedMillis) {
 
     /** Longest text of a token, in characters. */
     static final int MAX_LENGTH = 2 * (63 + 1 + 13) + 2 + 13;
@@ -71,6 +71,6 @@
     /** Writes {@code home.witness.born}, the time in base 36. */
     @Override
     public String toString() {
-        return home + "." + witness + "." + Long.toString(bornMillis, Character.MAX_RADIX);
+        return home + "." + witness + "." + Long.toString(issuedMillis, Character.MAX_RADIX);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/Resolver.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/Resolver.java
@@ -31,7 +31,7 @@
         VmIdentity home = operation.key().home();
         // The former life of this VM is gone, and this life knows nothing of what it dispatched.
         if (home.name().equals(mSelf.name())) {
-            return homeSilent(operation, nowMillis);
+            return homeUnavailable(operation, nowMillis);
         }
         return new ResolverStep.ForwardToHome(home);
     }
@@ -41,18 +41,18 @@
             Operation operation, VmIdentity from, OperationAnswer answer, long nowMillis) {
         // A restarted home has an empty ledger; what it says on its former life's keys is no word.
         if (!from.equals(operation.key().home())) {
-            return homeSilent(operation, nowMillis);
+            return homeUnavailable(operation, nowMillis);
         }
         return new ResolverStep.Answer(answer);
     }
 
     /** Goes on to the witness when the home can't be reached, has changed, or does not answer. */
-    public ResolverStep homeSilent(Operation operation, long nowMillis) {
+    public ResolverStep homeUnavailable(Operation operation, long nowMillis) {
         VmIdentity witness = operation.key().witness();
         if (witness.name().equals(mSelf.name())) {
             return new ResolverStep.Answer(mOwnRegister.resolve(operation, nowMillis));
         }
-        return new ResolverStep.AskWitness(witness);
+        return new ResolverStep.QueryWitness(witness);
     }
 
     /** Takes in the answer of the VM at the witness's address. */
@@ -65,7 +65,7 @@
     }
 
     /** Ends when the witness can't be reached or does not answer. */
-    public ResolverStep witnessSilent() {
+    public ResolverStep witnessUnavailable() {
         return unknown(UnknownReason.NO_WORD);
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/once/ResolverStep.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/ResolverStep.java
@@ -17,7 +17,7 @@
      *
      * @param witness where to ask
      */
-    record AskWitness(VmIdentity witness) implements ResolverStep {}
+    record QueryWitness(VmIdentity witness) implements ResolverStep {}
 
     /**
      * Answer the caller.
--- a/decisions/src/main/java/org/dahliapass/decisions/once/RetentionWindow.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/RetentionWindow.java
@@ -8,24 +8,24 @@
  * <p>A record is dropped only once the same clock also refuses its key, so no comparison between
  * the clocks of two VMs is ever relied on for safety.
  *
- * @param marginMillis how far a key's birth may lie ahead of the clock, in milliseconds
- * @param windowMillis how long after its birth a key is taken and kept, in milliseconds
+ * @param maxClockSkewMillis how far a key's birth may lie ahead of the clock, in milliseconds
+ * @param retentionMillis how long after its birth a key is taken and kept, in milliseconds
  */
-public record RetentionWindow(long marginMillis, long windowMillis) {
+public record RetentionWindow(long maxClockSkewMillis, long retentionMillis) {
 
     /** Returns why a key born at the given time isn't taken now; empty if it is. */
     public Optional<UnknownReason> refusal(long bornMillis, long nowMillis) {
-        if (isOver(bornMillis, nowMillis)) {
+        if (isExpired(bornMillis, nowMillis)) {
             return Optional.of(UnknownReason.EXPIRED);
         }
-        if (bornMillis - nowMillis > marginMillis) {
+        if (bornMillis - nowMillis > maxClockSkewMillis) {
             return Optional.of(UnknownReason.NOT_YET_VALID);
         }
         return Optional.empty();
     }
 
     /** Tells whether keys born at the given time are refused for good. */
-    public boolean isOver(long bornMillis, long nowMillis) {
-        return nowMillis - bornMillis > windowMillis;
+    public boolean isExpired(long bornMillis, long nowMillis) {
+        return nowMillis - bornMillis > retentionMillis;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/UnknownReason.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/UnknownReason.java
@@ -29,7 +29,7 @@
     }
 
     /** Tells whether asking again by the same key later can give another answer. */
-    public boolean mayBeSettledLater() {
+    public boolean mayResolveLater() {
         return mMayBeSettledLater;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
@@ -101,7 +101,7 @@
         }
         Entry end =
                 notice.result()
-                        .map(result -> mTable.fit(operation, result))
+                        .map(result -> mTable.fitResult(operation, result))
                         .map(kept -> new Entry(State.RESULT, Optional.of(kept)))
                         .orElse(Entry.of(State.NOT_RUN));
         mTable.replace(operation, end);
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/AskPolicyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/AddressSelectorTest.java
@@ -16,14 +16,14 @@
 import org.testng.annotations.Test;
 
 /** Checks which addresses an ask gets. */
-public final class AskPolicyTest {
+public final class AddressSelectorTest {
     private static final Duration TIME_TO_LIVE = Duration.ofSeconds(20);
 
-    private final AskPolicy mPolicy = new AskPolicy(3, TIME_TO_LIVE, new Random(1));
+    private final AddressSelector mPolicy = new AddressSelector(3, TIME_TO_LIVE, new Random(1));
 
     @Test
     public void addressesAreOfDifferentZones() {
-        AskAnswer answer = mPolicy.answer(CellPlannerTest.fleet(6), Optional.empty());
+        SelectedAddresses answer = mPolicy.select(CellPlannerTest.fleet(6), Optional.empty());
         Set<String> zones = new HashSet<>();
         answer.vms().forEach(vm -> zones.add(vm.availabilityZone()));
         assertEquals(zones.size(), 3);
@@ -33,7 +33,7 @@
     @Test
     public void callersZoneComesFirst() {
         for (int i = 0; i < 20; i++) {
-            AskAnswer answer = mPolicy.answer(CellPlannerTest.fleet(6), Optional.of("zone-2"));
+            SelectedAddresses answer = mPolicy.select(CellPlannerTest.fleet(6), Optional.of("zone-2"));
             assertEquals(answer.vms().get(0).availabilityZone(), "zone-2");
         }
     }
@@ -42,7 +42,7 @@
     public void callersAreSpreadOverTheCell() {
         Set<Vm> first = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            first.add(mPolicy.answer(CellPlannerTest.fleet(6), Optional.empty()).vms().get(0));
+            first.add(mPolicy.select(CellPlannerTest.fleet(6), Optional.empty()).vms().get(0));
         }
         assertEquals(first.size(), 6);
     }
@@ -54,7 +54,7 @@
         Vm suspected = cell.get(1).vm();
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.LEAVING));
         cell.set(1, CellPlannerTest.with(cell.get(1), MemberState.SUSPECT));
-        AskAnswer answer = mPolicy.answer(cell, Optional.of("zone-0"));
+        SelectedAddresses answer = mPolicy.select(cell, Optional.of("zone-0"));
         assertFalse(answer.vms().contains(leaving));
         assertFalse(answer.vms().contains(suspected));
         assertTrue(answer.timeToLive().compareTo(TIME_TO_LIVE) < 0);
@@ -64,13 +64,13 @@
     public void onlySuspectedVmsAreBetterThanNone() {
         List<MemberUpdate> cell = CellPlannerTest.fleet(1);
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.SUSPECT));
-        assertEquals(mPolicy.answer(cell, Optional.empty()).vms(), List.of(cell.get(0).vm()));
+        assertEquals(mPolicy.select(cell, Optional.empty()).vms(), List.of(cell.get(0).vm()));
     }
 
     @Test
     public void leavingVmIsNeverNamed() {
         List<MemberUpdate> cell = CellPlannerTest.fleet(1);
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.LEAVING));
-        assertTrue(mPolicy.answer(cell, Optional.empty()).vms().isEmpty());
+        assertTrue(mPolicy.select(cell, Optional.empty()).vms().isEmpty());
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/CellMembershipTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/CellMembershipTest.java
@@ -53,11 +53,11 @@
             if (members.remove(name) == null) {
                 members.put(name, zoneOf(name));
             }
-            membership.onMembers(members);
+            membership.updateMembers(members);
             for (ServiceId service : services) {
                 int size = 1 + random.nextInt(8);
                 boolean expected = planned(service, size, members);
-                assertEquals(membership.isIn(service, size), expected, "step " + step);
+                assertEquals(membership.isInCell(service, size), expected, "step " + step);
                 inside += expected ? 1 : 0;
             }
         }
@@ -67,13 +67,13 @@
     @Test
     public void isInNoCellBeforeItIsAMember() {
         CellMembership membership = new CellMembership(SELF, zoneOf(SELF));
-        assertFalse(membership.isIn(new ServiceId("himal", "desk"), 6));
+        assertFalse(membership.isInCell(new ServiceId("himal", "desk"), 6));
     }
 
     @Test
     public void aloneIsInEveryCell() {
         CellMembership membership = new CellMembership(SELF, zoneOf(SELF));
-        membership.onMembers(Map.of(SELF, zoneOf(SELF)));
-        assertTrue(membership.isIn(new ServiceId("himal", "desk"), 1));
+        membership.updateMembers(Map.of(SELF, zoneOf(SELF)));
+        assertTrue(membership.isInCell(new ServiceId("himal", "desk"), 1));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/AcceptTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/AcceptProtocolTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of one accept, step by step. */
-public final class AcceptTest {
+public final class AcceptProtocolTest {
     private static final int CAPACITY = 2;
     private static final ServiceId DESK = new ServiceId("himal", "desk");
 
@@ -28,12 +28,12 @@
                 base);
     }
 
-    private static Accept accept(String customer, String operation, long base) {
-        return new Accept(request(customer, operation, base), CAPACITY);
+    private static AcceptProtocol accept(String customer, String operation, long base) {
+        return new AcceptProtocol(request(customer, operation, base), CAPACITY);
     }
 
     /** Answers until the machine is about to swap the head. */
-    private static StoreAction.Swap untilHeadSwap(MemoryStore store, Accept accept) {
+    private static StoreAction.Swap untilHeadSwap(InMemoryStore store, AcceptProtocol accept) {
         StoreAction action = accept.start();
         while (!(action instanceof StoreAction.Swap swap && swap.key().equals(StoreKey.HEAD))) {
             action = store.answer(accept, action);
@@ -43,7 +43,7 @@
 
     @Test
     public void firstChangeIsAcceptedWithItsTextAndIndex() {
-        MemoryStore store = new MemoryStore();
+        InMemoryStore store = new InMemoryStore();
         assertEquals(store.run(accept("himal", "op-1", 0)), new Accepted(1));
         ChangeRecord record = store.head().newestOf("himal").orElseThrow();
         assertEquals(
@@ -56,20 +56,20 @@
     // must be told which change came first, and nothing of hers may be in the order.
     @Test
     public void secondOfTwoOperatorsIsToldWhatStands() {
-        MemoryStore store = new MemoryStore();
+        InMemoryStore store = new InMemoryStore();
         store.run(accept("himal", "op-1", 0));
-        Accept slow = accept("himal", "op-slow", 1);
+        AcceptProtocol slow = accept("himal", "op-slow", 1);
         StoreAction swap = untilHeadSwap(store, slow);
         store.run(accept("himal", "op-fast", 1));
         AcceptOutcome outcome = store.finish(slow, swap);
-        assertEquals(((Conflict) outcome).standing().orElseThrow().operationId(), "op-fast");
-        assertFalse(store.head().ofOperation("op-slow").isPresent());
+        assertEquals(((Conflict) outcome).current().orElseThrow().operationId(), "op-fast");
+        assertFalse(store.head().findByOperation("op-slow").isPresent());
     }
 
     @Test
     public void changeOfAnotherCustomerIsNoConflict() {
-        MemoryStore store = new MemoryStore();
-        Accept slow = accept("himal", "op-slow", 0);
+        InMemoryStore store = new InMemoryStore();
+        AcceptProtocol slow = accept("himal", "op-slow", 0);
         StoreAction swap = untilHeadSwap(store, slow);
         store.run(accept("suva", "op-other", 0));
         assertEquals(store.finish(slow, swap), new Accepted(2));
@@ -78,7 +78,7 @@
     // The base is checked against a change that left the ring long ago: the pointer must tell it.
     @Test
     public void baseThatLeftTheRingIsFoundInThePointer() {
-        MemoryStore store = new MemoryStore();
+        InMemoryStore store = new InMemoryStore();
         store.run(accept("himal", "op-1", 0));
         for (int change = 0; change < 5; change++) {
             store.run(accept("suva", "filler-" + change, change == 0 ? 0 : change + 1));
@@ -92,13 +92,13 @@
     // again the change has left the ring. It must still be told "accepted", with its number.
     @Test
     public void lostAnswerIsFoundInThePointer() {
-        MemoryStore store = new MemoryStore();
-        Accept accept = accept("himal", "op-1", 0);
+        InMemoryStore store = new InMemoryStore();
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         store.apply(untilHeadSwap(store, accept));
         for (int change = 0; change < 5; change++) {
             store.run(accept("suva", "filler-" + change, change == 0 ? 0 : change + 1));
         }
-        StoreAction next = accept.onSwap(SwapAnswer.UNKNOWN);
+        StoreAction next = accept.onSwap(SwapOutcome.UNKNOWN);
         assertEquals(store.finish(accept, next), new Accepted(1));
     }
 
@@ -106,13 +106,13 @@
     // operation's id any more. The command must say "unknown" then, and never "conflict".
     @Test
     public void forgottenOperationIsUnknown() {
-        MemoryStore store = new MemoryStore();
-        Accept accept = accept("himal", "op-1", 0);
+        InMemoryStore store = new InMemoryStore();
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         store.apply(untilHeadSwap(store, accept));
-        for (int number = 1; number <= Pointer.OPERATIONS + CAPACITY + 1; number++) {
+        for (int number = 1; number <= Pointer.MAX_OPERATIONS + CAPACITY + 1; number++) {
             store.run(accept("himal", "later-" + number, number));
         }
-        StoreAction next = accept.onSwap(SwapAnswer.UNKNOWN);
+        StoreAction next = accept.onSwap(SwapOutcome.UNKNOWN);
         assertTrue(store.finish(accept, next) instanceof Unknown);
     }
 
@@ -122,17 +122,17 @@
     // results.
     @Test
     public void lateWriteDoesNotAcceptTwice() {
-        MemoryStore store = new MemoryStore();
-        Accept accept = accept("himal", "op-1", 0);
+        InMemoryStore store = new InMemoryStore();
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         StoreAction.Swap stuck = untilHeadSwap(store, accept);
-        assertEquals(store.finish(accept, accept.onSwap(SwapAnswer.UNKNOWN)), new Accepted(1));
-        assertEquals(store.apply(stuck), SwapAnswer.CONFLICT);
+        assertEquals(store.finish(accept, accept.onSwap(SwapOutcome.UNKNOWN)), new Accepted(1));
+        assertEquals(store.apply(stuck), SwapOutcome.CONFLICT);
         assertEquals(store.head().number(), 1);
     }
 
     @Test
     public void storeAwayBeforeTheSwapIsNotAccepted() {
-        Accept accept = accept("himal", "op-1", 0);
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         StoreAction action = accept.start();
         while (!(action instanceof StoreAction.Finish)) {
             action = accept.onReadFailed();
@@ -144,38 +144,38 @@
     // operator resolves it when the store is back, and the stuck write arrives only after that.
     @Test
     public void unknownResolvedToNoStaysNo() {
-        MemoryStore store = new MemoryStore();
+        InMemoryStore store = new InMemoryStore();
         store.run(accept("suva", "op-0", 0));
-        Accept accept = accept("himal", "op-1", 0);
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         StoreAction.Swap stuck = untilHeadSwap(store, accept);
-        StoreAction action = accept.onSwap(SwapAnswer.UNKNOWN);
+        StoreAction action = accept.onSwap(SwapOutcome.UNKNOWN);
         while (!(action instanceof StoreAction.Finish)) {
             action = accept.onReadFailed();
         }
         Unknown unknown = (Unknown) ((StoreAction.Finish) action).outcome();
         assertEquals(unknown.handle(), new OperationHandle("op-1", "himal", 3, 2));
         OperationHandle handle = OperationHandle.parse(unknown.handle().toString()).orElseThrow();
-        assertTrue(store.run(new Resolve(handle)) instanceof NotAccepted);
-        assertEquals(store.apply(stuck), SwapAnswer.CONFLICT);
+        assertTrue(store.run(new ResolveProtocol(handle)) instanceof NotAccepted);
+        assertEquals(store.apply(stuck), SwapOutcome.CONFLICT);
     }
 
     @Test
     public void unknownThatTookEffectResolvesToYes() {
-        MemoryStore store = new MemoryStore();
-        Accept accept = accept("himal", "op-1", 0);
+        InMemoryStore store = new InMemoryStore();
+        AcceptProtocol accept = accept("himal", "op-1", 0);
         StoreAction.Swap swap = untilHeadSwap(store, accept);
         OperationHandle handle = accept.handle();
         store.apply(swap);
-        assertEquals(store.run(new Resolve(handle)), new Accepted(1));
+        assertEquals(store.run(new ResolveProtocol(handle)), new Accepted(1));
     }
 
     // A writer reads the ring, pauses for long, and then writes its pointer for an old change of a
     // customer whose newer change has left the ring meanwhile. The pointer must not go back.
     @Test
     public void pointerNeverGoesBack() {
-        ChangeRecord old = request("himal", "op-1", 0).numbered(1);
-        ChangeRecord recent = request("himal", "op-2", 1).numbered(2);
-        Pointer merged = Pointer.of(old).mergedInto(Optional.of(Pointer.of(recent)));
+        ChangeRecord old = request("himal", "op-1", 0).toRecord(1);
+        ChangeRecord recent = request("himal", "op-2", 1).toRecord(2);
+        Pointer merged = Pointer.of(old).mergedWith(Optional.of(Pointer.of(recent)));
         assertEquals(merged.newest(), recent);
         assertEquals(merged.numberOf("op-1"), Optional.of(1L));
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
@@ -13,7 +13,7 @@
 import org.dahliapass.decisions.configuration.FollowerAction.Apply;
 import org.dahliapass.decisions.configuration.FollowerAction.FetchRecords;
 import org.dahliapass.decisions.configuration.FollowerAction.FetchText;
-import org.dahliapass.decisions.configuration.FollowerAction.PassOn;
+import org.dahliapass.decisions.configuration.FollowerAction.SendRumor;
 import org.dahliapass.decisions.configuration.FollowerAction.ReadStore;
 import org.dahliapass.decisions.configuration.FollowerAction.Reject;
 import org.dahliapass.decisions.configuration.FollowerAction.Release;
@@ -27,7 +27,7 @@
     private static final ServiceId DESK = new ServiceId("himal", "desk");
     private static final VmIdentity PEER_1 = new VmIdentity("vm-1", 1);
     private static final VmIdentity PEER_2 = new VmIdentity("vm-2", 1);
-    private static final long PATIENCE = FollowerSettings.FIELD.answerMillis();
+    private static final long PATIENCE = FollowerSettings.DEFAULTS.responseTimeoutMillis();
 
     private final Set<ServiceId> mServed = new HashSet<>();
     private List<VmIdentity> mMembers = List.of();
@@ -67,7 +67,7 @@
         mMembers = List.of(PEER_1, PEER_2);
         mFollower =
                 new ConfigurationFollower(
-                        FollowerSettings.FIELD,
+                        FollowerSettings.DEFAULTS,
                         new Peers(),
                         text -> text.contains("bad") ? Optional.of("It is bad.") : Optional.empty(),
                         new SplittableRandom(1));
@@ -96,11 +96,11 @@
     public void newsArePassedOnOnceAndFetched() {
         ChangeRecord change = change(1, "himal", "good");
         List<FollowerAction> actions = mFollower.onRumor(List.of(change), 0);
-        assertEquals(only(PassOn.class, actions).size(), 1);
+        assertEquals(only(SendRumor.class, actions).size(), 1);
         assertEquals(
                 only(FetchText.class, actions),
                 List.of(new FetchText(PEER_1, "himal", change.digest())));
-        assertTrue(only(PassOn.class, mFollower.onRumor(List.of(change), 1)).isEmpty());
+        assertTrue(only(SendRumor.class, mFollower.onRumor(List.of(change), 1)).isEmpty());
         assertEquals(
                 only(Apply.class, text(change, "good", 2)), List.of(new Apply("himal", 1, "good")));
         assertEquals(mFollower.cellSizes().get(DESK), Integer.valueOf(6));
@@ -118,7 +118,7 @@
         assertEquals(
                 only(Reject.class, text(bad, "bad", 3)),
                 List.of(new Reject("himal", 2, "It is bad.")));
-        assertEquals(mFollower.numberInForce("himal"), Optional.of(1L));
+        assertEquals(mFollower.activeNumber("himal"), Optional.of(1L));
         assertEquals(mFollower.text("himal", good.digest()), Optional.of("good"));
         assertEquals(mFollower.counters().textsWanted(), 0);
     }
@@ -161,7 +161,7 @@
             reads += due.size();
         }
         assertTrue(reads > 100, "" + reads);
-        assertTrue(reads <= 10_000 / FollowerSettings.FIELD.storePauseMillis(), "" + reads);
+        assertTrue(reads <= 10_000 / FollowerSettings.DEFAULTS.storeReadIntervalMillis(), "" + reads);
     }
 
     // A read of the providers' index is slow, so it is sent again. Meanwhile a first provider was
@@ -186,7 +186,7 @@
     private static Optional<StoreItem> customers(StoreKey key) {
         CustomerIndex index = CustomerIndex.of("himal");
         for (int number = 0; number < 300; number++) {
-            index = CustomerIndex.of("customer-" + number).mergedInto(Optional.of(index));
+            index = CustomerIndex.of("customer-" + number).mergedWith(Optional.of(index));
         }
         return key.kind() == StoreKind.CUSTOMERS ? Optional.of(index) : Optional.empty();
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFuzzTest.java
@@ -46,9 +46,9 @@
     /** Runs a schedule without a planted fault and returns how many changes were accepted. */
     private static long runSound(long seed) {
         FuzzSchedule schedule = FuzzSchedule.of(seed);
-        FuzzSchedule.Result result = schedule.run(PlantedFault.NONE);
+        FuzzSchedule.Result result = schedule.run(InjectedFault.NONE);
         if (result.failure().isPresent()) {
-            fail(describe(seed, schedule.shrunk(PlantedFault.NONE), result));
+            fail(describe(seed, schedule.shrunk(InjectedFault.NONE), result));
         }
         return result.accepted();
     }
@@ -59,21 +59,21 @@
                 seed,
                 original.failure().orElseThrow(),
                 shrunk.steps().size(),
-                shrunk.run(PlantedFault.NONE).failure().orElseThrow(),
+                shrunk.run(InjectedFault.NONE).failure().orElseThrow(),
                 shrunk.steps());
     }
 
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {PlantedFault.NO_MONOTONE_CHECK},
-            {PlantedFault.NO_POINTER},
-            {PlantedFault.LOST_MEANS_NOT_WRITTEN},
+            {InjectedFault.NO_MONOTONE_CHECK},
+            {InjectedFault.NO_POINTER},
+            {InjectedFault.LOST_MEANS_NOT_WRITTEN},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void plantedFaultIsFound(PlantedFault fault) {
+    public void plantedFaultIsFound(InjectedFault fault) {
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed++) {
             Optional<String> failure = FuzzSchedule.of(seed).run(fault).failure();
             if (failure.isPresent() && failure.get().contains(fault.symptom())) {
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
@@ -34,19 +34,19 @@
     /** An operator's command under way. */
     private static final class Operator {
         private final String mOperationId;
-        private final StoreMachine mMachine;
+        private final StoreProtocol mMachine;
         private StoreAction mAction;
 
-        Operator(String operationId, StoreMachine machine) {
+        Operator(String operationId, StoreProtocol machine) {
             mOperationId = operationId;
             mMachine = machine;
             mAction = machine.start();
         }
     }
 
-    private final PlantedFault mFault;
-    private final MemoryStore mStore = new MemoryStore();
-    private final FuzzOrder mOrder = new FuzzOrder();
+    private final InjectedFault mFault;
+    private final InMemoryStore mStore = new InMemoryStore();
+    private final FuzzOracle mOrder = new FuzzOracle();
     private final List<Node> mNodes = new ArrayList<>();
     private final List<Message> mMessages = new ArrayList<>();
     private final List<Operator> mOperators = new ArrayList<>();
@@ -58,7 +58,7 @@
     private long mLives;
     private int mOperations;
 
-    FuzzFleet(PlantedFault fault) {
+    FuzzFleet(InjectedFault fault) {
         mFault = fault;
         for (int slot = 0; slot < VMS; slot++) {
             mNodes.add(newNode(slot));
@@ -224,7 +224,7 @@
         return uses;
     }
 
-    void stepOperator(int choice, SwapAnswer fate) {
+    void stepOperator(int choice, SwapOutcome fate) {
         if (mOperators.isEmpty()) {
             return;
         }
@@ -234,7 +234,7 @@
             mOperators.remove(operator);
             mOrder.onOutcome(operator.mOperationId, finish.outcome());
             if (finish.outcome() instanceof AcceptOutcome.Unknown unknown) {
-                mOperators.add(new Operator(operator.mOperationId, new Resolve(unknown.handle())));
+                mOperators.add(new Operator(operator.mOperationId, new ResolveProtocol(unknown.handle())));
             }
         }
     }
@@ -260,7 +260,7 @@
             arriveLate(0);
         }
         while (!mOperators.isEmpty()) {
-            stepOperator(0, SwapAnswer.SWAPPED);
+            stepOperator(0, SwapOutcome.SWAPPED);
         }
         for (int round = 1; round <= LIMIT_TICKS; round++) {
             watch(0);
@@ -300,7 +300,7 @@
                 mOrder.newestOf(customer)
                         .filter(r -> r.services().stream().anyMatch(u -> mustServe(node, u)))
                         .map(ChangeRecord::number);
-        Optional<Long> inForce = node.follower().numberInForce(customer);
+        Optional<Long> inForce = node.follower().activeNumber(customer);
         return inForce.equals(expected)
                 ? Optional.empty()
                 : Optional.of(
@@ -314,26 +314,26 @@
         return isIn(node, use.service()) && mOrder.newestOf(use.service().provider()).isPresent();
     }
 
-    private StoreAction answer(Operator operator, SwapAnswer fate) {
+    private StoreAction answer(Operator operator, SwapOutcome fate) {
         if (operator.mAction instanceof StoreAction.Read read) {
             return mStoreAway
                     ? operator.mMachine.onReadFailed()
                     : operator.mMachine.onRead(mStore.item(read.key()), mStore.index(read.key()));
         }
         StoreAction.Swap swap = (StoreAction.Swap) operator.mAction;
-        if (fate == SwapAnswer.CONFLICT) {
+        if (fate == SwapOutcome.CONFLICT) {
             mStuck.add(swap);
-            return operator.mMachine.onSwap(SwapAnswer.UNKNOWN);
+            return operator.mMachine.onSwap(SwapOutcome.UNKNOWN);
         }
         if (mStoreAway) {
-            return operator.mMachine.onSwap(SwapAnswer.NOT_WRITTEN);
+            return operator.mMachine.onSwap(SwapOutcome.NOT_WRITTEN);
         }
-        SwapAnswer answer = apply(swap);
-        return operator.mMachine.onSwap(fate == SwapAnswer.UNKNOWN ? fate : answer);
+        SwapOutcome answer = apply(swap);
+        return operator.mMachine.onSwap(fate == SwapOutcome.UNKNOWN ? fate : answer);
     }
 
-    private SwapAnswer apply(StoreAction.Swap swap) {
-        SwapAnswer answer = mStore.apply(swap);
+    private SwapOutcome apply(StoreAction.Swap swap) {
+        SwapOutcome answer = mStore.apply(swap);
         mOrder.onHead(mStore.head());
         return answer;
     }
@@ -352,7 +352,7 @@
     private void run(Node node, FollowerAction action) {
         if (action instanceof FollowerAction.Apply apply) {
             mOrder.onApply(node.identity(), apply);
-        } else if (action instanceof FollowerAction.PassOn pass) {
+        } else if (action instanceof FollowerAction.SendRumor pass) {
             pass.members()
                     .forEach(
                             member ->
@@ -372,7 +372,7 @@
     }
 
     private List<FollowerAction> answerRecords(Node peer, Node asker, RecordsRequest request) {
-        RecordsAnswer answer = peer.follower().answer(request);
+        RecordsResponse answer = peer.follower().answer(request);
         send(asker.identity(), to -> to.follower().onAnswer(answer, mNowMillis));
         return List.of();
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzOrder.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzOracle.java
@@ -10,7 +10,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** The oracle: the list of accepted changes, and what was reported and applied. */
-final class FuzzOrder {
+final class FuzzOracle {
     private final List<ChangeRecord> mOrder = new ArrayList<>();
     private final Set<String> mReportedNo = new HashSet<>();
     private final Map<VmIdentity, Map<String, Long>> mHighest = new HashMap<>();
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzSchedule.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzSchedule.java
@@ -68,9 +68,9 @@
                 case SWITCH_FROZEN -> fleet.switchFrozen(choice);
                 case SWITCH_STORE -> fleet.switchStore();
                 case START_ACCEPT -> fleet.startAccept(choice);
-                case STEP_OPERATOR -> fleet.stepOperator(choice, SwapAnswer.SWAPPED);
-                case LOSE_ANSWER -> fleet.stepOperator(choice, SwapAnswer.UNKNOWN);
-                case STICK_WRITE -> fleet.stepOperator(choice, SwapAnswer.CONFLICT);
+                case STEP_OPERATOR -> fleet.stepOperator(choice, SwapOutcome.SWAPPED);
+                case LOSE_ANSWER -> fleet.stepOperator(choice, SwapOutcome.UNKNOWN);
+                case STICK_WRITE -> fleet.stepOperator(choice, SwapOutcome.CONFLICT);
                 case ARRIVE_LATE -> fleet.arriveLate(choice);
                 case CRASH_OPERATOR -> fleet.crashOperator(choice);
             }
@@ -96,7 +96,7 @@
     record Result(Optional<String> failure, int accepted, int ticks) {}
 
     /** Runs the steps. */
-    Result run(PlantedFault fault) {
+    Result run(InjectedFault fault) {
         FuzzFleet fleet = new FuzzFleet(fault);
         try {
             steps.forEach(step -> step.run(fleet));
@@ -107,7 +107,7 @@
     }
 
     /** Leaves out as many steps as it can while the schedule still fails. */
-    FuzzSchedule shrunk(PlantedFault fault) {
+    FuzzSchedule shrunk(InjectedFault fault) {
         List<Step> left = steps;
         for (int size = left.size() / 2; size > 0; size /= 2) {
             for (int from = 0; from + size <= left.size(); ) {
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/MemoryStore.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/InMemoryStore.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** A store in memory with compare-and-swap by index. */
-final class MemoryStore {
+final class InMemoryStore {
     /** A value and the index of its last write. */
     record Entry(StoreItem item, long index) {}
 
@@ -24,17 +24,17 @@
         return OperationSearch.head(item(StoreKey.HEAD));
     }
 
-    SwapAnswer apply(StoreAction.Swap swap) {
+    SwapOutcome apply(StoreAction.Swap swap) {
         if (index(swap.key()) != swap.index()) {
-            return SwapAnswer.CONFLICT;
+            return SwapOutcome.CONFLICT;
         }
         mIndex++;
         mEntries.put(swap.key(), new Entry(swap.item(), mIndex));
-        return SwapAnswer.SWAPPED;
+        return SwapOutcome.SWAPPED;
     }
 
     /** Does an action and returns the machine's next one. */
-    StoreAction answer(StoreMachine machine, StoreAction action) {
+    StoreAction answer(StoreProtocol machine, StoreAction action) {
         if (action instanceof StoreAction.Read read) {
             return machine.onRead(item(read.key()), index(read.key()));
         }
@@ -42,7 +42,7 @@
     }
 
     /** Answers all actions from one on until the machine finishes. */
-    AcceptOutcome finish(StoreMachine machine, StoreAction from) {
+    AcceptOutcome finish(StoreProtocol machine, StoreAction from) {
         StoreAction action = from;
         while (!(action instanceof StoreAction.Finish)) {
             action = answer(machine, action);
@@ -50,7 +50,7 @@
         return ((StoreAction.Finish) action).outcome();
     }
 
-    AcceptOutcome run(StoreMachine machine) {
+    AcceptOutcome run(StoreProtocol machine) {
         return finish(machine, machine.start());
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/PlantedFault.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/InjectedFault.java
@@ -5,24 +5,24 @@
 import java.util.random.RandomGenerator;
 
 /** The production classes, whole or with one guard taken out; the fuzz must find each fault. */
-enum PlantedFault {
+enum InjectedFault {
     NONE(""),
     /** A VM takes every change that it hears of, also an older one. */
     NO_MONOTONE_CHECK("went back") {
         @Override
         ConfigurationFollower follower(
                 FollowerSettings settings, FollowerPeers peers, RandomGenerator random) {
-            TemplatesInForce templates =
-                    new TemplatesInForce(text -> Optional.empty(), settings.textCache()) {
+            ActiveTemplates templates =
+                    new ActiveTemplates(text -> Optional.empty(), settings.textCacheSize()) {
                         @Override
-                        boolean isNews(ChangeRecord record) {
+                        boolean isNewer(ChangeRecord record) {
                             return !number(record.customer()).equals(Optional.of(record.number()));
                         }
                     };
             return new ConfigurationFollower(settings, peers, templates, random) {
                 @Override
                 boolean supersedes(ChangeRecord record) {
-                    return !numberInForce(record.customer()).equals(Optional.of(record.number()));
+                    return !activeNumber(record.customer()).equals(Optional.of(record.number()));
                 }
             };
         }
@@ -30,8 +30,8 @@
     /** A writer pushes a change out of the ring and dies before it writes the pointer. */
     NO_POINTER("A change was lost") {
         @Override
-        StoreMachine accept(AcceptRequest request, int ringCapacity) {
-            return new Accept(request, ringCapacity) {
+        StoreProtocol accept(AcceptRequest request, int ringCapacity) {
+            return new AcceptProtocol(request, ringCapacity) {
                 @Override
                 List<Preparation> preparations(Head head, int capacity) {
                     return super.preparations(head, capacity).stream()
@@ -44,14 +44,14 @@
     /** A writer takes a lost answer to mean that nothing was written. */
     LOST_MEANS_NOT_WRITTEN("In force after a no") {
         @Override
-        StoreMachine accept(AcceptRequest request, int ringCapacity) {
-            return new Forgetful(new Accept(request, ringCapacity));
+        StoreProtocol accept(AcceptRequest request, int ringCapacity) {
+            return new Forgetful(new AcceptProtocol(request, ringCapacity));
         }
     };
 
     private final String mSymptom;
 
-    PlantedFault(String symptom) {
+    InjectedFault(String symptom) {
         mSymptom = symptom;
     }
 
@@ -60,8 +60,8 @@
         return mSymptom;
     }
 
-    StoreMachine accept(AcceptRequest request, int ringCapacity) {
-        return new Accept(request, ringCapacity);
+    StoreProtocol accept(AcceptRequest request, int ringCapacity) {
+        return new AcceptProtocol(request, ringCapacity);
     }
 
     ConfigurationFollower follower(
@@ -69,7 +69,7 @@
         return new ConfigurationFollower(settings, peers, text -> Optional.empty(), random);
     }
 
-    private record Forgetful(Accept accept) implements StoreMachine {
+    private record Forgetful(AcceptProtocol accept) implements StoreProtocol {
         @Override
         public StoreAction start() {
             return accept.start();
@@ -86,8 +86,8 @@
         }
 
         @Override
-        public StoreAction onSwap(SwapAnswer answer) {
-            return accept.onSwap(answer == SwapAnswer.UNKNOWN ? SwapAnswer.NOT_WRITTEN : answer);
+        public StoreAction onSwap(SwapOutcome answer) {
+            return accept.onSwap(answer == SwapOutcome.UNKNOWN ? SwapOutcome.NOT_WRITTEN : answer);
         }
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import org.dahliapass.decisions.membership.FleetLoop.Node;
+import org.dahliapass.decisions.membership.SimulatedFleet.Node;
 import org.dahliapass.decisions.membership.MembershipAction.MemberChanged;
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
@@ -80,7 +80,7 @@
         while (Clock.systemUTC().instant().isBefore(end)) {
             long seed = seeds.nextLong();
             assertNull(explain(seed, Plant.NONE));
-            assertNull(deadAfterCut(seed, MembershipSettings.standard(), CUT_LOSS));
+            assertNull(deadAfterCut(seed, MembershipSettings.defaults(), CUT_LOSS));
         }
     }
 
@@ -100,13 +100,13 @@
         // What a user would see: a healthy VM that leaves the answers to asks. The first VM's
         // answers to pings are lost, so the other one would declare it dead on its own word.
         for (long seed = 1; seed <= SEEDS / 3; seed++) {
-            assertNull(deadAfterCut(seed, MembershipSettings.standard(), CUT_LOSS));
+            assertNull(deadAfterCut(seed, MembershipSettings.defaults(), CUT_LOSS));
         }
     }
 
     @Test(timeOut = MOST_TEST_MILLIS)
     public void cutWithoutIndirectPingsIsFound() {
-        MembershipSettings direct = settings(MembershipSettings.standard().tombstone(), 0);
+        MembershipSettings direct = settings(MembershipSettings.defaults().tombstoneRetention(), 0);
         String found = null;
         for (long seed = 1; seed <= SEEDS && found == null; seed++) {
             found = deadAfterCut(seed, direct, CUT_LOSS);
@@ -115,7 +115,7 @@
     }
 
     private static String deadAfterCut(long seed, MembershipSettings settings, double loss) {
-        FleetLoop loop = new FleetLoop(FLEET, settings, seed);
+        SimulatedFleet loop = new SimulatedFleet(FLEET, settings, seed);
         List<String> dead = new ArrayList<>();
         loop.startAll();
         loop.run(START_MILLIS);
@@ -177,7 +177,7 @@
     }
 
     private static MembershipSettings settings(Duration tombstone, int indirectProbes) {
-        MembershipSettings standard = MembershipSettings.standard();
+        MembershipSettings standard = MembershipSettings.defaults();
         return new MembershipSettings(
                 standard.period(),
                 standard.pingTimeout(),
@@ -187,7 +187,7 @@
                 standard.rumorFanout(),
                 standard.rumorInterval(),
                 standard.exchangeInterval(),
-                standard.hintInterval(),
+                standard.seedInterval(),
                 tombstone,
                 standard.datagramBytes());
     }
@@ -197,7 +197,7 @@
 
     /** One schedule against one fleet. */
     private static final class Run {
-        private final FleetLoop mLoop;
+        private final SimulatedFleet mLoop;
         private final Map<VmIdentity, Long> mKilled = new HashMap<>();
         private final Map<VmIdentity, Long> mDeadForAll = new HashMap<>();
         private final Map<Held, Integer> mHeldDead = new HashMap<>();
@@ -207,7 +207,7 @@
         Run(long seed, Plant plant) {
             Duration tombstone =
                     plant == Plant.NO_TOMBSTONES ? Duration.ZERO : Duration.ofSeconds(45);
-            mLoop = new FleetLoop(FLEET, settings(tombstone, 3), seed);
+            mLoop = new SimulatedFleet(FLEET, settings(tombstone, 3), seed);
             mLoop.mListener = this::checkNotResurrected;
             if (plant == Plant.NO_REFUTATION) {
                 mLoop.mTamper = Run::withoutVerdictOnRecipient;
@@ -298,8 +298,8 @@
         private void checkConverged() {
             Set<VmIdentity> running = mLoop.running();
             for (Node node : mLoop.mNodes) {
-                if (node.isRunning() && !FleetLoop.view(node).equals(running)) {
-                    fail(node.identity() + " sees " + FleetLoop.view(node) + ", not " + running);
+                if (node.isRunning() && !SimulatedFleet.view(node).equals(running)) {
+                    fail(node.identity() + " sees " + SimulatedFleet.view(node) + ", not " + running);
                 }
             }
         }
@@ -337,7 +337,7 @@
                 if (!node.isRunning() || settledSince(node) > before) {
                     continue;
                 }
-                for (VmIdentity seen : FleetLoop.view(node)) {
+                for (VmIdentity seen : SimulatedFleet.view(node)) {
                     if (mKilled.getOrDefault(seen, Long.MAX_VALUE) < before) {
                         fail(seen + " is long dead and still seen by " + node.identity());
                     }
@@ -384,7 +384,7 @@
                     message.updates().stream()
                             .filter(
                                     update ->
-                                            update.state().isOwnWord()
+                                            update.state().isSelfReported()
                                                     || !update.identity().equals(recipient))
                             .toList();
             return new GossipMessage(
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipScaleTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipScaleTest.java
@@ -17,8 +17,8 @@
 
     @Test(timeOut = MOST_TEST_MILLIS)
     public void loadPerVmStaysTheSameInLargerFleet() {
-        FleetLoop small = settled(SMALL);
-        FleetLoop large = settled(LARGE);
+        SimulatedFleet small = settled(SMALL);
+        SimulatedFleet large = settled(LARGE);
         double smallDatagrams = datagramsPerVmAndSecond(small);
         double largeDatagrams = datagramsPerVmAndSecond(large);
         assertTrue(
@@ -38,10 +38,10 @@
     @Test(timeOut = MOST_TEST_MILLIS)
     public void lostVmIsKnownInTime() {
         for (int size : new int[] {SMALL, LARGE}) {
-            FleetLoop loop = settled(size);
-            long period = MembershipSettings.standard().period().toMillis();
+            SimulatedFleet loop = settled(size);
+            long period = MembershipSettings.defaults().period().toMillis();
             long bound =
-                    MembershipSettings.standard().suspicionMillis(size) + SPREAD_PERIODS * period;
+                    MembershipSettings.defaults().suspicionMillis(size) + SPREAD_PERIODS * period;
             loop.kill(0);
             long killed = loop.mNowMillis;
             while (isSeen(loop) && loop.mNowMillis - killed <= 2 * bound) {
@@ -52,24 +52,24 @@
         }
     }
 
-    private static FleetLoop settled(int size) {
-        FleetLoop loop = new FleetLoop(size, MembershipSettings.standard(), size);
+    private static SimulatedFleet settled(int size) {
+        SimulatedFleet loop = new SimulatedFleet(size, MembershipSettings.defaults(), size);
         loop.startAllSettled();
         loop.run(SETTLE_MILLIS);
         assertTrue(
-                loop.mNodes.stream().allMatch(node -> FleetLoop.view(node).size() == size),
+                loop.mNodes.stream().allMatch(node -> SimulatedFleet.view(node).size() == size),
                 "The fleet of " + size + " hasn't joined within " + SETTLE_MILLIS + " ms.");
         return loop;
     }
 
-    private static double datagramsPerVmAndSecond(FleetLoop loop) {
+    private static double datagramsPerVmAndSecond(SimulatedFleet loop) {
         loop.mDatagrams = 0;
         loop.mDatagramBytes = 0;
         loop.run(COUNT_SECONDS * 1000);
         return (double) loop.mDatagrams / loop.mNodes.size() / COUNT_SECONDS;
     }
 
-    private static boolean isSeen(FleetLoop loop) {
+    private static boolean isSeen(SimulatedFleet loop) {
         return loop.mNodes.stream()
                 .anyMatch(
                         node ->
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipTest.java
@@ -19,7 +19,7 @@
     private static final VmIdentity PEER = new VmIdentity("vm-1", 1);
     private static final VmIdentity THIRD = new VmIdentity("vm-2", 1);
 
-    private final MembershipSettings mSettings = MembershipSettings.standard();
+    private final MembershipSettings mSettings = MembershipSettings.defaults();
 
     @Test
     public void pingIsAnswered() {
@@ -143,12 +143,12 @@
     public void isolationShowsInShareHeard() {
         Membership membership = start();
         membership.onGossip(ping(SELF.incarnation(), PEER), 0);
-        for (long now = 0; now < 5_000; now += FleetLoop.TICK_MILLIS) {
+        for (long now = 0; now < 5_000; now += SimulatedFleet.TICK_MILLIS) {
             membership.onTick(now);
         }
         membership.onGossip(ping(SELF.incarnation(), THIRD), 5_000);
-        assertEquals(membership.heardFromShare(List.of(PEER, THIRD), 5_000, 1_000), 0.5);
-        assertEquals(membership.heardFromShare(List.of(PEER, THIRD), 9_000, 1_000), 0.0);
+        assertEquals(membership.heardFraction(List.of(PEER, THIRD), 5_000, 1_000), 0.5);
+        assertEquals(membership.heardFraction(List.of(PEER, THIRD), 9_000, 1_000), 0.0);
     }
 
     private Membership start() {
@@ -196,7 +196,7 @@
 
     private static MemberUpdate update(VmIdentity identity, MemberState state) {
         int index = Integer.parseInt(identity.name().substring("vm-".length()));
-        return FleetLoop.update(identity, index, state);
+        return SimulatedFleet.update(identity, index, state);
     }
 
     private static MemberUpdate suspected(VmIdentity identity) {
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/FleetLoop.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/SimulatedFleet.java
@@ -18,7 +18,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Passes messages between production {@link Membership} instances, by a virtual clock. */
-final class FleetLoop {
+final class SimulatedFleet {
     static final long TICK_MILLIS = 100;
     private static final long HINT_LAG_MILLIS = 20_000;
     private static final long JOIN_TIMEOUT_MILLIS = 2_000;
@@ -76,7 +76,7 @@
     private List<Endpoint> mHints = new ArrayList<>();
     private long mNextHintsMillis;
 
-    FleetLoop(int size, MembershipSettings settings, long seed) {
+    SimulatedFleet(int size, MembershipSettings settings, long seed) {
         mSettings = settings;
         mRandom = new Random(seed);
         for (int i = 0; i < size; i++) {
@@ -96,7 +96,7 @@
                         update(node.identity(), index, MemberState.ALIVE),
                         new Random(mRandom.nextLong()),
                         mNowMillis);
-        node.mMembership.setHints(mHints);
+        node.mMembership.setSeeds(mHints);
     }
 
     /** Starts all VMs, with a VM list that names all of them. */
@@ -209,7 +209,7 @@
             return;
         }
         mNextHintsMillis = mNowMillis + HINT_LAG_MILLIS;
-        mNodes.stream().filter(Node::isRunning).forEach(n -> n.mMembership.setHints(mHints));
+        mNodes.stream().filter(Node::isRunning).forEach(n -> n.mMembership.setSeeds(mHints));
         mHints = new ArrayList<>();
         mNodes.stream().filter(n -> n.mMembership != null).forEach(n -> mHints.add(at(n)));
     }
@@ -262,7 +262,7 @@
         post(
                 to,
                 () -> {
-                    JoinAnswer answer =
+                    JoinResponse answer =
                             to.mMembership.onJoinRequest(exchange.request(), mNowMillis);
                     perform(to, answer.actions());
                     if (passes(to, from) && mNowMillis < expiry) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.BORN;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
@@ -20,8 +20,8 @@
 /** Tests of {@link HomeLedger}. */
 public final class HomeLedgerTest {
 
-    private static final long DEADLINE = BORN + 5_000;
-    private static final long EXPIRED = BORN + WINDOW.windowMillis() + 1;
+    private static final long DEADLINE = ISSUED + 5_000;
+    private static final long EXPIRED = ISSUED + WINDOW.retentionMillis() + 1;
     private static final HomeAction IGNORE = new HomeAction.Ignore();
 
     private HomeLedger mLedger;
@@ -35,14 +35,14 @@
     /** One request, repeated at each stage: one dispatch, and the recorded result in the end. */
     @Test
     public void repeatsNeverDispatchAgain() {
-        assertEquals(begin("x"), new Beginning.AskWitness(WITNESS));
+        assertEquals(begin("x"), new BeginResult.SendIntent(WITNESS));
         assertEquals(begin("x"), answered(new OperationAnswer.InProgress()));
         assertEquals(accepted(), new HomeAction.Dispatch(1));
         assertEquals(accepted(), IGNORE);
         assertEquals(begin("x"), answered(new OperationAnswer.InProgress()));
         OperationAnswer result = new OperationAnswer.Result(RESULT);
         assertEquals(
-                mLedger.finished(OPERATION, 1, RESULT, BORN),
+                mLedger.finished(OPERATION, 1, RESULT, ISSUED),
                 settled(result, OutcomeNotice.ran(OPERATION, RESULT)));
         assertEquals(begin("x"), answered(result));
         assertEquals(begin("y"), answered(new OperationAnswer.Mismatch()));
@@ -57,11 +57,11 @@
         begin("x");
         OperationAnswer answer = notRun(NotRunReason.WITNESS_SILENT);
         assertEquals(
-                mLedger.witnessTimedOut(OPERATION, BORN),
+                mLedger.witnessTimedOut(OPERATION, ISSUED),
                 settled(answer, OutcomeNotice.abandoned(OPERATION)));
         assertEquals(accepted(), IGNORE);
         assertEquals(begin("x"), answered(answer));
-        assertEquals(mLedger.query(OPERATION, BORN), Optional.of(answer));
+        assertEquals(mLedger.query(OPERATION, ISSUED), Optional.of(answer));
     }
 
     /** Whatever the witness replies but an acknowledgement ends in "not run". */
@@ -69,7 +69,7 @@
     public void witnessRepliedWithARefusalIsFinal() {
         begin("x");
         assertEquals(
-                mLedger.witnessReplied(OPERATION, IntentReply.FULL, BORN),
+                mLedger.witnessReplied(OPERATION, IntentReply.FULL, ISSUED),
                 settled(notRun(NotRunReason.WITNESS_FULL), OutcomeNotice.abandoned(OPERATION)));
         assertEquals(accepted(), IGNORE);
     }
@@ -90,7 +90,7 @@
         OperationAnswer expired = unknown(UnknownReason.EXPIRED);
         assertEquals(
                 mLedger.witnessReplied(OPERATION, IntentReply.ACCEPTED, EXPIRED),
-                new HomeAction.Settle(expired, Optional.empty()));
+                new HomeAction.Respond(expired, Optional.empty()));
         assertEquals(mLedger.begin(OPERATION, "x", EXPIRED, EXPIRED), answered(expired));
     }
 
@@ -102,10 +102,10 @@
     public void targetRefusedCountsOnceForItsAttempt() {
         begin("x");
         accepted();
-        assertEquals(mLedger.targetRefused(OPERATION, 1, true, BORN), new HomeAction.Dispatch(2));
-        assertEquals(mLedger.targetRefused(OPERATION, 1, true, BORN), IGNORE);
+        assertEquals(mLedger.targetRefused(OPERATION, 1, true, ISSUED), new HomeAction.Dispatch(2));
+        assertEquals(mLedger.targetRefused(OPERATION, 1, true, ISSUED), IGNORE);
         assertEquals(
-                mLedger.targetRefused(OPERATION, 2, true, BORN),
+                mLedger.targetRefused(OPERATION, 2, true, ISSUED),
                 settled(notRun(NotRunReason.TARGETS_REFUSED), OutcomeNotice.abandoned(OPERATION)));
     }
 
@@ -116,10 +116,10 @@
         accepted();
         OperationAnswer unknown = unknown(UnknownReason.MAY_HAVE_RUN);
         assertEquals(
-                mLedger.lostTouch(OPERATION, 1, BORN),
-                new HomeAction.Settle(unknown, Optional.empty()));
+                mLedger.responseLost(OPERATION, 1, ISSUED),
+                new HomeAction.Respond(unknown, Optional.empty()));
         assertEquals(begin("x"), answered(unknown));
-        mLedger.finished(OPERATION, 1, RESULT, BORN);
+        mLedger.finished(OPERATION, 1, RESULT, ISSUED);
         assertEquals(begin("x"), answered(new OperationAnswer.Result(RESULT)));
     }
 
@@ -128,15 +128,15 @@
     public void beginLeavesOtherLivesAlone() {
         HomeLedger restarted = new HomeLedger(HOME_RESTARTED, 2, WINDOW, LIMITS);
         assertEquals(
-                restarted.begin(OPERATION, "x", DEADLINE, BORN), new Beginning.WrongHome(HOME));
-        assertEquals(restarted.query(OPERATION, BORN), Optional.empty());
+                restarted.begin(OPERATION, "x", DEADLINE, ISSUED), new BeginResult.WrongHome(HOME));
+        assertEquals(restarted.query(OPERATION, ISSUED), Optional.empty());
     }
 
     /** An outcome asked for before the request comes keeps the request from running. */
     @Test
     public void queryRefusesAKeyNotSeen() {
         OperationAnswer answer = notRun(NotRunReason.ASKED_FIRST);
-        assertEquals(mLedger.query(OPERATION, BORN), Optional.of(answer));
+        assertEquals(mLedger.query(OPERATION, ISSUED), Optional.of(answer));
         assertEquals(begin("x"), answered(answer));
     }
 
@@ -147,29 +147,29 @@
      */
     @Test
     public void beginWithoutRoomPromisesNothing() {
-        mLedger.begin(operation("b"), "x", DEADLINE, BORN);
-        mLedger.begin(operation("c"), "x", DEADLINE, BORN);
+        mLedger.begin(operation("b"), "x", DEADLINE, ISSUED);
+        mLedger.begin(operation("c"), "x", DEADLINE, ISSUED);
         OperationAnswer full = notRun(NotRunReason.HOME_FULL);
         assertEquals(begin("x"), answered(full));
-        assertEquals(mLedger.query(OPERATION, BORN), Optional.of(full));
+        assertEquals(mLedger.query(OPERATION, ISSUED), Optional.of(full));
         assertEquals(
-                mLedger.begin(operation("d"), "x", DEADLINE, BORN),
+                mLedger.begin(operation("d"), "x", DEADLINE, ISSUED),
                 answered(unknown(UnknownReason.TABLE_FULL)));
     }
 
-    private Beginning begin(String digest) {
-        return mLedger.begin(OPERATION, digest, DEADLINE, BORN);
+    private BeginResult begin(String digest) {
+        return mLedger.begin(OPERATION, digest, DEADLINE, ISSUED);
     }
 
     private HomeAction accepted() {
-        return mLedger.witnessReplied(OPERATION, IntentReply.ACCEPTED, BORN);
+        return mLedger.witnessReplied(OPERATION, IntentReply.ACCEPTED, ISSUED);
     }
 
-    private static Beginning answered(OperationAnswer answer) {
-        return new Beginning.Answered(answer);
+    private static BeginResult answered(OperationAnswer answer) {
+        return new BeginResult.Answered(answer);
     }
 
     private static HomeAction settled(OperationAnswer answer, OutcomeNotice notice) {
-        return new HomeAction.Settle(answer, Optional.of(notice));
+        return new HomeAction.Respond(answer, Optional.of(notice));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
@@ -60,7 +60,7 @@
             return new HomeLedger(self, MAX_ATTEMPTS, table) {
                 @Override
                 Optional<HomeRecord> openAttempt(Operation operation, int attempt) {
-                    return table.find(operation).filter(known -> known.awaits(known.attempt()));
+                    return table.find(operation).filter(known -> known.isOpenAttempt(known.attempt()));
                 }
             };
         }
@@ -106,9 +106,9 @@
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, LIMITS) {
                 @Override
-                boolean hasRoom(int maxRecords) {
-                    if (!super.hasRoom(maxRecords)) {
-                        dropOldest();
+                boolean hasCapacity(int maxRecords) {
+                    if (!super.hasCapacity(maxRecords)) {
+                        evictOldest();
                     }
                     return true;
                 }
@@ -134,8 +134,8 @@
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, LIMITS) {
                 @Override
-                boolean mayDrop(Operation operation, long nowMillis) {
-                    return nowMillis - operation.key().bornMillis() > WINDOW.windowMillis() / 2;
+                boolean canEvict(Operation operation, long nowMillis) {
+                    return nowMillis - operation.key().issuedMillis() > WINDOW.retentionMillis() / 2;
                 }
             };
         }
@@ -146,7 +146,7 @@
         Resolver resolver(VmIdentity self, WitnessRegister register) {
             return new Resolver(self, register) {
                 @Override
-                public ResolverStep witnessSilent() {
+                public ResolverStep witnessUnavailable() {
                     return new ResolverStep.Answer(
                             new OperationAnswer.NotRun(NotRunReason.WITNESS_SILENT));
                 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFixtures.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFixtures.java
@@ -11,8 +11,8 @@
     static final VmIdentity HOME_RESTARTED = new VmIdentity("home-1", 8);
     static final VmIdentity WITNESS = new VmIdentity("witness-1", 3);
     static final VmIdentity WITNESS_RESTARTED = new VmIdentity("witness-1", 4);
-    static final VmIdentity STRANGER = new VmIdentity("other-1", 1);
-    static final long BORN = 1_000_000;
+    static final VmIdentity OTHER = new VmIdentity("other-1", 1);
+    static final long ISSUED = 1_000_000;
     static final RetentionWindow WINDOW = new RetentionWindow(1_000, 60_000);
     static final TableLimits LIMITS = new TableLimits(3, 1, 10_000, 100);
     static final Operation OPERATION = operation("a");
@@ -26,7 +26,7 @@
 
     static Operation operation(String unique) {
         return new Operation(
-                "suva", new OperationKey(new OperationToken(HOME, WITNESS, BORN), unique));
+                "suva", new OperationKey(new OperationToken(HOME, WITNESS, ISSUED), unique));
     }
 
     static OperationAnswer notRun(NotRunReason reason) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceMessage.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceMessage.java
@@ -7,7 +7,7 @@
 interface OnceMessage {
 
     /** Reaches whichever life of the addressed VM is there now. */
-    void reach(OnceVm receiver, VmIdentity from, long nowMillis);
+    void reach(SimulatedVm receiver, VmIdentity from, long nowMillis);
 
     /** A message under way; targets answer in the name of the VM that asked them. */
     record Envelope(VmIdentity from, String to, OnceMessage message) {}
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceOracle.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceOracle.java
@@ -22,7 +22,7 @@
     }
 
     /** A caller is told something. */
-    void told(Operation operation, OperationAnswer answer) {
+    void answered(Operation operation, OperationAnswer answer) {
         RecordedResult ran = mRan.get(operation);
         if (answer instanceof OperationAnswer.NotRun) {
             mToldNotRun.add(operation);
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceSchedule.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceSchedule.java
@@ -26,7 +26,7 @@
 
     private final OnceFault mFault;
     private final OnceOracle mOracle = new OnceOracle();
-    private final Map<String, OnceVm> mVms = new HashMap<>();
+    private final Map<String, SimulatedVm> mVms = new HashMap<>();
     private final Map<String, Long> mSkews = new HashMap<>();
     private final Set<String> mFrozen = new HashSet<>();
     private final Set<Cut> mCuts = new HashSet<>();
@@ -53,7 +53,7 @@
     OnceSchedule repeatEverything() {
         for (int round = 0; round < LATE_ROUNDS; round++) {
             askEverywhere();
-            mNowMillis += OnceFault.WINDOW.windowMillis() / (LATE_ROUNDS - 2);
+            mNowMillis += OnceFault.WINDOW.retentionMillis() / (LATE_ROUNDS - 2);
         }
         return this;
     }
@@ -79,7 +79,7 @@
     }
 
     void callerTold(Operation operation, OperationAnswer answer) {
-        mOracle.told(operation, answer);
+        mOracle.answered(operation, answer);
         mLastTold.put(operation, answer);
     }
 
@@ -114,7 +114,7 @@
 
     private void startVm(String name) {
         mFrozen.remove(name);
-        mVms.put(name, new OnceVm(new VmIdentity(name, ++mIncarnations), mFault, this));
+        mVms.put(name, new SimulatedVm(new VmIdentity(name, ++mIncarnations), mFault, this));
     }
 
     private Operation newOperation(OnceStep step) {
@@ -188,7 +188,7 @@
     }
 
     private void timeOut(String name, int choice) {
-        OnceVm vm = mVms.get(name);
+        SimulatedVm vm = mVms.get(name);
         if (!mFrozen.contains(name) && vm.timers() > 0) {
             vm.timeOut(choice % vm.timers(), now(name));
         }
@@ -196,7 +196,7 @@
 
     private void advance(OnceStep step) {
         boolean far = step.second() % 5 == 0;
-        mNowMillis += far ? OnceFault.WINDOW.windowMillis() : step.second() * 10L;
+        mNowMillis += far ? OnceFault.WINDOW.retentionMillis() : step.second() * 10L;
     }
 
     private long now(String vm) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
@@ -68,6 +68,6 @@
                 IllegalArgumentException.class,
                 () ->
                         new OperationToken(
-                                OnceFixtures.HOME, OnceFixtures.HOME_RESTARTED, OnceFixtures.BORN));
+                                OnceFixtures.HOME, OnceFixtures.HOME_RESTARTED, OnceFixtures.ISSUED));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.BORN;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
 import static org.dahliapass.decisions.once.OnceFixtures.OPERATION;
 import static org.dahliapass.decisions.once.OnceFixtures.RESULT;
@@ -16,13 +16,13 @@
 /** Tests of {@link OperationTable} and {@link RetentionWindow}. */
 public final class OperationTableTest {
 
-    private static final long LAST = BORN + WINDOW.windowMillis();
+    private static final long LAST = ISSUED + WINDOW.retentionMillis();
 
     /** The last place is for refusals only, and nothing makes room in a full table. */
     @Test
     public void addKeepsTheReserveAndNeverDropsALiveRecord() {
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
-        table.advance(BORN);
+        table.advance(ISSUED);
         assertTrue(table.add(operation("a"), "a"));
         assertFalse(table.add(operation("a"), "again"));
         assertTrue(table.add(operation("b"), "b"));
@@ -39,7 +39,7 @@
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
         table.advance(LAST);
         assertTrue(table.add(OPERATION, "kept"));
-        table.fit(OPERATION, RESULT);
+        table.fitResult(OPERATION, RESULT);
         assertEquals(table.refusal(OPERATION.key()), Optional.empty());
         table.advance(LAST + 1);
         assertEquals(table.find(OPERATION), Optional.empty());
@@ -55,15 +55,15 @@
     public void advanceIgnoresAClockThatGoesBack() {
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
         table.advance(LAST + 1);
-        table.advance(BORN);
+        table.advance(ISSUED);
         assertEquals(table.refusal(OPERATION.key()), Optional.of(UnknownReason.EXPIRED));
     }
 
     /** A key from the future within the margin is taken, beyond it not yet. */
     @Test
     public void refusalAllowsTheMargin() {
-        assertEquals(WINDOW.refusal(BORN, BORN - 1_000), Optional.empty());
-        assertEquals(WINDOW.refusal(BORN, BORN - 1_001), Optional.of(UnknownReason.NOT_YET_VALID));
+        assertEquals(WINDOW.refusal(ISSUED, ISSUED - 1_000), Optional.empty());
+        assertEquals(WINDOW.refusal(ISSUED, ISSUED - 1_001), Optional.of(UnknownReason.NOT_YET_VALID));
     }
 
     /** A body too long, or more bytes than are left, costs the body but never the status. */
@@ -71,11 +71,11 @@
     public void fitGivesUpTheBodyBeforeTheStatus() {
         TableLimits shortBodies = new TableLimits(3, 1, 10_000, 2);
         OperationTable<String> table = new OperationTable<>(WINDOW, shortBodies);
-        assertEquals(table.fit(operation("a"), RESULT), RESULT.withoutBody());
+        assertEquals(table.fitResult(operation("a"), RESULT), RESULT.withoutBody());
         TableLimits fewBytes = new TableLimits(3, 1, 1, 100);
         OperationTable<String> full = new OperationTable<>(WINDOW, fewBytes);
         assertFalse(full.add(operation("a"), "a"));
-        assertEquals(full.fit(operation("a"), RESULT), RESULT.statusOnly());
+        assertEquals(full.fitResult(operation("a"), RESULT), RESULT.statusOnly());
         assertEquals(full.bytes(), 0);
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
@@ -1,11 +1,11 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.BORN;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
 import static org.dahliapass.decisions.once.OnceFixtures.OPERATION;
-import static org.dahliapass.decisions.once.OnceFixtures.STRANGER;
+import static org.dahliapass.decisions.once.OnceFixtures.OTHER;
 import static org.dahliapass.decisions.once.OnceFixtures.WINDOW;
 import static org.dahliapass.decisions.once.OnceFixtures.WITNESS;
 import static org.dahliapass.decisions.once.OnceFixtures.WITNESS_RESTARTED;
@@ -19,45 +19,45 @@
 /** Tests of {@link Resolver}. */
 public final class ResolverTest {
 
-    private static final ResolverStep ASK_WITNESS = new ResolverStep.AskWitness(WITNESS);
+    private static final ResolverStep ASK_WITNESS = new ResolverStep.QueryWitness(WITNESS);
     private static final OperationAnswer NOT_RUN = notRun(NotRunReason.WITNESS_SILENT);
 
     /** The home's word is passed on as it is. */
     @Test
     public void homeAnsweredIsPassedOn() {
-        Resolver resolver = resolverOf(STRANGER);
-        assertEquals(resolver.start(OPERATION, BORN), new ResolverStep.ForwardToHome(HOME));
-        assertEquals(resolver.homeAnswered(OPERATION, HOME, NOT_RUN, BORN), answer(NOT_RUN));
+        Resolver resolver = resolverOf(OTHER);
+        assertEquals(resolver.start(OPERATION, ISSUED), new ResolverStep.ForwardToHome(HOME));
+        assertEquals(resolver.homeAnswered(OPERATION, HOME, NOT_RUN, ISSUED), answer(NOT_RUN));
     }
 
     /** Neither silence nor another life's word is the home's word. */
     @Test
     public void homeWithoutWordLeadsToTheWitness() {
-        Resolver resolver = resolverOf(STRANGER);
-        assertEquals(resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, BORN), ASK_WITNESS);
-        assertEquals(resolver.homeSilent(OPERATION, BORN), ASK_WITNESS);
-        assertEquals(resolverOf(HOME_RESTARTED).start(OPERATION, BORN), ASK_WITNESS);
+        Resolver resolver = resolverOf(OTHER);
+        assertEquals(resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, ISSUED), ASK_WITNESS);
+        assertEquals(resolver.homeUnavailable(OPERATION, ISSUED), ASK_WITNESS);
+        assertEquals(resolverOf(HOME_RESTARTED).start(OPERATION, ISSUED), ASK_WITNESS);
     }
 
     /** Only the witness life that the key names is believed. */
     @Test
     public void witnessAnsweredIsBelievedOnlyFromTheNamedLife() {
-        Resolver resolver = resolverOf(STRANGER);
+        Resolver resolver = resolverOf(OTHER);
         assertEquals(resolver.witnessAnswered(OPERATION, WITNESS, NOT_RUN), answer(NOT_RUN));
         assertEquals(
                 resolver.witnessAnswered(OPERATION, WITNESS_RESTARTED, NOT_RUN),
                 answer(unknown(UnknownReason.WITNESS_RESTARTED)));
-        assertEquals(resolver.witnessSilent(), answer(unknown(UnknownReason.NO_WORD)));
+        assertEquals(resolver.witnessUnavailable(), answer(unknown(UnknownReason.NO_WORD)));
     }
 
     /** A VM that is the witness itself asks its own register, and a later life knows nothing. */
     @Test
     public void homeSilentAtTheWitnessAsksItsOwnRegister() {
         assertEquals(
-                resolverOf(WITNESS).homeSilent(OPERATION, BORN),
+                resolverOf(WITNESS).homeUnavailable(OPERATION, ISSUED),
                 answer(notRun(NotRunReason.REFUSED_BY_WITNESS)));
         assertEquals(
-                resolverOf(WITNESS_RESTARTED).homeSilent(OPERATION, BORN),
+                resolverOf(WITNESS_RESTARTED).homeUnavailable(OPERATION, ISSUED),
                 answer(unknown(UnknownReason.WITNESS_RESTARTED)));
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceVm.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/SimulatedVm.java
@@ -10,7 +10,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** One life of a VM in a schedule: the production classes, joined as the adapters join them. */
-final class OnceVm {
+final class SimulatedVm {
 
     private static final int TO_CALLER = -1;
     private static final long DEADLINE_MILLIS = 20_000;
@@ -29,7 +29,7 @@
     private final Map<Operation, Integer> mOpenAttempts = new LinkedHashMap<>();
     private int mNextExchange;
 
-    OnceVm(VmIdentity self, OnceFault fault, OnceSchedule world) {
+    SimulatedVm(VmIdentity self, OnceFault fault, OnceSchedule world) {
         mSelf = self;
         mWorld = world;
         mLedger = fault.ledger(self);
@@ -67,7 +67,7 @@
             HomeAction action =
                     attempt == 0
                             ? mLedger.witnessTimedOut(operation, now)
-                            : mLedger.lostTouch(operation, attempt, now);
+                            : mLedger.responseLost(operation, attempt, now);
             act(operation, action);
             return;
         }
@@ -76,8 +76,8 @@
         step(
                 id,
                 exchange.atWitness()
-                        ? mResolver.witnessSilent()
-                        : mResolver.homeSilent(exchange.operation(), now));
+                        ? mResolver.witnessUnavailable()
+                        : mResolver.homeUnavailable(exchange.operation(), now));
     }
 
     private void request(Operation operation, String digest, Waiter waiter, long now) {
@@ -88,12 +88,12 @@
                     () -> resolve(operation, digest, waiter, now));
             return;
         }
-        Beginning beginning = mLedger.begin(operation, digest, now + DEADLINE_MILLIS, now);
-        if (beginning instanceof Beginning.AskWitness ask) {
+        BeginResult beginning = mLedger.begin(operation, digest, now + DEADLINE_MILLIS, now);
+        if (beginning instanceof BeginResult.SendIntent ask) {
             mWaiters.computeIfAbsent(operation, key -> new ArrayList<>()).add(waiter);
             mOpenAttempts.put(operation, 0);
             send(ask.witness(), (vm, from, at) -> vm.intent(from, operation, at));
-        } else if (beginning instanceof Beginning.Answered known) {
+        } else if (beginning instanceof BeginResult.Answered known) {
             answer(operation, waiter, known.answer());
         } else {
             resolve(operation, digest, waiter, now);
@@ -118,7 +118,7 @@
         if (step instanceof ResolverStep.ForwardToHome to) {
             Waiter waiter = new Waiter(mSelf.name(), id);
             send(to.home(), (vm, from, at) -> vm.request(operation, digest, waiter, at));
-        } else if (step instanceof ResolverStep.AskWitness to) {
+        } else if (step instanceof ResolverStep.QueryWitness to) {
             mExchanges.put(id, new Exchange(operation, digest, true));
             send(to.witness(), (vm, from, at) -> vm.asked(from, operation, id, at));
         } else if (step instanceof ResolverStep.Answer known) {
@@ -163,7 +163,7 @@
         if (action instanceof HomeAction.Dispatch dispatch) {
             mOpenAttempts.put(operation, dispatch.attempt());
             mWorld.dispatch(mSelf, operation, dispatch.attempt());
-        } else if (action instanceof HomeAction.Settle settle) {
+        } else if (action instanceof HomeAction.Respond settle) {
             mOpenAttempts.remove(operation);
             List<Waiter> waiters = mWaiters.remove(operation);
             if (waiters != null) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.BORN;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
@@ -19,7 +19,7 @@
 /** Tests of {@link WitnessRegister}. */
 public final class WitnessRegisterTest {
 
-    private static final long EXPIRED = BORN + WINDOW.windowMillis() + 1;
+    private static final long EXPIRED = ISSUED + WINDOW.retentionMillis() + 1;
 
     /** An intent whose acknowledgement was lost is acknowledged again; then the result stands. */
     @Test
@@ -27,10 +27,10 @@
         WitnessRegister register = register();
         assertEquals(intent(register), IntentReply.ACCEPTED);
         assertEquals(intent(register), IntentReply.ACCEPTED);
-        assertEquals(register.resolve(OPERATION, BORN), unknown(UnknownReason.MAY_HAVE_RUN));
-        register.recordOutcome(HOME, OutcomeNotice.ran(OPERATION, RESULT), BORN);
-        register.recordOutcome(HOME, OutcomeNotice.abandoned(OPERATION), BORN);
-        assertEquals(register.resolve(OPERATION, BORN), new OperationAnswer.Result(RESULT));
+        assertEquals(register.resolve(OPERATION, ISSUED), unknown(UnknownReason.MAY_HAVE_RUN));
+        register.recordOutcome(HOME, OutcomeNotice.ran(OPERATION, RESULT), ISSUED);
+        register.recordOutcome(HOME, OutcomeNotice.abandoned(OPERATION), ISSUED);
+        assertEquals(register.resolve(OPERATION, ISSUED), new OperationAnswer.Result(RESULT));
         assertEquals(intent(register), IntentReply.REFUSED);
     }
 
@@ -41,16 +41,16 @@
     @Test
     public void resolveRefusesAnAbsentKeyForGood() {
         WitnessRegister register = register();
-        assertEquals(register.resolve(OPERATION, BORN), notRun(NotRunReason.REFUSED_BY_WITNESS));
+        assertEquals(register.resolve(OPERATION, ISSUED), notRun(NotRunReason.REFUSED_BY_WITNESS));
         assertEquals(intent(register), IntentReply.REFUSED);
-        assertEquals(register.resolve(OPERATION, BORN), notRun(NotRunReason.REFUSED_BY_WITNESS));
+        assertEquals(register.resolve(OPERATION, ISSUED), notRun(NotRunReason.REFUSED_BY_WITNESS));
     }
 
     /** An abandonment that overtakes its intent refuses it. */
     @Test
     public void recordOutcomeAbandonsBeforeTheIntentComes() {
         WitnessRegister register = register();
-        register.recordOutcome(HOME, OutcomeNotice.abandoned(OPERATION), BORN);
+        register.recordOutcome(HOME, OutcomeNotice.abandoned(OPERATION), ISSUED);
         assertEquals(intent(register), IntentReply.REFUSED);
     }
 
@@ -59,11 +59,11 @@
     public void recordIntentRefusesAnotherSender() {
         WitnessRegister register = register();
         assertEquals(
-                register.recordIntent(HOME_RESTARTED, OPERATION, BORN),
+                register.recordIntent(HOME_RESTARTED, OPERATION, ISSUED),
                 IntentReply.WRONG_INCARNATION);
         assertEquals(intent(register), IntentReply.ACCEPTED);
-        register.recordOutcome(HOME_RESTARTED, OutcomeNotice.abandoned(OPERATION), BORN);
-        assertEquals(register.resolve(OPERATION, BORN), unknown(UnknownReason.MAY_HAVE_RUN));
+        register.recordOutcome(HOME_RESTARTED, OutcomeNotice.abandoned(OPERATION), ISSUED);
+        assertEquals(register.resolve(OPERATION, ISSUED), unknown(UnknownReason.MAY_HAVE_RUN));
     }
 
     /**
@@ -73,7 +73,7 @@
     @Test
     public void restartedWitnessKnowsNothingOfItsFormerLife() {
         WitnessRegister restarted = new WitnessRegister(WITNESS_RESTARTED, WINDOW, LIMITS);
-        assertEquals(restarted.resolve(OPERATION, BORN), unknown(UnknownReason.WITNESS_RESTARTED));
+        assertEquals(restarted.resolve(OPERATION, ISSUED), unknown(UnknownReason.WITNESS_RESTARTED));
         assertEquals(intent(restarted), IntentReply.WRONG_INCARNATION);
     }
 
@@ -91,12 +91,12 @@
     @Test
     public void fullRegisterAnswersUnknownWithoutRoomToRefuse() {
         WitnessRegister full = register();
-        full.recordIntent(HOME, operation("a"), BORN);
-        full.recordIntent(HOME, operation("b"), BORN);
-        assertEquals(full.recordIntent(HOME, operation("c"), BORN), IntentReply.FULL);
-        assertEquals(full.resolve(operation("c"), BORN), notRun(NotRunReason.REFUSED_BY_WITNESS));
-        assertEquals(full.resolve(operation("d"), BORN), unknown(UnknownReason.TABLE_FULL));
-        assertEquals(full.resolve(operation("a"), BORN), unknown(UnknownReason.MAY_HAVE_RUN));
+        full.recordIntent(HOME, operation("a"), ISSUED);
+        full.recordIntent(HOME, operation("b"), ISSUED);
+        assertEquals(full.recordIntent(HOME, operation("c"), ISSUED), IntentReply.FULL);
+        assertEquals(full.resolve(operation("c"), ISSUED), notRun(NotRunReason.REFUSED_BY_WITNESS));
+        assertEquals(full.resolve(operation("d"), ISSUED), unknown(UnknownReason.TABLE_FULL));
+        assertEquals(full.resolve(operation("a"), ISSUED), unknown(UnknownReason.MAY_HAVE_RUN));
     }
 
     private static WitnessRegister register() {
@@ -104,6 +104,6 @@
     }
 
     private static IntentReply intent(WitnessRegister register) {
-        return register.recordIntent(HOME, OPERATION, BORN);
+        return register.recordIntent(HOME, OPERATION, ISSUED);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/AskHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/AskHandler.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import org.dahliapass.decisions.assignment.AskAnswer;
-import org.dahliapass.decisions.assignment.AskPolicy;
+import org.dahliapass.decisions.assignment.SelectedAddresses;
+import org.dahliapass.decisions.assignment.AddressSelector;
 import org.dahliapass.decisions.membership.MemberState;
 import org.dahliapass.decisions.membership.MemberUpdate;
 import org.dahliapass.model.Vm;
@@ -31,7 +31,7 @@
     private final ConfigurationService mConfiguration;
     private final Tokens mTokens;
     private final Readiness mReadiness;
-    private final AskPolicy mPolicy;
+    private final AddressSelector mPolicy;
 
     AskHandler(
             VmSettings settings,
@@ -45,7 +45,7 @@
         mConfiguration = configuration;
         mTokens = tokens;
         mReadiness = readiness;
-        mPolicy = new AskPolicy(MOST_ADDRESSES, settings.askTimeToLive(), new SplittableRandom());
+        mPolicy = new AddressSelector(MOST_ADDRESSES, settings.askTimeToLive(), new SplittableRandom());
     }
 
     @Override
@@ -69,9 +69,9 @@
                     .toResponse(mIds.next());
         }
         List<MemberUpdate> cell = mFleet.membersOf(found.get().service(), found.get().size());
-        AskAnswer answer;
+        SelectedAddresses answer;
         synchronized (mPolicy) {
-            answer = mPolicy.answer(cell, Optional.ofNullable(context.queryParam("zone")));
+            answer = mPolicy.select(cell, Optional.ofNullable(context.queryParam("zone")));
         }
         if (answer.vms().isEmpty()) {
             return Refusal.of(RefusalCode.NOT_SERVING, "No VM serves now.", RETRY_AFTER_MILLIS)
@@ -82,7 +82,7 @@
     }
 
     private String written(
-            String customer, String service, AskAnswer answer, List<MemberUpdate> cell) {
+            String customer, String service, SelectedAddresses answer, List<MemberUpdate> cell) {
         List<Vm> witnesses =
                 cell.stream()
                         .filter(member -> member.state() == MemberState.ALIVE)
--- a/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.CustomerGroup;
-import org.dahliapass.decisions.configuration.GroupFill;
-import org.dahliapass.decisions.configuration.RecordsAnswer;
+import org.dahliapass.decisions.configuration.GroupSnapshot;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.RecordsRequest;
 import org.dahliapass.decisions.configuration.ServiceUse;
 import org.dahliapass.model.ServiceId;
@@ -74,13 +74,13 @@
         return new RecordsRequest(message.getSinceNumber(), groups);
     }
 
-    static FetchChangesReply encode(RecordsAnswer answer) {
+    static FetchChangesReply encode(RecordsResponse answer) {
         FetchChangesReply.Builder message =
                 FetchChangesReply.newBuilder()
                         .setFirstNumber(answer.firstNumber())
                         .setThroughNumber(answer.through());
         answer.records().forEach(record -> message.addChanges(encode(record)));
-        for (GroupFill fill : answer.fills()) {
+        for (GroupSnapshot fill : answer.snapshots()) {
             org.dahliapass.wire.message.CustomerGroup.Builder group =
                     org.dahliapass.wire.message.CustomerGroup.newBuilder();
             fill.group().service().ifPresent(service -> group.setService(encode(service)));
@@ -90,12 +90,12 @@
         return message.build();
     }
 
-    static RecordsAnswer decode(FetchChangesReply message) {
-        List<GroupFill> fills =
+    static RecordsResponse decode(FetchChangesReply message) {
+        List<GroupSnapshot> fills =
                 message.getGroupsList().stream()
-                        .map(group -> new GroupFill(groupOf(group), decode(group.getNewestList())))
+                        .map(group -> new GroupSnapshot(groupOf(group), decode(group.getNewestList())))
                         .toList();
-        return new RecordsAnswer(
+        return new RecordsResponse(
                 message.getFirstNumber(),
                 message.getThroughNumber(),
                 decode(message.getChangesList()),
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -14,7 +14,7 @@
 import org.dahliapass.decisions.configuration.FollowerCounters;
 import org.dahliapass.decisions.configuration.FollowerSettings;
 import org.dahliapass.decisions.configuration.Head;
-import org.dahliapass.decisions.configuration.RecordsAnswer;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.RecordsRequest;
 import org.dahliapass.decisions.configuration.StoreItem;
 import org.dahliapass.decisions.configuration.TemplateText;
@@ -143,7 +143,7 @@
     }
 
     /** Answers a peer that asks for changes. */
-    CompletableFuture<RecordsAnswer> onFetch(RecordsRequest request) {
+    CompletableFuture<RecordsResponse> onFetch(RecordsRequest request) {
         return mLoop.ask(() -> mFollower.answer(request));
     }
 
@@ -164,7 +164,7 @@
 
     private void carryOut(List<FollowerAction> actions) {
         for (FollowerAction action : actions) {
-            if (action instanceof FollowerAction.PassOn passOn) {
+            if (action instanceof FollowerAction.SendRumor passOn) {
                 passOn.members().forEach(member -> mPeers.sendRumor(member, passOn.records()));
             } else if (action instanceof FollowerAction.FetchRecords fetch) {
                 fetch(fetch);
@@ -304,7 +304,7 @@
         mExplanations = kernel.find(ExplanationLog.NAME, ExplanationLog.class);
         mFollower =
                 new ConfigurationFollower(
-                        FollowerSettings.FIELD,
+                        FollowerSettings.DEFAULTS,
                         new ConfigurationPeers(mFleet, () -> mFollower.cellSizes()),
                         ConfigurationService::check,
                         mRandom);
--- a/entry/src/main/java/org/dahliapass/entry/ExchangeFactory.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExchangeFactory.java
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.decisions.once.Beginning;
+import org.dahliapass.decisions.once.BeginResult;
 import org.dahliapass.decisions.once.Operation;
 import org.dahliapass.decisions.once.OperationAnswer;
 import org.dahliapass.decisions.once.OperationKey;
@@ -72,8 +72,8 @@
                         .thenApply(beginning -> goOn(request, operation, beginning)));
     }
 
-    private HttpResponse goOn(CallerRequest request, Operation operation, Beginning beginning) {
-        if (beginning instanceof Beginning.WrongHome) {
+    private HttpResponse goOn(CallerRequest request, Operation operation, BeginResult beginning) {
+        if (beginning instanceof BeginResult.WrongHome) {
             return HttpResponse.of(
                     mForwarder
                             .toHome(request, operation)
--- a/entry/src/main/java/org/dahliapass/entry/FleetService.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetService.java
@@ -14,7 +14,7 @@
 import org.dahliapass.decisions.assignment.CellMembership;
 import org.dahliapass.decisions.assignment.CellPlanner;
 import org.dahliapass.decisions.membership.GossipMessage;
-import org.dahliapass.decisions.membership.JoinAnswer;
+import org.dahliapass.decisions.membership.JoinResponse;
 import org.dahliapass.decisions.membership.JoinRequest;
 import org.dahliapass.decisions.membership.MemberState;
 import org.dahliapass.decisions.membership.MemberUpdate;
@@ -125,7 +125,7 @@
 
     /** Returns whether this VM serves a service, also while it is leaving; control thread only. */
     boolean isInCell(ServiceId service, int size) {
-        return mCells.isIn(service, size);
+        return mCells.isInCell(service, size);
     }
 
     /** Returns this VM's rank in a service's cell; -1 if it isn't in it. */
@@ -141,7 +141,7 @@
 
     /** Returns which share of the VMs was heard within the window; control thread only. */
     double heardFromShare(List<VmIdentity> vms, Duration window) {
-        return mMembership.heardFromShare(vms, mLoop.nowMillis(), window.toMillis());
+        return mMembership.heardFraction(vms, mLoop.nowMillis(), window.toMillis());
     }
 
     /** Returns the lives that are members; safe on any thread, empty before the start. */
@@ -166,7 +166,7 @@
 
     /** Answers another VM's request for the member list; control thread only. */
     List<MemberUpdate> onJoin(JoinRequest request) {
-        JoinAnswer answer = mMembership.onJoinRequest(request, mLoop.nowMillis());
+        JoinResponse answer = mMembership.onJoinRequest(request, mLoop.nowMillis());
         carryOut(answer.actions());
         return answer.members();
     }
@@ -271,7 +271,7 @@
             all.add(new FleetMember(member.vm(), member.operators(), state));
         }
         mPlanned = new Planned(List.copyOf(members), new ConcurrentHashMap<>());
-        mCells.onMembers(zonesOf(members));
+        mCells.updateMembers(zonesOf(members));
         mIdentities = PeerLink.identities(members);
         mView = new FleetView(mMembership.self().vm(), usable, all);
         for (MemberState state : MemberState.values()) {
@@ -321,7 +321,7 @@
                         mLoop,
                         mRandom,
                         () -> mView.all().size() <= 1,
-                        mMembership::setHints);
+                        mMembership::setSeeds);
         mListReader.read();
         return CompletableFuture.completedFuture(null);
     }
--- a/entry/src/main/java/org/dahliapass/entry/FleetSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetSettings.java
@@ -12,7 +12,7 @@
 
     /** Returns the standard tolerances scaled to another period of the failure detector. */
     static FleetSettings of(Duration period) {
-        MembershipSettings standard = MembershipSettings.standard();
+        MembershipSettings standard = MembershipSettings.defaults();
         return new FleetSettings(
                 new MembershipSettings(
                         period,
@@ -23,8 +23,8 @@
                         standard.rumorFanout(),
                         scaled(standard.rumorInterval(), period, standard),
                         scaled(standard.exchangeInterval(), period, standard),
-                        scaled(standard.hintInterval(), period, standard),
-                        standard.tombstone(),
+                        scaled(standard.seedInterval(), period, standard),
+                        standard.tombstoneRetention(),
                         standard.datagramBytes()));
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/GuardedExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/GuardedExchange.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.dahliapass.decisions.once.Beginning;
+import org.dahliapass.decisions.once.BeginResult;
 import org.dahliapass.decisions.once.HomeAction;
 import org.dahliapass.decisions.once.Operation;
 import org.dahliapass.decisions.once.OperationAnswer;
@@ -61,11 +61,11 @@
     }
 
     /** Goes on from what the ledger said to the request and returns the caller's answer. */
-    HttpResponse start(Beginning beginning) {
-        if (beginning instanceof Beginning.Answered answered) {
+    HttpResponse start(BeginResult beginning) {
+        if (beginning instanceof BeginResult.Answered answered) {
             return answer(answered.answer());
         }
-        Beginning.AskWitness ask = (Beginning.AskWitness) beginning;
+        BeginResult.SendIntent ask = (BeginResult.SendIntent) beginning;
         Futures.whenDone(mOnce.askWitness(ask.witness(), mOperation), this::onAction);
         return HttpResponse.of(mAnswer);
     }
@@ -77,7 +77,7 @@
         }
         if (action instanceof HomeAction.Dispatch dispatch) {
             dispatch(dispatch.attempt());
-        } else if (action instanceof HomeAction.Settle settle) {
+        } else if (action instanceof HomeAction.Respond settle) {
             mAnswer.complete(answer(settle.answer()));
         }
     }
--- a/entry/src/main/java/org/dahliapass/entry/OnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/OnceService.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.dahliapass.decisions.once.Beginning;
+import org.dahliapass.decisions.once.BeginResult;
 import org.dahliapass.decisions.once.HomeAction;
 import org.dahliapass.decisions.once.HomeLedger;
 import org.dahliapass.decisions.once.IntentReply;
@@ -67,7 +67,7 @@
     }
 
     /** Begins with a guarded request that has arrived. */
-    CompletableFuture<Beginning> begin(Operation operation, String digest, long deadlineMillis) {
+    CompletableFuture<BeginResult> begin(Operation operation, String digest, long deadlineMillis) {
         return mLoop.ask(() -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
     }
 
@@ -102,7 +102,7 @@
 
     /** Takes that an attempt may have run and its answer is lost. */
     CompletableFuture<HomeAction> lostTouch(Operation operation, int attempt) {
-        return act(() -> mLedger.lostTouch(operation, attempt, mClock.millis()));
+        return act(() -> mLedger.responseLost(operation, attempt, mClock.millis()));
     }
 
     /** Takes the end of an attempt that ran. */
@@ -115,7 +115,7 @@
         return mLoop.ask(decision)
                 .thenApply(
                         action -> {
-                            if (action instanceof HomeAction.Settle settle) {
+                            if (action instanceof HomeAction.Respond settle) {
                                 settle.notice().ifPresent(notice -> tell(notice, NOTICE_TRIES));
                             }
                             return action;
@@ -136,7 +136,7 @@
 
     /** Finds the answer for a key whose home is another life than this one. */
     CompletableFuture<OperationAnswer> resolveAfterHome(Operation operation) {
-        return mLoop.ask(() -> mResolver.homeSilent(operation, mClock.millis()))
+        return mLoop.ask(() -> mResolver.homeUnavailable(operation, mClock.millis()))
                 .thenCompose(step -> follow(operation, step));
     }
 
@@ -166,7 +166,7 @@
                     .thenCompose(word -> onHome(operation, word))
                     .thenCompose(next -> follow(operation, next));
         }
-        ResolverStep.AskWitness ask = (ResolverStep.AskWitness) step;
+        ResolverStep.QueryWitness ask = (ResolverStep.QueryWitness) step;
         return mPeers.resolve(ask.witness(), operation)
                 .handle((word, failure) -> onWitnessWord(operation, word, failure))
                 .thenCompose(next -> follow(operation, next));
@@ -183,13 +183,13 @@
                                                         found.from(),
                                                         found.answer(),
                                                         mClock.millis()))
-                                .orElseGet(() -> mResolver.homeSilent(operation, mClock.millis())));
+                                .orElseGet(() -> mResolver.homeUnavailable(operation, mClock.millis())));
     }
 
     private ResolverStep onWitnessWord(
             Operation operation, PeerClient.Word word, Throwable failure) {
         return failure != null
-                ? mResolver.witnessSilent()
+                ? mResolver.witnessUnavailable()
                 : mResolver.witnessAnswered(operation, word.from(), word.answer());
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.dahliapass.decisions.configuration.ChangeRecord;
-import org.dahliapass.decisions.configuration.RecordsAnswer;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.RecordsRequest;
 import org.dahliapass.decisions.health.EvidenceReport;
 import org.dahliapass.decisions.membership.GossipMessage;
@@ -147,7 +147,7 @@
     }
 
     /** Asks a member for changes. */
-    CompletableFuture<RecordsAnswer> fetchChanges(VmIdentity peer, RecordsRequest request) {
+    CompletableFuture<RecordsResponse> fetchChanges(VmIdentity peer, RecordsRequest request) {
         PeerRequest.Builder message =
                 PeerRequest.newBuilder().setFetchChanges(ChangeCodec.encode(request));
         return ask(peer, "fetch changes", message, FETCH_TIMEOUT)
--- a/entry/src/test/java/org/dahliapass/entry/ChangeCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/ChangeCodecTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.CustomerGroup;
-import org.dahliapass.decisions.configuration.GroupFill;
-import org.dahliapass.decisions.configuration.RecordsAnswer;
+import org.dahliapass.decisions.configuration.GroupSnapshot;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.RecordsRequest;
 import org.dahliapass.decisions.configuration.ServiceUse;
 import org.dahliapass.model.ServiceId;
@@ -35,14 +35,14 @@
 
     @Test
     public void answersComeBackWithBothKindsOfGroups() {
-        RecordsAnswer answer =
-                new RecordsAnswer(
+        RecordsResponse answer =
+                new RecordsResponse(
                         2,
                         7,
                         List.of(RECORD),
                         List.of(
-                                new GroupFill(CustomerGroup.PROVIDERS, List.of(RECORD)),
-                                new GroupFill(CustomerGroup.of(DESK), List.of())));
+                                new GroupSnapshot(CustomerGroup.PROVIDERS, List.of(RECORD)),
+                                new GroupSnapshot(CustomerGroup.of(DESK), List.of())));
         assertEquals(ChangeCodec.decode(ChangeCodec.encode(answer)), answer);
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
@@ -63,7 +63,7 @@
     public void fullestDatagramFits() {
         Membership membership =
                 new Membership(
-                        MembershipSettings.standard(),
+                        MembershipSettings.defaults(),
                         update(SENDER, MemberState.ALIVE),
                         new Random(1),
                         0);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/ConfigurationMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/ConfigurationMeasures.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.dahliapass.decisions.configuration.Accept;
+import org.dahliapass.decisions.configuration.AcceptProtocol;
 import org.dahliapass.decisions.configuration.AcceptRequest;
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.Head;
@@ -164,13 +164,13 @@
     /** Returns the store after an accept into a full head, which pushes a record out. */
     private static SampleStore accepted(int services) {
         SampleStore store = new SampleStore(head(Head.RING_CAPACITY));
-        store.run(new Accept(request(services, 1), Head.RING_CAPACITY));
+        store.run(new AcceptProtocol(request(services, 1), Head.RING_CAPACITY));
         return store;
     }
 
     private static double bytes(double records) {
         SampleStore store = new SampleStore(head((int) records));
-        store.run(new Accept(request(1, 1), (int) records));
+        store.run(new AcceptProtocol(request(1, 1), (int) records));
         return store.bytes();
     }
 
@@ -179,7 +179,7 @@
         long[] number = {0};
         return () -> {
             number[0]++;
-            store.run(new Accept(request(1, number[0]), records));
+            store.run(new AcceptProtocol(request(1, number[0]), records));
         };
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import org.dahliapass.decisions.assignment.AskPolicy;
+import org.dahliapass.decisions.assignment.AddressSelector;
 import org.dahliapass.decisions.assignment.CellPlanner;
 import org.dahliapass.decisions.membership.GossipKind;
 import org.dahliapass.decisions.membership.GossipMessage;
@@ -73,7 +73,7 @@
     static Membership membership(List<MemberUpdate> others, long seed) {
         Membership membership =
                 new Membership(
-                        MembershipSettings.standard(),
+                        MembershipSettings.defaults(),
                         SampleFleet.member(0),
                         new SplittableRandom(seed),
                         0);
@@ -164,10 +164,10 @@
 
     private static Runnable ask(int members) {
         List<MemberUpdate> list = list(members);
-        AskPolicy policy =
-                new AskPolicy(ADDRESSES, Duration.ofSeconds(30), new SplittableRandom(SEED));
+        AddressSelector policy =
+                new AddressSelector(ADDRESSES, Duration.ofSeconds(30), new SplittableRandom(SEED));
         return () ->
-                policy.answer(
+                policy.select(
                         CellPlanner.plan(SERVICE, CELL, list), Optional.of(SampleFleet.zone(0)));
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/RumorRun.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/RumorRun.java
@@ -75,7 +75,7 @@
             mNumbers.put(SampleFleet.identity(vm), vm);
             mFollowers.add(
                     new ConfigurationFollower(
-                            FollowerSettings.FIELD,
+                            FollowerSettings.DEFAULTS,
                             new Peers(),
                             text -> Optional.empty(),
                             random.split()));
@@ -108,7 +108,7 @@
 
     private void send(List<FollowerAction> actions, int hops) {
         for (FollowerAction action : actions) {
-            if (action instanceof FollowerAction.PassOn passOn) {
+            if (action instanceof FollowerAction.SendRumor passOn) {
                 for (VmIdentity member : passOn.members()) {
                     mMessages++;
                     mInFlight.add(new Rumor(mNumbers.get(member), hops, passOn.records()));
