--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleDirectory.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleDirectory.java
@@ -12,8 +12,8 @@
 import org.dahliapass.decisions.configuration.CustomerGroup;
 import org.dahliapass.decisions.configuration.FollowerPeers;
 import org.dahliapass.decisions.configuration.FollowerSettings;
-import org.dahliapass.decisions.configuration.GroupFill;
-import org.dahliapass.decisions.configuration.RecordsAnswer;
+import org.dahliapass.decisions.configuration.GroupSnapshot;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.ServiceUse;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
@@ -33,7 +33,7 @@
     private final class Peers implements FollowerPeers {
         @Override
         public boolean serves(ServiceId service) {
-            return mCells.isIn(service, CELL);
+            return mCells.isInCell(service, CELL);
         }
 
         @Override
@@ -62,10 +62,10 @@
         for (int vm = 0; vm < members; vm++) {
             mZones.put(SampleFleet.identity(vm).name(), SampleFleet.zone(vm));
         }
-        mCells.onMembers(mZones);
+        mCells.updateMembers(mZones);
         mFollower =
                 new ConfigurationFollower(
-                        FollowerSettings.FIELD,
+                        FollowerSettings.DEFAULTS,
                         new Peers(),
                         text -> Optional.empty(),
                         new SplittableRandom(SEED));
@@ -92,8 +92,8 @@
 
     /** Takes the whole directory from a peer, as a VM does when it starts. */
     SampleDirectory fill(List<ChangeRecord> providers) {
-        GroupFill fill = new GroupFill(CustomerGroup.PROVIDERS, providers);
-        mFollower.onAnswer(new RecordsAnswer(1, providers.size(), List.of(), List.of(fill)), 0);
+        GroupSnapshot fill = new GroupSnapshot(CustomerGroup.PROVIDERS, providers);
+        mFollower.onAnswer(new RecordsResponse(1, providers.size(), List.of(), List.of(fill)), 0);
         if (mFollower.cellSizes().size() != providers.size()) {
             throw new IllegalStateException("The sample directory was not taken.");
         }
@@ -108,7 +108,7 @@
         if (mZones.remove(name) == null) {
             mZones.put(name, SampleFleet.zone(vm));
         }
-        mCells.onMembers(mZones);
+        mCells.updateMembers(mZones);
         mFollower.onMembersChanged(0);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleStore.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleStore.java
@@ -9,8 +9,8 @@
 import org.dahliapass.decisions.configuration.StoreAction;
 import org.dahliapass.decisions.configuration.StoreItem;
 import org.dahliapass.decisions.configuration.StoreKey;
-import org.dahliapass.decisions.configuration.StoreMachine;
-import org.dahliapass.decisions.configuration.SwapAnswer;
+import org.dahliapass.decisions.configuration.StoreProtocol;
+import org.dahliapass.decisions.configuration.SwapOutcome;
 import org.dahliapass.registry.ConfigurationCodec;
 
 /** A key-value table that counts calls and the bytes of the values in them. */
@@ -47,7 +47,7 @@
      *
      * @throws IllegalStateException unless it was accepted
      */
-    void run(StoreMachine machine) {
+    void run(StoreProtocol machine) {
         StoreAction action = machine.start();
         while (!(action instanceof StoreAction.Finish)) {
             mCalls++;
@@ -62,7 +62,7 @@
         }
     }
 
-    private StoreAction read(StoreMachine machine, StoreKey key) {
+    private StoreAction read(StoreProtocol machine, StoreKey key) {
         Entry entry = mEntries.get(key);
         if (entry == null) {
             return machine.onRead(Optional.empty(), 0);
@@ -72,16 +72,16 @@
         return machine.onRead(Optional.of(item), entry.index());
     }
 
-    private SwapAnswer swap(StoreAction.Swap swap) {
+    private SwapOutcome swap(StoreAction.Swap swap) {
         mWrites++;
         Entry standing = mEntries.get(swap.key());
         long index = standing == null ? 0 : standing.index();
         if (index != swap.index()) {
-            return SwapAnswer.CONFLICT;
+            return SwapOutcome.CONFLICT;
         }
         put(swap.key(), swap.item());
         mBytes += bytes(mEntries.get(swap.key()).text());
-        return SwapAnswer.SWAPPED;
+        return SwapOutcome.SWAPPED;
     }
 
     private void put(StoreKey key, StoreItem item) {
--- a/lab/src/main/java/org/dahliapass/lab/capacity/StormFleet.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/StormFleet.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
-import org.dahliapass.decisions.membership.JoinAnswer;
+import org.dahliapass.decisions.membership.JoinResponse;
 import org.dahliapass.decisions.membership.MemberState;
 import org.dahliapass.decisions.membership.MemberUpdate;
 import org.dahliapass.decisions.membership.Membership;
@@ -65,7 +65,7 @@
     }
 
     private Membership start(MemberUpdate self) {
-        return new Membership(MembershipSettings.standard(), self, mRandom.split(), mNowMillis);
+        return new Membership(MembershipSettings.defaults(), self, mRandom.split(), mNowMillis);
     }
 
     /** Lets VMs fail at once, without a word. */
@@ -88,7 +88,7 @@
         for (Node node : mNodes) {
             if (numbers.test(node.mNumber)) {
                 node.mMembership = start(SampleFleet.successor(node.mNumber, mNodes.size()));
-                node.mMembership.setHints(hints);
+                node.mMembership.setSeeds(hints);
             }
         }
     }
@@ -176,7 +176,7 @@
         }
         mInFlight.add(
                 () -> {
-                    JoinAnswer answer =
+                    JoinResponse answer =
                             to.mMembership.onJoinRequest(exchange.request(), mNowMillis);
                     long bytes =
                             (long) Envelope.listBytes(answer.members()) + Envelope.STREAM_HEADERS;
--- a/lab/src/test/java/org/dahliapass/lab/TestPlatform.java
+++ b/lab/src/test/java/org/dahliapass/lab/TestPlatform.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.dahliapass.decisions.configuration.Accept;
+import org.dahliapass.decisions.configuration.AcceptProtocol;
 import org.dahliapass.decisions.configuration.AcceptOutcome;
 import org.dahliapass.decisions.configuration.AcceptRequest;
 import org.dahliapass.decisions.configuration.Head;
@@ -152,7 +152,7 @@
                 new ConfigurationStore(
                         new HttpStoreClient(mStore.endpoint(), Duration.ofSeconds(2)),
                         Duration.ofMillis(POLL_MILLIS));
-        return store.run(new Accept(request, Head.RING_CAPACITY), action -> {}).join();
+        return store.run(new AcceptProtocol(request, Head.RING_CAPACITY), action -> {}).join();
     }
 
     /** Waits for a condition; fails by name if it doesn't come. */
--- a/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
@@ -1,7 +1,7 @@
 package org.dahliapass.operator;
 
 import java.util.Optional;
-import org.dahliapass.decisions.configuration.Accept;
+import org.dahliapass.decisions.configuration.AcceptProtocol;
 import org.dahliapass.decisions.configuration.AcceptOutcome;
 import org.dahliapass.decisions.configuration.AcceptRequest;
 import org.dahliapass.decisions.configuration.ChangeRecord;
@@ -33,14 +33,14 @@
                         mInvocation.environment().operationIds().get(),
                         mInvocation.required("author"),
                         mInvocation.requiredNumber("base"));
-        Accept accept = new Accept(request, Head.RING_CAPACITY);
+        AcceptProtocol accept = new AcceptProtocol(request, Head.RING_CAPACITY);
         AcceptOutcome outcome =
                 Invocation.await(mStore.run(accept, action -> announce(accept, action)));
         if (outcome instanceof AcceptOutcome.Accepted accepted) {
             return onAccepted(accepted);
         }
         if (outcome instanceof AcceptOutcome.Conflict conflict) {
-            return onConflict(request, conflict.standing());
+            return onConflict(request, conflict.current());
         }
         return print(mInvocation, outcome);
     }
@@ -72,7 +72,7 @@
      * Guards against this process dying while the accept is under way: the operator would not know
      * what to ask for. It holds because the handle is printed before the swap is sent.
      */
-    private void announce(Accept accept, StoreAction action) {
+    private void announce(AcceptProtocol accept, StoreAction action) {
         if (action instanceof StoreAction.Swap swap && swap.key().equals(StoreKey.HEAD)) {
             mInvocation.warn("Sending. If this command dies, ask: resolve " + accept.handle());
         }
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -7,7 +7,7 @@
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.OperationHandle;
 import org.dahliapass.decisions.configuration.PastOperation;
-import org.dahliapass.decisions.configuration.Resolve;
+import org.dahliapass.decisions.configuration.ResolveProtocol;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.StepException;
 import org.dahliapass.model.Endpoint;
@@ -90,7 +90,7 @@
                                                             + " one that accept printed."));
             return AcceptCommand.print(
                     invocation,
-                    Invocation.await(invocation.store().run(new Resolve(handle), action -> {})));
+                    Invocation.await(invocation.store().run(new ResolveProtocol(handle), action -> {})));
         }
     },
     /** Prints a VM's report. */
--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
@@ -11,11 +11,11 @@
 import org.dahliapass.decisions.configuration.StoreAction;
 import org.dahliapass.decisions.configuration.StoreItem;
 import org.dahliapass.decisions.configuration.StoreKey;
-import org.dahliapass.decisions.configuration.StoreMachine;
-import org.dahliapass.decisions.configuration.SwapAnswer;
+import org.dahliapass.decisions.configuration.StoreProtocol;
+import org.dahliapass.decisions.configuration.SwapOutcome;
 import org.dahliapass.platform.OutcomeUnknownException;
 
-/** Reads typed values of the configuration store and runs {@link StoreMachine}s against it. */
+/** Reads typed values of the configuration store and runs {@link StoreProtocol}s against it. */
 public final class ConfigurationStore {
     private final StoreClient mClient;
     private final Executor mRetryExecutor;
@@ -48,12 +48,12 @@
      * @return never fails for want of an answer, the outcome then says so
      */
     public CompletableFuture<AcceptOutcome> run(
-            StoreMachine machine, Consumer<StoreAction> observer) {
+            StoreProtocol machine, Consumer<StoreAction> observer) {
         return step(machine, machine.start(), observer);
     }
 
     private CompletableFuture<AcceptOutcome> step(
-            StoreMachine machine, StoreAction action, Consumer<StoreAction> observer) {
+            StoreProtocol machine, StoreAction action, Consumer<StoreAction> observer) {
         observer.accept(action);
         if (action instanceof StoreAction.Finish finish) {
             return CompletableFuture.completedFuture(finish.outcome());
@@ -65,7 +65,7 @@
         return next.thenCompose(following -> step(machine, following, observer));
     }
 
-    private CompletableFuture<StoreAction> read(StoreMachine machine, StoreAction.Read read) {
+    private CompletableFuture<StoreAction> read(StoreProtocol machine, StoreAction.Read read) {
         return mClient.read(read.key().path())
                 .handle((value, failure) -> failure == null ? Optional.of(value) : noValue())
                 .thenCompose(
@@ -81,12 +81,12 @@
     }
 
     private static StoreAction onRead(
-            StoreMachine machine, StoreKey key, Optional<StoredValue> value) {
+            StoreProtocol machine, StoreKey key, Optional<StoredValue> value) {
         long index = value.map(StoredValue::index).orElse(StoreClient.ABSENT);
         return machine.onRead(decode(key, value), index);
     }
 
-    private CompletableFuture<StoreAction> swap(StoreMachine machine, StoreAction.Swap swap) {
+    private CompletableFuture<StoreAction> swap(StoreProtocol machine, StoreAction.Swap swap) {
         return mClient.compareAndSwap(
                         swap.key().path(), ConfigurationCodec.encode(swap.item()), swap.index())
                 .handle(ConfigurationStore::answer)
@@ -97,21 +97,21 @@
                                         : later().thenApply(ignored -> machine.onSwap(answer)));
     }
 
-    private static boolean answered(SwapAnswer answer) {
-        return answer == SwapAnswer.SWAPPED || answer == SwapAnswer.CONFLICT;
+    private static boolean answered(SwapOutcome answer) {
+        return answer == SwapOutcome.SWAPPED || answer == SwapOutcome.CONFLICT;
     }
 
-    private static SwapAnswer answer(SwapResult result, Throwable failure) {
+    private static SwapOutcome answer(SwapResult result, Throwable failure) {
         if (failure == null) {
-            return result == SwapResult.SWAPPED ? SwapAnswer.SWAPPED : SwapAnswer.CONFLICT;
+            return result == SwapResult.SWAPPED ? SwapOutcome.SWAPPED : SwapOutcome.CONFLICT;
         }
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
                         : failure;
         return cause instanceof OutcomeUnknownException
-                ? SwapAnswer.UNKNOWN
-                : SwapAnswer.NOT_WRITTEN;
+                ? SwapOutcome.UNKNOWN
+                : SwapOutcome.NOT_WRITTEN;
     }
 
     private CompletableFuture<Void> later() {
