--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -22,7 +22,7 @@
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.SettingsException;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.TemplateParser;
@@ -43,7 +43,7 @@
     /** The name under which the kernel holds the service. */
     public static final String NAME = "configuration";
 
-    private static final PartLog LOG = PartLog.of("configuration");
+    private static final ComponentLog LOG = ComponentLog.of("configuration");
     private static final Duration TICK = Duration.ofMillis(100);
 
     private final StoreClient mStore;
@@ -144,12 +144,12 @@
 
     /** Answers a peer that asks for changes. */
     CompletableFuture<RecordsResponse> onFetch(RecordsRequest request) {
-        return mLoop.ask(() -> mFollower.answer(request));
+        return mLoop.submit(() -> mFollower.answer(request));
     }
 
     /** Answers a peer that asks for a text. */
     CompletableFuture<Optional<String>> onFetchText(String customer, String digest) {
-        return mLoop.ask(() -> mFollower.text(customer, digest));
+        return mLoop.submit(() -> mFollower.text(customer, digest));
     }
 
     /** Returns when the store last answered, in milliseconds; control thread only. */
@@ -312,7 +312,7 @@
         mFleet.onChange(this::onMembersChanged);
         mLoop.execute(mWatch::probe);
         mLoop.execute(mWatch::refresh);
-        mLoop.every(TICK, () -> carryOut(mFollower.onTick(mLoop.nowMillis())));
+        mLoop.scheduleWithFixedDelay(TICK, () -> carryOut(mFollower.onTick(mLoop.nowMillis())));
         return CompletableFuture.completedFuture(null);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/EntryMain.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryMain.java
@@ -10,13 +10,13 @@
 import joptsimple.OptionSpec;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.Program;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** The binary {@code dahliapass-vm}: one entry VM. */
 public final class EntryMain extends Program {
-    private static final PartLog LOG = PartLog.of("vm");
+    private static final ComponentLog LOG = ComponentLog.of("vm");
     private static final Duration STOP_LIMIT = Duration.ofMinutes(15);
 
     private final CountDownLatch mStopRequested = new CountDownLatch(1);
@@ -34,7 +34,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mSettings =
                 parser.accepts("settings", "The VM's settings file (INI).")
                         .withRequiredArg()
@@ -60,7 +60,7 @@
         try {
             vm.start().join();
         } catch (CompletionException failure) {
-            throw new StepException("start", "self", failure.getCause().getMessage(), failure);
+            throw new OperationException("start", "self", failure.getCause().getMessage(), failure);
         }
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/EntryVm.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryVm.java
@@ -8,7 +8,7 @@
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 import org.dahliapass.model.burn.OutcomeHistory;
@@ -19,7 +19,7 @@
 
 /** One entry VM, put together from its services; a process holds one, tests hold several. */
 public final class EntryVm {
-    private static final PartLog LOG = PartLog.of("vm");
+    private static final ComponentLog LOG = ComponentLog.of("vm");
     private static final int BURN_SERIES = 1000;
     private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration ANNOUNCE_RETRY = Duration.ofSeconds(2);
@@ -46,7 +46,7 @@
      * @param stopRequested run when an operator asks for a drain, or another life replaced this one
      */
     public EntryVm(VmSettings settings, Clock clock, Runnable stopRequested) {
-        this(settings, clock, LinkFilter.OPEN, stopRequested);
+        this(settings, clock, LinkFilter.ALLOW_ALL, stopRequested);
     }
 
     /** Puts a VM together whose links to other VMs can be cut; for failure tests. */
@@ -155,7 +155,7 @@
                 (ignored, failure) -> {
                     if (failure != null) {
                         LOG.info("The VM list gave no word: " + failure.getMessage());
-                        mLoop.after(ANNOUNCE_RETRY, this::announce);
+                        mLoop.schedule(ANNOUNCE_RETRY, this::announce);
                     }
                 });
     }
@@ -175,13 +175,13 @@
     private CompletableFuture<Void> afterAsks() {
         CompletableFuture<Void> over = new CompletableFuture<>();
         Duration spread = mSettings.gossipPeriod().multipliedBy(GOSSIP_SPREAD_PERIODS);
-        mLoop.after(mSettings.askTimeToLive().plus(spread), () -> over.complete(null));
+        mLoop.schedule(mSettings.askTimeToLive().plus(spread), () -> over.complete(null));
         return over;
     }
 
     /** Stops at once, as a crash would look to the others; for tests. */
     public CompletableFuture<Void> stopNow() {
-        return mLoop.stopTimers().thenCompose(ignored -> mKernel.stop());
+        return mLoop.cancelTimers().thenCompose(ignored -> mKernel.stop());
     }
 
     /** Returns this life of this VM. */
--- a/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
@@ -117,7 +117,7 @@
         mLink = kernel.find(PeerLink.NAME, PeerLink.class);
         mServices.onUrgentReport(
                 (template, report) -> mLink.report(peers(template), report, List.of()));
-        mLoop.every(mPeriod, this::share);
+        mLoop.scheduleWithFixedDelay(mPeriod, this::share);
         return CompletableFuture.completedFuture(null);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.function.Predicate;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.EntryMetrics;
 
@@ -15,7 +15,7 @@
     /** The name under which the kernel holds the log. */
     public static final String NAME = "explanations";
 
-    private static final PartLog LOG = PartLog.of("action");
+    private static final ComponentLog LOG = ComponentLog.of("action");
     private static final int CAPACITY = 2000;
 
     private final Deque<Explanation> mEntries = new ArrayDeque<>();
--- a/entry/src/main/java/org/dahliapass/entry/FleetService.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetService.java
@@ -24,7 +24,7 @@
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.ServiceTemplate;
@@ -39,7 +39,7 @@
     /** The name under which the kernel holds the service. */
     public static final String NAME = "fleet";
 
-    private static final PartLog LOG = PartLog.of("fleet");
+    private static final ComponentLog LOG = ComponentLog.of("fleet");
     private static final Duration TICK = Duration.ofMillis(100);
 
     private final VmIdentity mIdentity;
@@ -184,7 +184,7 @@
 
     /** Tells the fleet that this VM leaves; asks no longer name it. */
     CompletableFuture<Void> leave() {
-        return mLoop.ask(
+        return mLoop.submit(
                 () -> {
                     mLeaving = true;
                     carryOut(mMembership.leave(mLoop.nowMillis()));
@@ -314,7 +314,7 @@
                         mLoop.nowMillis());
         mCells = new CellMembership(mIdentity.name(), mSettings.availabilityZone());
         publish();
-        mLoop.every(TICK, this::tick);
+        mLoop.scheduleWithFixedDelay(TICK, this::tick);
         mListReader =
                 new VmListReader(
                         mVmList,
--- a/entry/src/main/java/org/dahliapass/entry/Forwarder.java
+++ b/entry/src/main/java/org/dahliapass/entry/Forwarder.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.decisions.once.Operation;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.Vm;
 
 /** Sends a request that reached the wrong VM to the right one, once. */
 final class Forwarder {
-    private static final PartLog LOG = PartLog.of("forward");
+    private static final ComponentLog LOG = ComponentLog.of("forward");
     private static final Duration MOST = Duration.ofMinutes(10);
 
     private final Clock mClock;
--- a/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
+++ b/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
@@ -110,7 +110,7 @@
         mClients = kernel.find(TargetClients.NAME, TargetClients.class);
         mServices = kernel.find(ServiceTable.NAME, ServiceTable.class);
         mFleet = kernel.find(FleetService.NAME, FleetService.class);
-        mLoop.every(PERIOD, this::poll);
+        mLoop.scheduleWithFixedDelay(PERIOD, this::poll);
         return CompletableFuture.completedFuture(null);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
@@ -58,7 +58,7 @@
     synchronized HttpResponse start() {
         startTry(mRuntime.acquire(mRequest, mTried));
         if (!mRequest.kind().hedgeAfter().isZero()) {
-            mLoop.after(mRequest.kind().hedgeAfter(), this::hedge);
+            mLoop.schedule(mRequest.kind().hedgeAfter(), this::hedge);
         }
         HttpResponse response = HttpResponse.of(mAnswer);
         Futures.whenDone(response.whenComplete(), (ignored, failure) -> onCallerDone(failure));
--- a/entry/src/main/java/org/dahliapass/entry/IsolationGuard.java
+++ b/entry/src/main/java/org/dahliapass/entry/IsolationGuard.java
@@ -86,7 +86,7 @@
         mServices = kernel.find(ServiceTable.NAME, ServiceTable.class);
         mConfiguration = kernel.find(ConfigurationService.NAME, ConfigurationService.class);
         mExplanations = kernel.find(ExplanationLog.NAME, ExplanationLog.class);
-        mLoop.every(PERIOD, this::check);
+        mLoop.scheduleWithFixedDelay(PERIOD, this::check);
         return CompletableFuture.completedFuture(null);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/OnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/OnceService.java
@@ -21,7 +21,7 @@
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.VmIdentity;
 
 /** Holds this VM's records of guarded operations on the control thread and talks to the peers. */
@@ -29,7 +29,7 @@
     /** The name under which the kernel holds the service. */
     public static final String NAME = "once";
 
-    private static final PartLog LOG = PartLog.of("once");
+    private static final ComponentLog LOG = ComponentLog.of("once");
     private static final int TARGETS_OFFERED = 3;
     private static final long CLOCK_MARGIN_MILLIS = 60_000;
     private static final int MOST_BODY_BYTES = 16 * 1024;
@@ -68,7 +68,7 @@
 
     /** Begins with a guarded request that has arrived. */
     CompletableFuture<BeginResult> begin(Operation operation, String digest, long deadlineMillis) {
-        return mLoop.ask(() -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
+        return mLoop.submit(() -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
     }
 
     /** Asks the witness for its acknowledgement and returns what the home does on its reply. */
@@ -112,7 +112,7 @@
     }
 
     private CompletableFuture<HomeAction> act(Supplier<HomeAction> decision) {
-        return mLoop.ask(decision)
+        return mLoop.submit(decision)
                 .thenApply(
                         action -> {
                             if (action instanceof HomeAction.Respond settle) {
@@ -136,13 +136,13 @@
 
     /** Finds the answer for a key whose home is another life than this one. */
     CompletableFuture<OperationAnswer> resolveAfterHome(Operation operation) {
-        return mLoop.ask(() -> mResolver.homeUnavailable(operation, mClock.millis()))
+        return mLoop.submit(() -> mResolver.homeUnavailable(operation, mClock.millis()))
                 .thenCompose(step -> follow(operation, step));
     }
 
     /** Finds the answer for a key whichever VM is its home. */
     CompletableFuture<OperationAnswer> outcome(Operation operation) {
-        return mLoop.ask(() -> mLedger.query(operation, mClock.millis()))
+        return mLoop.submit(() -> mLedger.query(operation, mClock.millis()))
                 .thenCompose(
                         own ->
                                 own.isPresent()
@@ -151,7 +151,7 @@
     }
 
     private CompletableFuture<OperationAnswer> startResolve(Operation operation) {
-        return mLoop.ask(() -> mResolver.start(operation, mClock.millis()))
+        return mLoop.submit(() -> mResolver.start(operation, mClock.millis()))
                 .thenCompose(step -> follow(operation, step));
     }
 
@@ -174,7 +174,7 @@
 
     private CompletableFuture<ResolverStep> onHome(
             Operation operation, Optional<PeerClient.Word> word) {
-        return mLoop.ask(
+        return mLoop.submit(
                 () ->
                         word.map(
                                         found ->
@@ -195,7 +195,7 @@
 
     /** Answers a home that wants to dispatch a key of which this VM is the witness. */
     CompletableFuture<IntentReply> onIntent(VmIdentity from, Operation operation) {
-        return mLoop.ask(() -> mRegister.recordIntent(from, operation, mClock.millis()));
+        return mLoop.submit(() -> mRegister.recordIntent(from, operation, mClock.millis()));
     }
 
     /** Takes a home's word on how an operation ended. */
@@ -205,7 +205,7 @@
 
     /** Answers a peer that asks what became of an operation. */
     CompletableFuture<OperationAnswer> onResolve(Operation operation) {
-        return mLoop.ask(
+        return mLoop.submit(
                 () -> {
                     Optional<OperationAnswer> own = mLedger.query(operation, mClock.millis());
                     return own.orElseGet(() -> mRegister.resolve(operation, mClock.millis()));
@@ -214,7 +214,7 @@
 
     /** Returns how many keys this VM keeps as home and as witness. */
     CompletableFuture<int[]> sizes() {
-        return mLoop.ask(() -> new int[] {mLedger.size(), mRegister.size()});
+        return mLoop.submit(() -> new int[] {mLedger.size(), mRegister.size()});
     }
 
     @Override
--- a/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
@@ -119,7 +119,7 @@
 
     /** Returns the health of all targets of the services that this VM serves. */
     CompletableFuture<String> targets() {
-        return mLoop.ask(
+        return mLoop.submit(
                 () -> {
                     ArrayNode root = MAPPER.createArrayNode();
                     for (ServiceTemplate template : mServices.served()) {
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -21,7 +21,7 @@
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
@@ -172,7 +172,7 @@
         Optional<Vm> peer = mFleet.view().find(identity);
         if (peer.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new StepException(step, identity.toString(), "This VM is not a member."));
+                    new OperationException(step, identity.toString(), "This VM is not a member."));
         }
         return send(peer.get(), request, timeout);
     }
@@ -201,7 +201,7 @@
         ControlLoop loop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mTransport.setGossipHandler((from, gossip) -> loop.execute(() -> onGossip(gossip)));
         mConfiguration = kernel.find(ConfigurationService.NAME, ConfigurationService.class);
-        mTransport.setMembers(identity -> mFleet.memberIdentities().contains(identity));
+        mTransport.setMembershipCheck(identity -> mFleet.memberIdentities().contains(identity));
         mTransport.setRequestHandler(new PeerRequestHandler(kernel, loop));
         return mTransport.start(kernel);
     }
--- a/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
@@ -90,7 +90,7 @@
             return CompletableFuture.failedFuture(
                     new IllegalArgumentException("A join without the sender's own news."));
         }
-        return mLoop.ask(() -> mFleet.get().onJoin(join.get()))
+        return mLoop.submit(() -> mFleet.get().onJoin(join.get()))
                 .thenApply(
                         members ->
                                 PeerReply.newBuilder()
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -263,7 +263,7 @@
         mFleet.onChange(this::refresh);
         mConfiguration.onChange(this::refresh);
         mLoop.execute(this::refresh);
-        mLoop.every(mSettings.controlPeriod(), this::tick);
+        mLoop.scheduleWithFixedDelay(mSettings.controlPeriod(), this::tick);
         return CompletableFuture.completedFuture(null);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/StallGuard.java
+++ b/entry/src/main/java/org/dahliapass/entry/StallGuard.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /**
  * Breaks off answers that have begun and make no progress any more.
@@ -73,8 +73,8 @@
     /**
      * A cause of its own: a plain abort would look like the caller's doing, no fault of a target.
      */
-    private static StepException stalled() {
-        return new StepException("receive body", "target", "It made no progress for too long.");
+    private static OperationException stalled() {
+        return new OperationException("receive body", "target", "It made no progress for too long.");
     }
 
     /** Returns how many answers are watched. */
--- a/entry/src/main/java/org/dahliapass/entry/StoreWatch.java
+++ b/entry/src/main/java/org/dahliapass/entry/StoreWatch.java
@@ -8,7 +8,7 @@
 import org.dahliapass.decisions.configuration.Watchers;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.registry.ConfigurationCodec;
 import org.dahliapass.registry.StoreClient;
 import org.dahliapass.registry.StoredValue;
@@ -20,7 +20,7 @@
  * size.
  */
 final class StoreWatch {
-    private static final PartLog LOG = PartLog.of("configuration");
+    private static final ComponentLog LOG = ComponentLog.of("configuration");
     private static final Duration WAIT = Duration.ofSeconds(55);
     private static final Duration RETRY = Duration.ofMillis(500);
     private static final Duration PROBE_PAUSE = Duration.ofSeconds(1);
@@ -72,7 +72,7 @@
                                 () -> {
                                     if (failure != null) {
                                         LOG.info("The store gave no word: " + message(failure));
-                                        mLoop.after(RETRY, () -> watch(0));
+                                        mLoop.schedule(RETRY, () -> watch(0));
                                         return;
                                     }
                                     take(watched.value());
--- a/entry/src/main/java/org/dahliapass/entry/VmListReader.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmListReader.java
@@ -68,7 +68,7 @@
         }
         Duration pause = pause();
         // Spread, so that VMs that started together don't call together for ever.
-        mLoop.after(pause.plusMillis(mRandom.nextLong(pause.toMillis())), this::read);
+        mLoop.schedule(pause.plusMillis(mRandom.nextLong(pause.toMillis())), this::read);
     }
 
     /**
--- a/entry/src/main/java/org/dahliapass/entry/VmSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmSettings.java
@@ -106,7 +106,7 @@
                                 Duration.ofHours(24),
                                 Duration.ofHours(1)),
                         (int) control.number("operation-capacity", 100, 1_000_000, 20_000));
-        file.check();
+        file.throwIfInvalid();
         return settings;
     }
 
--- a/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
@@ -86,7 +86,7 @@
             }
         }
         assertTrue(largest > 600, "The datagram carries little news: " + largest + " bytes.");
-        assertTrue(largest <= PeerTransport.MOST_DATAGRAM_BYTES, largest + " bytes don't fit.");
+        assertTrue(largest <= PeerTransport.MAX_DATAGRAM_BYTES, largest + " bytes don't fit.");
     }
 
     private static MemberUpdate update(VmIdentity identity, MemberState state) {
--- a/entry/src/test/java/org/dahliapass/entry/StallGuardTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/StallGuardTest.java
@@ -11,7 +11,7 @@
 import java.time.Instant;
 import java.util.concurrent.CompletionException;
 import org.dahliapass.kernel.ManualClock;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.testng.annotations.Test;
 
 /** Checks that answers end that stall, and only those. */
@@ -33,7 +33,7 @@
                 expectThrows(CompletionException.class, () -> response.whenComplete().join())
                         .getCause();
         // Any other cause is taken for the caller's doing, and the target would never be suspected.
-        assertTrue(cause instanceof StepException, cause.toString());
+        assertTrue(cause instanceof OperationException, cause.toString());
         assertEquals(mGuard.size(), 0);
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
@@ -1,6 +1,6 @@
 package org.dahliapass.gateway;
 
-import org.dahliapass.http.Answer;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.ServerCall;
 
 /** An answer that can be given to a caller once; used on the traffic thread only. */
@@ -12,7 +12,7 @@
     void discard();
 
     /** Returns an answer that is whole. */
-    static CallerResponse buffered(Answer answer) {
+    static CallerResponse buffered(ServerResponse answer) {
         return new Buffered(answer);
     }
 
@@ -21,10 +21,10 @@
      *
      * @param response the answer
      */
-    record Buffered(Answer response) implements CallerResponse {
+    record Buffered(ServerResponse response) implements CallerResponse {
         @Override
         public void send(ServerCall call) {
-            call.answer(response);
+            call.respond(response);
         }
 
         @Override
--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -208,7 +208,7 @@
         mFollowNumber++;
         if (plan.watchers().isEmpty() && mSource.isEmpty()) {
             // A whole fleet starts: the entries of the others are about to come.
-            mLoop.after(LOOK_FOR_FLEET, this::readStore);
+            mLoop.schedule(LOOK_FOR_FLEET, this::readStore);
             return;
         }
         boolean storeAnswers = !mFollower.isStoreUnavailable() && !isStoreSilent();
@@ -225,7 +225,7 @@
         if (pause > 0) {
             int number = mFollowNumber;
             setNotCurrent();
-            mLoop.after(Duration.ofMillis(pause), () -> followAgain(number, revision));
+            mLoop.schedule(Duration.ofMillis(pause), () -> followAgain(number, revision));
             return;
         }
         noteSource(STORE);
@@ -340,9 +340,9 @@
     }
 
     private void onPeerFailed(FleetVm peer, Throwable failure) {
-        Throwable step = Futures.cause(failure);
+        Throwable step = Futures.unwrap(failure);
         // Without a cause the VM answered, and refused.
-        Throwable cause = Futures.cause(step.getCause());
+        Throwable cause = Futures.unwrap(step.getCause());
         if (cause instanceof TimeoutException) {
             mPlan.onTimeout(peer, mLoop.nowMillis());
         } else if (cause == null) {
@@ -400,7 +400,7 @@
                 follow(next);
             } else {
                 int number = mFollowNumber;
-                mLoop.after(pause, () -> followAgain(number, next));
+                mLoop.schedule(pause, () -> followAgain(number, next));
             }
             return;
         }
@@ -412,7 +412,7 @@
             readAgain.run();
         } else {
             // Guards against a store that forgets all the time: whole reads without a pause.
-            mLoop.after(pause, readAgain);
+            mLoop.schedule(pause, readAgain);
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
-import org.dahliapass.http.Answer;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.RequestHandler;
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.model.Endpoint;
@@ -34,10 +34,10 @@
         if (addresses.isEmpty() && mState.phase().isReady()) {
             addresses = List.of(mSettings.self().callerEndpoint());
         }
-        call.answer(
+        call.respond(
                 addresses.isEmpty()
-                        ? Answer.of(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                        : Answer.json(
+                        ? ServerResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                        : ServerResponse.json(
                                 HttpResponseStatus.OK,
                                 DiscoveryCalls.encode(addresses, mSettings.addressTimeToLive())));
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
@@ -15,7 +15,7 @@
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.SettingsException;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** The binary {@code dahliapass-gateway}: one gateway VM. */
 public final class GatewayMain extends Program {
@@ -42,7 +42,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mSettings =
                 parser.accepts("settings", "The VM's settings file (INI).")
                         .withRequiredArg()
@@ -77,7 +77,7 @@
         try {
             vm.start().join();
         } catch (CompletionException failure) {
-            throw new StepException("start", "self", failure.getCause().getMessage(), failure);
+            throw new OperationException("start", "self", failure.getCause().getMessage(), failure);
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.random.RandomGenerator;
-import org.dahliapass.http.Answer;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.kernel.JsonObject;
 
 /** The answers that this VM gives in place of a target's. */
@@ -92,7 +92,7 @@
 
     private static CallerResponse answer(
             HttpResponseStatus status, long comeBackMillis, String message) {
-        Answer answer = Answer.json(status, new JsonObject().put("message", message).toString());
+        ServerResponse answer = ServerResponse.json(status, new JsonObject().put("message", message).toString());
         if (comeBackMillis > 0) {
             answer.headers()
                     .set(
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.http.Answer;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.HttpServer;
-import org.dahliapass.http.PathRoutes;
+import org.dahliapass.http.PathRouter;
 import org.dahliapass.http.RequestHandler;
-import org.dahliapass.http.ServerLimits;
+import org.dahliapass.http.ServerTimeouts;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
 import org.dahliapass.model.routing.RequestLimits;
@@ -31,8 +31,8 @@
      * What clients may take before there is a configuration, and at the addresses of which it says
      * nothing. A head comes in one piece mostly; an idle connection costs little.
      */
-    private static final ServerLimits LIMITS =
-            new ServerLimits(Duration.ofSeconds(10), Duration.ofSeconds(30), Duration.ofMinutes(2));
+    private static final ServerTimeouts LIMITS =
+            new ServerTimeouts(Duration.ofSeconds(10), Duration.ofSeconds(30), Duration.ofMinutes(2));
 
     private final GatewaySettings mSettings;
     private final GatewayState mState;
@@ -73,17 +73,17 @@
         mCallers = new HttpServer(mLoops, mProxy, mClock, this::callersLimits);
         mAskers =
                 server(
-                        new PathRoutes()
+                        new PathRouter()
                                 .add(DiscoveryCalls.DISCOVERY_PATH, mAsks)
                                 .add(
                                         DiscoveryCalls.READINESS_PATH,
-                                        call -> call.answer(Answer.of(readiness()))));
+                                        call -> call.respond(ServerResponse.of(readiness()))));
         mPeers =
                 server(
-                        new PathRoutes()
+                        new PathRouter()
                                 .add(StoreCalls.RANGE_PATH, mMirror::range)
                                 .add(StoreCalls.WATCH_PATH, mMirror::watch)
-                                .add("/metrics", call -> call.answer(metrics())));
+                                .add("/metrics", call -> call.respond(metrics())));
         List<CompletableFuture<Void>> started = new ArrayList<>();
         started.add(mCallers.listen(mSettings.self().callerEndpoint()));
         started.add(mAskers.listen(mSettings.discovery()));
@@ -99,7 +99,7 @@
     }
 
     /** Returns how long callers may take, by the operator's configuration. */
-    private ServerLimits callersLimits() {
+    private ServerTimeouts callersLimits() {
         return mFollower
                 .view()
                 .routes()
@@ -107,8 +107,8 @@
                 .orElse(LIMITS);
     }
 
-    private static ServerLimits serverLimits(RequestLimits limits) {
-        return new ServerLimits(limits.headerTimeout(), limits.idleTimeout(), limits.idleTimeout());
+    private static ServerTimeouts serverLimits(RequestLimits limits) {
+        return new ServerTimeouts(limits.headerTimeout(), limits.idleTimeout(), limits.idleTimeout());
     }
 
     private HttpResponseStatus readiness() {
@@ -117,8 +117,8 @@
                 : HttpResponseStatus.SERVICE_UNAVAILABLE;
     }
 
-    private Answer metrics() {
-        return Answer.text(HttpResponseStatus.OK, mMetrics.scrape());
+    private ServerResponse metrics() {
+        return ServerResponse.text(HttpResponseStatus.OK, mMetrics.scrape());
     }
 
     @Override
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
@@ -94,10 +94,10 @@
                         seconds(vm, "stop-grace-seconds"),
                         policy.duration("ask-time-to-live", Duration.ofMillis(100), MINUTE),
                         (int) policy.number("vms-per-zone", 1, MOST_VMS_PER_ZONE),
-                        policy.share("floor"),
-                        policy.share("retries"),
+                        policy.fraction("floor"),
+                        policy.fraction("retries"),
                         detection(policy));
-        file.check();
+        file.throwIfInvalid();
         return settings;
     }
 
@@ -116,7 +116,7 @@
     private static DetectionPolicy detection(IniSection policy) {
         return new DetectionPolicy(
                 policy.decimal("false-ejections-per-hour", 1e-9, 100),
-                policy.share("failing-share"),
+                policy.fraction("failing-share"),
                 policy.decimal("slow-factor", 1, 100),
                 policy.duration("return-after", Duration.ofMillis(100), MINUTE),
                 policy.duration("slow-start", Duration.ofMillis(100), MINUTE));
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
@@ -179,12 +179,12 @@
 
     /** Stops at once. */
     public CompletableFuture<Void> stopNow() {
-        return mLoop.stopTimers().thenCompose(ignored -> mKernel.stop());
+        return mLoop.cancelTimers().thenCompose(ignored -> mKernel.stop());
     }
 
     private CompletableFuture<Void> after(Duration delay) {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        mLoop.after(delay.isNegative() ? Duration.ZERO : delay, () -> over.complete(null));
+        mLoop.schedule(delay.isNegative() ? Duration.ZERO : delay, () -> over.complete(null));
         return over;
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.dahliapass.http.Answer;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.platform.StoreCalls;
@@ -41,7 +41,7 @@
         mLoop.execute(() -> answer(call, copy()));
     }
 
-    private Answer copy() {
+    private ServerResponse copy() {
         if (!mFeed.mirror().isLoaded()) {
             return unavailable();
         }
@@ -72,7 +72,7 @@
         if (!mWaiters.contains(waiter)) {
             return;
         }
-        mLoop.after(wait, () -> answerWithoutChanges(waiter));
+        mLoop.schedule(wait, () -> answerWithoutChanges(waiter));
     }
 
     private void answerWithoutChanges(Waiter waiter) {
@@ -85,13 +85,13 @@
     private void answerWaiters() {
         mWaiters.removeIf(
                 waiter -> {
-                    Optional<Answer> answer = answerTo(waiter.revision());
+                    Optional<ServerResponse> answer = answerTo(waiter.revision());
                     answer.ifPresent(given -> answer(waiter.call(), given));
                     return answer.isPresent();
                 });
     }
 
-    private Optional<Answer> answerTo(long revision) {
+    private Optional<ServerResponse> answerTo(long revision) {
         if (!mFeed.isCurrent()) {
             return Optional.of(unavailable());
         }
@@ -100,19 +100,19 @@
                 found ->
                         found instanceof WatchResponse.Changes known
                                 ? json(StoreCalls.encode(known))
-                                : Answer.of(HttpResponseStatus.GONE));
+                                : ServerResponse.of(HttpResponseStatus.GONE));
     }
 
-    private static void answer(ServerCall call, Answer answer) {
-        call.loop().execute(() -> call.answer(answer));
+    private static void answer(ServerCall call, ServerResponse answer) {
+        call.loop().execute(() -> call.respond(answer));
     }
 
-    private static Answer unavailable() {
-        return Answer.of(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    private static ServerResponse unavailable() {
+        return ServerResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE);
     }
 
-    private Answer json(String body) {
+    private ServerResponse json(String body) {
         mLoad.onMirrorSent(body.length());
-        return Answer.json(HttpResponseStatus.OK, body);
+        return ServerResponse.json(HttpResponseStatus.OK, body);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -28,7 +28,7 @@
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
 import org.dahliapass.kernel.PeriodicTask;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
@@ -117,7 +117,7 @@
                         return;
                     }
                     started.completeExceptionally(
-                            new StepException(
+                            new OperationException(
                                     "listen for peers",
                                     peers.toString(),
                                     "The port can't be used.",
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -98,7 +98,7 @@
     void start() {
         long remaining = mRequest.remainingMillis(mClock.millis());
         mDeadline = mLoop.schedule(this::onDeadline, remaining, TimeUnit.MILLISECONDS);
-        mCall.onGone(this::onCallerGone);
+        mCall.onDisconnect(this::onCallerGone);
         admit();
     }
 
@@ -348,7 +348,7 @@
             finishUnlessRunning();
             return;
         }
-        Throwable cause = Futures.cause(failure);
+        Throwable cause = Futures.unwrap(failure);
         String reason = cause instanceof RefusedException ? cause.getMessage() : cause.toString();
         long wait = mAnswers.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
         finish(mAnswers.refused(wait), GatewayResponses.UNAVAILABLE, reason);
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
@@ -82,7 +82,7 @@
     public void onRequest(ServerCall call) {
         mLoad.onRequest(call);
         if (mState.phase().closesConnections()) {
-            call.closeAfterAnswer();
+            call.closeAfterResponse();
         }
         Optional<RouteTable> routes = mFollower.view().routes();
         if (!mState.phase().acceptsRequests() || routes.isEmpty()) {
@@ -100,7 +100,7 @@
     private void match(ServerCall call, RouteTable routes) {
         HttpRequest head = call.head();
         RequestTarget target = RequestTarget.of(head);
-        Optional<RouteRule> route = routes.find(target.authority(), target.pathOnly());
+        Optional<RouteRule> route = routes.find(target.authority(), target.pathWithoutQuery());
         if (route.isEmpty()) {
             denyOrPutOff(call, routes);
             return;
--- a/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
@@ -91,7 +91,7 @@
 
     /** Takes the entry out; asks stop naming this VM as soon as the other VMs hear of it. */
     CompletableFuture<Void> deregister() {
-        return mLoop.ask(
+        return mLoop.submit(
                         () -> {
                             mLeft = true;
                             return mLease;
--- a/gateway/src/main/java/org/dahliapass/gateway/SighupHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SighupHandler.java
@@ -3,7 +3,7 @@
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
 import java.lang.reflect.Proxy;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /**
  * Runs an action on SIGHUP, on which the runtime would otherwise end the process.
@@ -20,7 +20,7 @@
     /**
      * Sets the action.
      *
-     * @throws StepException if this runtime has no such classes
+     * @throws OperationException if this runtime has no such classes
      */
     static void install(Runnable action) {
         try {
@@ -38,7 +38,7 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "take SIGHUP", "self", "This runtime can't; use another one.", failure);
         }
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -353,7 +353,7 @@
         }
         mDropPlannedMillis = next;
         long delayMillis = Math.max(0, next - mLoop.nowMillis());
-        mLoop.after(Duration.ofMillis(delayMillis), this::dropOverdue);
+        mLoop.schedule(Duration.ofMillis(delayMillis), this::dropOverdue);
     }
 
     private void dropOverdue() {
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
@@ -82,7 +82,7 @@
                 page -> takePage(items, oldestRevision, page, freshness),
                 failure -> {
                     mListener.onStoreFailure(failure);
-                    mLoop.after(backoff(), () -> readSeed(freshness));
+                    mLoop.schedule(backoff(), () -> readSeed(freshness));
                 });
     }
 
@@ -127,7 +127,7 @@
                             EventLog.Kind.DEPENDENCY,
                             "seed_silent",
                             line -> line.put("seed", seed.toString()));
-                    mLoop.after(backoff(), () -> read(freshness));
+                    mLoop.schedule(backoff(), () -> read(freshness));
                 });
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/StreamedResponse.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StreamedResponse.java
@@ -47,9 +47,9 @@
     @Override
     public void send(ServerCall call) {
         mCall = call;
-        call.onGone(mAbort);
+        call.onDisconnect(mAbort);
         call.onWritable(() -> mReading.accept(true));
-        call.begin(mStatus, mHeaders, mLength);
+        call.startResponse(mStatus, mHeaders, mLength);
         write(mFirst);
     }
 
@@ -72,14 +72,14 @@
 
     void end(HttpHeaders trailers) {
         if (mCall != null) {
-            mCall.end(trailers);
+            mCall.endResponse(trailers);
         }
     }
 
     /** Breaks the caller's answer off, so that it doesn't look whole. */
     void abort() {
         if (mCall != null) {
-            mCall.cut();
+            mCall.abort();
         }
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.decisions.traffic.FailureKind;
-import org.dahliapass.http.Answer;
-import org.dahliapass.http.AnswerListener;
+import org.dahliapass.http.ServerResponse;
+import org.dahliapass.http.ResponseListener;
 import org.dahliapass.http.ClientCall;
-import org.dahliapass.http.HopHeaders;
+import org.dahliapass.http.HopByHopHeaders;
 import org.dahliapass.http.NotSentException;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.Endpoint;
@@ -31,7 +31,7 @@
  * for again where the request may repeat; an answer too large to be kept is passed on as it comes.
  * Runs on the traffic thread. Each offer gives its slot back exactly once.
  */
-final class TargetAttempt implements AnswerListener {
+final class TargetAttempt implements ResponseListener {
     /** Answers up to this size, in bytes, are kept until they are whole. */
     private static final int KEPT_BYTES = 2 * 1024 * 1024;
 
@@ -130,7 +130,7 @@
 
     private HttpHeaders headersFor(long remaining) {
         HttpHeaders headers = new DefaultHttpHeaders().set(mRequest.headers());
-        HopHeaders.strip(headers, ALWAYS_PASSED_ON);
+        HopByHopHeaders.strip(headers, ALWAYS_PASSED_ON);
         headers.set(TargetHeaders.REMAINING_MILLIS, Long.toString(remaining));
         headers.set(TargetHeaders.EXPECTED_INSTANCE, instance().name());
         return headers;
@@ -184,7 +184,7 @@
                         forCaller(),
                         HttpUtil.getContentLength(mHead, -1L),
                         mKept,
-                        mCall::setReading,
+                        mCall::setAutoRead,
                         () -> abort(FailureKind.CANCELLED_BY_CALLER));
         mKept = null;
         mResult.complete(new AttemptResult.Responded(target(), mHead.status().code(), mStream));
@@ -201,7 +201,7 @@
             mStream.end(trailers);
             return;
         }
-        Answer answer = new Answer(mHead.status(), forCaller(), mKept, trailers);
+        ServerResponse answer = new ServerResponse(mHead.status(), forCaller(), mKept, trailers);
         mResult.complete(
                 new AttemptResult.Responded(
                         target(), mHead.status().code(), CallerResponse.buffered(answer)));
@@ -232,7 +232,7 @@
 
     private HttpHeaders forCaller() {
         HttpHeaders headers = mHead.headers();
-        HopHeaders.strip(headers, ALWAYS_PASSED_ON);
+        HopByHopHeaders.strip(headers, ALWAYS_PASSED_ON);
         return headers;
     }
 
@@ -260,7 +260,7 @@
     }
 
     private static String describe(Throwable failure) {
-        Throwable cause = Futures.cause(failure);
+        Throwable cause = Futures.unwrap(failure);
         Throwable root = cause.getCause() == null ? cause : cause.getCause();
         return root.getClass().getSimpleName() + ": " + root.getMessage();
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetConnections.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetConnections.java
@@ -21,7 +21,7 @@
     /** Under half of the shortest time after which targets close idle connections, 10 seconds. */
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(4);
 
-    private final EventLoopGroup mLoops = EventLoops.one("traffic");
+    private final EventLoopGroup mLoops = EventLoops.singleThreaded("traffic");
     private final HttpClient mClient;
 
     TargetConnections(Clock clock) {
--- a/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
@@ -47,7 +47,7 @@
 
     @BeforeMethod
     public void start() {
-        mLoops = EventLoops.one("test");
+        mLoops = EventLoops.singleThreaded("test");
         mClock = new ManualClock(Instant.ofEpochSecond(1_000));
         mStore = new FakeStore();
         EventLog log = new EventLog(mClock, "vm", new PrintStream(OutputStream.nullOutputStream()));
@@ -79,7 +79,7 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mLoop.stopTimers().join();
+        mLoop.cancelTimers().join();
         mKernel.stop().join();
         mLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
@@ -153,7 +153,7 @@
         GatewayFixture.await(() -> mStore.mWatches.get() >= 3);
         int watches = mStore.mWatches.get();
         mStore.answerWatch(1, List.of());
-        assertTrue(mLoop.ask(() -> mStore.mWatches.get() == watches).join());
+        assertTrue(mLoop.submit(() -> mStore.mWatches.get() == watches).join());
     }
 
     /**
@@ -187,7 +187,7 @@
     public void entryOfAnEarlierStartChangesNothing() {
         mStore.answerWatch(0, List.of(target("i-1", 2_000, 7, 2), target("i-1", 1_000, 6, 3)));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
-        assertEquals(mLoop.ask(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
+        assertEquals(mLoop.submit(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
     }
 
     @Test
@@ -195,7 +195,7 @@
         mStore.answerWatch(0, List.of(target("i-1", 1_000, 6, 2), target("i-1", 2_000, 7, 3)));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
-                mLoop.ask(() -> mFollower.targets().get("i-1").incarnation()).join(), "i-1@2000");
+                mLoop.submit(() -> mFollower.targets().get("i-1").incarnation()).join(), "i-1@2000");
     }
 
     /** A target whose entry can't be read any more gets no work; the others go on. */
@@ -209,7 +209,7 @@
                         new StoreEvent.Written(StoredItem.of("servers/i-1", "no JSON", 4))));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
-                mLoop.ask(() -> List.copyOf(mFollower.targets().keySet())).join(), List.of("i-2"));
+                mLoop.submit(() -> List.copyOf(mFollower.targets().keySet())).join(), List.of("i-2"));
     }
 
     private static StoreEvent target(String name, long startedMillis, int port, long revision) {
@@ -223,7 +223,7 @@
     }
 
     private boolean isCurrent() {
-        return mLoop.ask(mFeed::isCurrent).join();
+        return mLoop.submit(mFeed::isCurrent).join();
     }
 
     /** A store whose watches wait until a test answers them, and never time out. */
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
@@ -95,12 +95,12 @@
 
     private Set<String> targetsAfter(Duration delay) {
         CompletableFuture<Set<String>> targets = new CompletableFuture<>();
-        mLoop.after(delay, () -> targets.complete(Set.copyOf(mFollower.targets().keySet())));
+        mLoop.schedule(delay, () -> targets.complete(Set.copyOf(mFollower.targets().keySet())));
         return targets.join();
     }
 
     private void run(Runnable step) {
-        mLoop.ask(
+        mLoop.submit(
                         () -> {
                             step.run();
                             return null;
--- a/http/src/main/java/org/dahliapass/http/ClientCall.java
+++ b/http/src/main/java/org/dahliapass/http/ClientCall.java
@@ -21,7 +21,7 @@
     private final String mPath;
     private final HttpHeaders mHeaders;
     private final ByteBuf mBody;
-    private final AnswerListener mListener;
+    private final ResponseListener mListener;
     private ClientConnection mConnection;
     private boolean mOver;
 
@@ -30,7 +30,7 @@
             String path,
             HttpHeaders headers,
             ByteBuf body,
-            AnswerListener listener) {
+            ResponseListener listener) {
         mMethod = method;
         mPath = path;
         mHeaders = headers;
@@ -47,13 +47,13 @@
     }
 
     /** Stops or goes on reading the answer, for a reader that is slower than the server. */
-    public void setReading(boolean reading) {
+    public void setAutoRead(boolean reading) {
         if (mConnection != null) {
-            mConnection.setReading(reading);
+            mConnection.setAutoRead(reading);
         }
     }
 
-    boolean isOver() {
+    boolean isFinished() {
         return mOver;
     }
 
@@ -61,7 +61,7 @@
         mConnection = connection;
     }
 
-    AnswerListener listener() {
+    ResponseListener listener() {
         return mListener;
     }
 
--- a/http/src/main/java/org/dahliapass/http/ClientConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ClientConnection.java
@@ -86,11 +86,11 @@
         end().close(mChannel);
     }
 
-    private ConnectionEnd end() {
-        return mCall == null ? ConnectionEnd.GRACEFUL : ConnectionEnd.ABORTIVE;
+    private CloseMode end() {
+        return mCall == null ? CloseMode.GRACEFUL : CloseMode.ABORTIVE;
     }
 
-    void setReading(boolean reading) {
+    void setAutoRead(boolean reading) {
         mChannel.config().setAutoRead(reading);
     }
 
@@ -159,14 +159,14 @@
             return;
         }
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (!codings.isEmpty() && !RequestRule.isChunkedAlone(codings)) {
+        if (!codings.isEmpty() && !RequestRule.isOnlyChunked(codings)) {
             fail(new ProtocolException("The answer's end can't be told: " + codings));
             return;
         }
         mHeadCame = true;
         mKeepsOpen = HttpUtil.isKeepAlive(head) && isFramed(head);
         mKeptMillis = keptMillis(head.headers());
-        if (!mCall.isOver()) {
+        if (!mCall.isFinished()) {
             mCall.listener().onHead(head);
         }
     }
@@ -201,7 +201,7 @@
         if (mInformational || !mHeadCame) {
             return;
         }
-        if (content.content().isReadable() && !mCall.isOver()) {
+        if (content.content().isReadable() && !mCall.isFinished()) {
             mCall.listener().onData(content.content());
         }
         if (content instanceof LastHttpContent last) {
@@ -241,7 +241,7 @@
 
     private void fail(Throwable failure) {
         ClientCall call = mCall;
-        ConnectionEnd end = end();
+        CloseMode end = end();
         mCall = null;
         mKeepsOpen = false;
         end.close(mChannel);
--- a/http/src/main/java/org/dahliapass/http/WholeAnswer.java
+++ b/http/src/main/java/org/dahliapass/http/ClientResponse.java
@@ -8,4 +8,4 @@
  * @param status its status
  * @param body its body, on the heap, so that it needs no release
  */
-public record WholeAnswer(int status, ByteBuf body) {}
+public record ClientResponse(int status, ByteBuf body) {}
--- a/http/src/main/java/org/dahliapass/http/ConnectionEnd.java
+++ b/http/src/main/java/org/dahliapass/http/CloseMode.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelOption;
 
 /** How a connection is closed. */
-enum ConnectionEnd {
+enum CloseMode {
     /** Whatever was written is still delivered. */
     GRACEFUL {
         @Override
--- a/http/src/main/java/org/dahliapass/http/EventLoops.java
+++ b/http/src/main/java/org/dahliapass/http/EventLoops.java
@@ -19,7 +19,7 @@
     /**
      * Returns a group of one event loop: a small VM has one core, and one thread needs no locks.
      */
-    public static EventLoopGroup one(String name) {
+    public static EventLoopGroup singleThreaded(String name) {
         return new MultiThreadIoEventLoopGroup(
                 1,
                 work -> {
--- a/http/src/main/java/org/dahliapass/http/FramingLines.java
+++ b/http/src/main/java/org/dahliapass/http/FramingValidator.java
@@ -11,7 +11,7 @@
  *
  * <p>Sees the bytes that were decoded, in order, and costs O(1) for each.
  */
-final class FramingLines implements ByteProcessor {
+final class FramingValidator implements ByteProcessor {
     /** Some clients fill up their sizes of chunks with zeros to so many digits. */
     private static final int MOST_SIZE_DIGITS = 8;
 
@@ -154,7 +154,7 @@
     }
 
     /** Returns whether the malformed line stands behind a chunk, whose bytes are as they should. */
-    boolean isMalformedBehindChunk() {
+    boolean isMalformedAfterChunk() {
         return mMalformed && mPart == Part.CHUNK_END;
     }
 
--- a/http/src/main/java/org/dahliapass/http/HopHeaders.java
+++ b/http/src/main/java/org/dahliapass/http/HopByHopHeaders.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The headers that concern one connection only and are never passed on (RFC 9110, 7.6.1). */
-public final class HopHeaders {
+public final class HopByHopHeaders {
     private static final List<AsciiString> ALWAYS =
             List.of(
                     HttpHeaderNames.CONNECTION,
@@ -18,7 +18,7 @@
                     HttpHeaderNames.UPGRADE,
                     HttpHeaderNames.EXPECT);
 
-    private HopHeaders() {}
+    private HopByHopHeaders() {}
 
     /**
      * Takes them out, and those that a Connection header names.
--- a/http/src/main/java/org/dahliapass/http/HttpClient.java
+++ b/http/src/main/java/org/dahliapass/http/HttpClient.java
@@ -84,7 +84,7 @@
             String path,
             HttpHeaders headers,
             ByteBuf body,
-            AnswerListener listener) {
+            ResponseListener listener) {
         ClientCall call = new ClientCall(method, path, headers, body, listener);
         ClientConnection kept = takeIdle(server);
         if (kept != null) {
@@ -115,7 +115,7 @@
                         done -> {
                             if (!done.isSuccess()) {
                                 call.fail(new NotSentException("No connection.", done.cause()));
-                            } else if (call.isOver()) {
+                            } else if (call.isFinished()) {
                                 keep(server, connection);
                             } else {
                                 connection.send(call);
@@ -193,16 +193,16 @@
      * @return fails with a {@link NotSentException} if nothing was sent, with a {@link
      *     java.util.concurrent.TimeoutException} after the limit, or with what broke the answer off
      */
-    public CompletableFuture<WholeAnswer> fetch(
+    public CompletableFuture<ClientResponse> fetch(
             Endpoint server,
             HttpMethod method,
             String path,
             HttpHeaders headers,
             ByteBuf body,
             Duration limit) {
-        AnswerCollector collector = new AnswerCollector(mLoop, limit);
-        mLoop.execute(() -> collector.follow(send(server, method, path, headers, body, collector)));
-        return collector.answer();
+        ResponseAggregator collector = new ResponseAggregator(mLoop, limit);
+        mLoop.execute(() -> collector.startTimeout(send(server, method, path, headers, body, collector)));
+        return collector.response();
     }
 
     /** Closes all connections. */
--- a/http/src/main/java/org/dahliapass/http/HttpServer.java
+++ b/http/src/main/java/org/dahliapass/http/HttpServer.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.dahliapass.kernel.PartLog;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.ComponentLog;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** Serves HTTP/1.1 at some addresses, on the event loop of a group that has one. */
@@ -32,12 +32,12 @@
     /** Connections that may wait to be accepted while the loop is busy: a burst of callers. */
     private static final int BACKLOG = 1_024;
 
-    private static final PartLog LOG = PartLog.of("http");
+    private static final ComponentLog LOG = ComponentLog.of("http");
 
     private final EventLoop mLoop;
     private final RequestHandler mHandler;
     private final Clock mClock;
-    private final Supplier<ServerLimits> mLimits;
+    private final Supplier<ServerTimeouts> mLimits;
     private final List<Channel> mListeners = new ArrayList<>();
 
     /** Belongs to the event loop. */
@@ -57,7 +57,7 @@
             EventLoopGroup loops,
             RequestHandler handler,
             Clock clock,
-            Supplier<ServerLimits> limits) {
+            Supplier<ServerTimeouts> limits) {
         mLoop = loops.next();
         mHandler = handler;
         mClock = clock;
@@ -67,7 +67,7 @@
     /**
      * Listens at one more address.
      *
-     * @return fails with a {@link StepException} if the address can't be used
+     * @return fails with a {@link OperationException} if the address can't be used
      */
     public CompletableFuture<Void> listen(Endpoint endpoint) {
         CompletableFuture<Void> started = new CompletableFuture<>();
@@ -88,7 +88,7 @@
                         return;
                     }
                     started.completeExceptionally(
-                            new StepException(
+                            new OperationException(
                                     "listen for requests",
                                     endpoint.toString(),
                                     "The port can't be used.",
@@ -139,8 +139,8 @@
 
     private void check() {
         mChecking = false;
-        ServerLimits limits = mLimits.get();
-        List.copyOf(mConnections).forEach(connection -> connection.check(limits));
+        ServerTimeouts limits = mLimits.get();
+        List.copyOf(mConnections).forEach(connection -> connection.closeIfTimedOut(limits));
         planCheck();
     }
 }
--- a/http/src/main/java/org/dahliapass/http/PathRoutes.java
+++ b/http/src/main/java/org/dahliapass/http/PathRouter.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 
 /** Hands requests to the handlers of their paths; any other path gets 404. */
-public final class PathRoutes implements RequestHandler {
+public final class PathRouter implements RequestHandler {
     private final Map<String, RequestHandler> mHandlers = new HashMap<>();
 
     /** Adds the handler of one path; before the server starts. */
-    public PathRoutes add(String path, RequestHandler handler) {
+    public PathRouter add(String path, RequestHandler handler) {
         mHandlers.put(path, handler);
         return this;
     }
 
     @Override
     public void onRequest(ServerCall call) {
-        RequestHandler handler = mHandlers.get(RequestTarget.of(call.head()).pathOnly());
+        RequestHandler handler = mHandlers.get(RequestTarget.of(call.head()).pathWithoutQuery());
         if (handler == null) {
-            call.answer(Answer.of(HttpResponseStatus.NOT_FOUND));
+            call.respond(ServerResponse.of(HttpResponseStatus.NOT_FOUND));
             return;
         }
         handler.onRequest(call);
--- a/http/src/main/java/org/dahliapass/http/RequestRule.java
+++ b/http/src/main/java/org/dahliapass/http/RequestRule.java
@@ -19,7 +19,7 @@
     /** RFC 9112, 2.3 and 3: this server speaks 1.0 and 1.1 and frames no other version. */
     VERSION {
         @Override
-        Optional<HttpResponseStatus> refusal(HttpRequest head) {
+        Optional<HttpResponseStatus> rejection(HttpRequest head) {
             HttpVersion version = head.protocolVersion();
             boolean known =
                     version.equals(HttpVersion.HTTP_1_1) || version.equals(HttpVersion.HTTP_1_0);
@@ -33,12 +33,12 @@
      */
     TRANSFER_CODING {
         @Override
-        Optional<HttpResponseStatus> refusal(HttpRequest head) {
+        Optional<HttpResponseStatus> rejection(HttpRequest head) {
             List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
             if (codings.isEmpty()) {
                 return Optional.empty();
             }
-            if (!isChunkedAlone(codings)) {
+            if (!isOnlyChunked(codings)) {
                 return Optional.of(HttpResponseStatus.NOT_IMPLEMENTED);
             }
             boolean current = head.protocolVersion().equals(HttpVersion.HTTP_1_1);
@@ -48,7 +48,7 @@
     /** RFC 9112, 3.2, and RFC 9110, 7.2: one host, without blanks; old clients may leave it out. */
     HOST {
         @Override
-        Optional<HttpResponseStatus> refusal(HttpRequest head) {
+        Optional<HttpResponseStatus> rejection(HttpRequest head) {
             List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
             boolean mayLack = !head.protocolVersion().equals(HttpVersion.HTTP_1_1);
             boolean proper =
@@ -59,7 +59,7 @@
     /** RFC 9112, 3.2: a path of visible letters, which stay the same when it is written again. */
     TARGET {
         @Override
-        Optional<HttpResponseStatus> refusal(HttpRequest head) {
+        Optional<HttpResponseStatus> rejection(HttpRequest head) {
             return refuseUnless(isVisible(head.uri()), HttpResponseStatus.BAD_REQUEST);
         }
     };
@@ -72,12 +72,12 @@
      *
      * @param head the request's line and headers, as decoded
      */
-    abstract Optional<HttpResponseStatus> refusal(HttpRequest head);
+    abstract Optional<HttpResponseStatus> rejection(HttpRequest head);
 
     /** Returns the status that refuses a request by the first rule that it breaks; else empty. */
-    static Optional<HttpResponseStatus> firstRefusal(HttpRequest head) {
+    static Optional<HttpResponseStatus> firstRejection(HttpRequest head) {
         for (RequestRule rule : values()) {
-            Optional<HttpResponseStatus> refusal = rule.refusal(head);
+            Optional<HttpResponseStatus> refusal = rule.rejection(head);
             if (refusal.isPresent()) {
                 return refusal;
             }
@@ -86,7 +86,7 @@
     }
 
     /** Returns whether the transfer codings of a message are chunked, once, and nothing else. */
-    static boolean isChunkedAlone(List<String> codings) {
+    static boolean isOnlyChunked(List<String> codings) {
         return codings.size() == 1
                 && AsciiString.contentEqualsIgnoreCase(
                         HttpHeaderValues.CHUNKED, codings.get(0).trim());
--- a/http/src/main/java/org/dahliapass/http/RequestTarget.java
+++ b/http/src/main/java/org/dahliapass/http/RequestTarget.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the path without the query. */
-    public String pathOnly() {
+    public String pathWithoutQuery() {
         int query = path.indexOf('?');
         return query < 0 ? path : path.substring(0, query);
     }
--- a/http/src/main/java/org/dahliapass/http/AnswerCollector.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseAggregator.java
@@ -12,26 +12,26 @@
 import java.util.concurrent.TimeoutException;
 
 /** Collects one answer within a time limit. */
-final class AnswerCollector implements AnswerListener {
+final class ResponseAggregator implements ResponseListener {
     private static final int FIRST_BODY_BYTES = 1_024;
 
     private final EventLoop mLoop;
     private final Duration mLimit;
-    private final CompletableFuture<WholeAnswer> mAnswer = new CompletableFuture<>();
+    private final CompletableFuture<ClientResponse> mAnswer = new CompletableFuture<>();
     private final ByteBuf mBody = Unpooled.buffer(FIRST_BODY_BYTES);
     private ScheduledFuture<?> mTimeout;
     private int mStatus;
 
-    AnswerCollector(EventLoop loop, Duration limit) {
+    ResponseAggregator(EventLoop loop, Duration limit) {
         mLoop = loop;
         mLimit = limit;
     }
 
-    CompletableFuture<WholeAnswer> answer() {
+    CompletableFuture<ClientResponse> response() {
         return mAnswer;
     }
 
-    void follow(ClientCall call) {
+    void startTimeout(ClientCall call) {
         if (mAnswer.isDone()) {
             return;
         }
@@ -60,7 +60,7 @@
     @Override
     public void onEnd(HttpHeaders trailers) {
         cancelTimeout();
-        mAnswer.complete(new WholeAnswer(mStatus, mBody));
+        mAnswer.complete(new ClientResponse(mStatus, mBody));
     }
 
     @Override
--- a/http/src/main/java/org/dahliapass/http/AnswerListener.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseListener.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Follows the answer to a request that was sent; runs on the client's event loop. */
-public interface AnswerListener {
+public interface ResponseListener {
     /** The head has come; informational ones before it are left out. */
     void onHead(HttpResponse head);
 
--- a/http/src/main/java/org/dahliapass/http/AnswerWriter.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseWriter.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /** Writes the answers of one connection, so that each says where it ends. */
-final class AnswerWriter {
+final class ResponseWriter {
     private final Channel mChannel;
     private final ServerCodec mCodec;
     private HttpVersion mVersion = HttpVersion.HTTP_1_1;
@@ -30,7 +30,7 @@
     private boolean mChunked;
     private boolean mCloses;
 
-    AnswerWriter(Channel channel, ServerCodec codec) {
+    ResponseWriter(Channel channel, ServerCodec codec) {
         mChannel = channel;
         mCodec = codec;
     }
@@ -45,7 +45,7 @@
     }
 
     /** Makes the next answer the connection's last one, and say so. */
-    void closeAfterAnswer() {
+    void closeAfterResponse() {
         mCloses = true;
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Writes a whole answer. */
-    ChannelFuture write(Answer answer) {
+    ChannelFuture write(ServerResponse answer) {
         HttpResponse whole =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -107,7 +107,7 @@
     }
 
     /** Writes a piece of the body; takes over the buffer. */
-    void writePiece(ByteBuf piece) {
+    void writeChunk(ByteBuf piece) {
         mBodyBytes += piece.readableBytes();
         send(new DefaultHttpContent(piece));
     }
--- a/http/src/main/java/org/dahliapass/http/ServerCall.java
+++ b/http/src/main/java/org/dahliapass/http/ServerCall.java
@@ -68,14 +68,14 @@
         mMostBytes = mostBytes;
         mBodyListener = whole;
         mTooLarge = tooLarge;
-        long told = mConnection.lengthOf(mHead);
+        long told = mConnection.contentLength(mHead);
         if (told > mostBytes) {
             dropBody();
             tooLarge.run();
             return;
         }
         mBody = Unpooled.buffer(firstBytes(told));
-        mConnection.wantBody();
+        mConnection.sendContinueIfExpected();
     }
 
     private static int firstBytes(long told) {
@@ -86,7 +86,7 @@
      * Runs an action if the client leaves before its answer was written in full; at once if it has
      * left already.
      */
-    public void onGone(Runnable listener) {
+    public void onDisconnect(Runnable listener) {
         if (mGone) {
             listener.run();
             return;
@@ -100,13 +100,13 @@
     }
 
     /** Has the connection closed after this answer. */
-    public void closeAfterAnswer() {
-        mConnection.closeAfterAnswer();
+    public void closeAfterResponse() {
+        mConnection.closeAfterResponse();
     }
 
     /** Gives a whole answer. */
-    public void answer(Answer answer) {
-        if (begin()) {
+    public void respond(ServerResponse answer) {
+        if (startResponse()) {
             mConnection.write(answer);
         }
     }
@@ -116,24 +116,24 @@
      *
      * @param length the body's length in bytes; negative if unknown
      */
-    public void begin(HttpResponseStatus status, HttpHeaders headers, long length) {
-        if (begin()) {
+    public void startResponse(HttpResponseStatus status, HttpHeaders headers, long length) {
+        if (startResponse()) {
             mConnection.writeHead(status, headers, length);
         }
     }
 
     /** Writes a piece of the body; takes over the buffer. */
     public void write(ByteBuf piece) {
-        mConnection.writePiece(piece);
+        mConnection.writeChunk(piece);
     }
 
     /** Ends an answer that was begun. */
-    public void end(HttpHeaders trailers) {
+    public void endResponse(HttpHeaders trailers) {
         mConnection.writeEnd(trailers);
     }
 
     /** Breaks an answer off that was begun: the connection closes, so that it looks incomplete. */
-    public void cut() {
+    public void abort() {
         mConnection.close();
     }
 
@@ -147,7 +147,7 @@
         mConnection.onWritable(listener);
     }
 
-    private boolean begin() {
+    private boolean startResponse() {
         if (mAnswered) {
             throw new IllegalStateException("This request has its answer already.");
         }
@@ -157,11 +157,11 @@
         return mConnection.isOpen();
     }
 
-    boolean isAnswered() {
+    boolean isResponseStarted() {
         return mAnswered;
     }
 
-    boolean isBodyWhole() {
+    boolean isBodyComplete() {
         return mWholeBody;
     }
 
@@ -193,13 +193,13 @@
         }
     }
 
-    void onClientGone() {
+    void onClientDisconnected() {
         mGone = true;
         mBodyListener = null;
         mGoneListeners.forEach(Runnable::run);
     }
 
-    void delivered(Delivery delivery) {
+    void notifyDelivered(Delivery delivery) {
         Consumer<Delivery> listener = mDelivered;
         mDelivered = told -> {};
         listener.accept(delivery);
--- a/http/src/main/java/org/dahliapass/http/ServerCodec.java
+++ b/http/src/main/java/org/dahliapass/http/ServerCodec.java
@@ -49,7 +49,7 @@
 
     private static final class Decoder extends HttpRequestDecoder {
         private final Runnable mOnBytes;
-        private final FramingLines mLines = new FramingLines();
+        private final FramingValidator mLines = new FramingValidator();
 
         private Decoder(Runnable onBytes) {
             super(
@@ -82,7 +82,7 @@
 
         /** Drops what would run a request, and a chunk whose size can't be told. */
         private void dropMalformed(List<Object> parts) {
-            boolean keepsChunk = mLines.isMalformedBehindChunk();
+            boolean keepsChunk = mLines.isMalformedAfterChunk();
             Iterator<Object> each = parts.iterator();
             while (each.hasNext()) {
                 Object part = each.next();
--- a/http/src/main/java/org/dahliapass/http/ServerConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ServerConnection.java
@@ -34,7 +34,7 @@
     private final ServerCodec mCodec = new ServerCodec(this::onBytes);
     private final Deque<HttpObject> mHeld = new ArrayDeque<>();
     private Channel mChannel;
-    private AnswerWriter mWriter;
+    private ResponseWriter mWriter;
     private ServerCall mCall;
     private Phase mPhase = Phase.IDLE;
     private Runnable mWritable = () -> {};
@@ -49,33 +49,33 @@
         /** A next request. */
         IDLE {
             @Override
-            long mostMillis(ServerLimits limits) {
+            long mostMillis(ServerTimeouts limits) {
                 return limits.idle().toMillis();
             }
         },
         /** The rest of a request's head. */
         HEAD {
             @Override
-            long mostMillis(ServerLimits limits) {
+            long mostMillis(ServerTimeouts limits) {
                 return limits.head().toMillis();
             }
         },
         /** More of a request's body. */
         BODY {
             @Override
-            long mostMillis(ServerLimits limits) {
+            long mostMillis(ServerTimeouts limits) {
                 return limits.body().toMillis();
             }
         },
         /** The answer, whose time is bounded elsewhere. */
         ANSWER {
             @Override
-            long mostMillis(ServerLimits limits) {
+            long mostMillis(ServerTimeouts limits) {
                 return Long.MAX_VALUE;
             }
         };
 
-        abstract long mostMillis(ServerLimits limits);
+        abstract long mostMillis(ServerTimeouts limits);
     }
 
     ServerConnection(RequestHandler handler, Clock clock) {
@@ -105,14 +105,14 @@
         mWritable = listener;
     }
 
-    void closeAfterAnswer() {
-        mWriter.closeAfterAnswer();
+    void closeAfterResponse() {
+        mWriter.closeAfterResponse();
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         mChannel = context.channel();
-        mWriter = new AnswerWriter(mChannel, mCodec);
+        mWriter = new ResponseWriter(mChannel, mCodec);
     }
 
     private void onBytes() {
@@ -135,7 +135,7 @@
             ReferenceCountUtil.release(part);
             return;
         }
-        boolean ofNextRequest = mCall != null && mCall.isBodyWhole();
+        boolean ofNextRequest = mCall != null && mCall.isBodyComplete();
         if (!ofNextRequest) {
             take(part);
             return;
@@ -165,7 +165,7 @@
 
     private void begin(HttpRequest head) {
         mWriter.onRequest(head);
-        Optional<HttpResponseStatus> refusal = RequestRule.firstRefusal(head);
+        Optional<HttpResponseStatus> refusal = RequestRule.firstRejection(head);
         if (refusal.isPresent()) {
             refuse(refusal.get());
             return;
@@ -187,18 +187,18 @@
         enter(Phase.ANSWER);
         ServerCall call = mCall;
         call.onBodyEnd();
-        if (mCall == call && call.isAnswered() && !mWriting) {
+        if (mCall == call && call.isResponseStarted() && !mWriting) {
             endCall();
         }
     }
 
     /** Returns the length that a request tells for its body; -1 if it tells none. */
-    long lengthOf(HttpRequest head) {
+    long contentLength(HttpRequest head) {
         return HttpUtil.getContentLength(head, -1L);
     }
 
     /** Lets a client go on that waits for leave to send its body. */
-    void wantBody() {
+    void sendContinueIfExpected() {
         if (mAsksToContinue) {
             mAsksToContinue = false;
             mWriter.writeContinue();
@@ -208,7 +208,7 @@
     /** Guards against bytes that can't be told from a next request: nothing after them is read. */
     private void refuseMalformed(Throwable cause) {
         mDrops = true;
-        if (mCall != null && mCall.isAnswered()) {
+        if (mCall != null && mCall.isResponseStarted()) {
             close();
             return;
         }
@@ -228,12 +228,12 @@
         mDrops = true;
         if (call != null) {
             tellDelivered(call, false);
-            call.onClientGone();
+            call.onClientDisconnected();
         }
         mWriter.writeLast(status).addListener(ChannelFutureListener.CLOSE);
     }
 
-    void write(Answer answer) {
+    void write(ServerResponse answer) {
         beginWriting();
         mWriter.write(answer).addListener((ChannelFuture done) -> onWritten(done.isSuccess()));
     }
@@ -243,8 +243,8 @@
         mWriter.writeHead(status, headers, length);
     }
 
-    void writePiece(ByteBuf piece) {
-        mWriter.writePiece(piece);
+    void writeChunk(ByteBuf piece) {
+        mWriter.writeChunk(piece);
     }
 
     void writeEnd(HttpHeaders trailers) {
@@ -254,7 +254,7 @@
     private void beginWriting() {
         if (mAsksToContinue) {
             // Whether its body comes now is the client's choice, so what follows can't be told.
-            mWriter.closeAfterAnswer();
+            mWriter.closeAfterResponse();
         }
         mWriting = true;
         mBegunMillis = mClock.millis();
@@ -264,13 +264,13 @@
         if (mCall == null) {
             return;
         }
-        mCall.delivered(
+        mCall.notifyDelivered(
                 new ServerCall.Delivery(
                         whole, mWriter.bodyBytes(), mClock.millis() - mBegunMillis));
         mWriting = false;
         if (!whole) {
             close();
-        } else if (mCall.isBodyWhole()) {
+        } else if (mCall.isBodyComplete()) {
             endCall();
         } else if (mAsksToContinue) {
             // The body was never asked for and won't come.
@@ -289,7 +289,7 @@
         }
         mWritable = () -> {};
         enter(Phase.IDLE);
-        while (!mHeld.isEmpty() && (mCall == null || !mCall.isBodyWhole()) && !mDrops) {
+        while (!mHeld.isEmpty() && (mCall == null || !mCall.isBodyComplete()) && !mDrops) {
             take(mHeld.poll());
         }
         if (mHeld.size() < MOST_HELD) {
@@ -298,11 +298,11 @@
     }
 
     /** Closes a connection whose client takes longer than allowed. */
-    void check(ServerLimits limits) {
+    void closeIfTimedOut(ServerTimeouts limits) {
         if (mClock.millis() - mPhaseMillis <= mPhase.mostMillis(limits)) {
             return;
         }
-        boolean midway = mPhase == Phase.HEAD || (mCall != null && !mCall.isAnswered());
+        boolean midway = mPhase == Phase.HEAD || (mCall != null && !mCall.isResponseStarted());
         if (midway) {
             // True: a request is handed on only once it is whole.
             refuse(HttpResponseStatus.REQUEST_TIMEOUT);
@@ -318,7 +318,7 @@
      * ends with its connection, so after an ordinary close it looks whole.
      */
     void close() {
-        ConnectionEnd end = mWriting ? ConnectionEnd.ABORTIVE : ConnectionEnd.GRACEFUL;
+        CloseMode end = mWriting ? CloseMode.ABORTIVE : CloseMode.GRACEFUL;
         end.close(mChannel);
     }
 
@@ -340,12 +340,12 @@
             return;
         }
         tellDelivered(call, false);
-        call.onClientGone();
+        call.onClientDisconnected();
     }
 
     private void tellDelivered(ServerCall call, boolean whole) {
         long millis = whole ? mClock.millis() - mBegunMillis : 0;
-        call.delivered(new ServerCall.Delivery(whole, mWriter.bodyBytes(), millis));
+        call.notifyDelivered(new ServerCall.Delivery(whole, mWriter.bodyBytes(), millis));
     }
 
     /** A reset by the client, mostly; what it leaves undone is ended by the close. */
--- a/http/src/main/java/org/dahliapass/http/Answer.java
+++ b/http/src/main/java/org/dahliapass/http/ServerResponse.java
@@ -17,29 +17,29 @@
  * @param body its body, on the heap, so that it needs no release
  * @param trailers the headers after a body in chunks, mostly none
  */
-public record Answer(
+public record ServerResponse(
         HttpResponseStatus status, HttpHeaders headers, ByteBuf body, HttpHeaders trailers) {
     private static final String JSON = "application/json";
     private static final String TEXT = "text/plain; charset=utf-8";
 
     /** Returns an answer without a body. */
-    public static Answer of(HttpResponseStatus status) {
-        return new Answer(
+    public static ServerResponse of(HttpResponseStatus status) {
+        return new ServerResponse(
                 status, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER, EmptyHttpHeaders.INSTANCE);
     }
 
     /** Returns an answer with a JSON document. */
-    public static Answer json(HttpResponseStatus status, String document) {
+    public static ServerResponse json(HttpResponseStatus status, String document) {
         return of(status, JSON, document.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Returns an answer with a text. */
-    public static Answer text(HttpResponseStatus status, byte[] text) {
+    public static ServerResponse text(HttpResponseStatus status, byte[] text) {
         return of(status, TEXT, text);
     }
 
-    private static Answer of(HttpResponseStatus status, String type, byte[] body) {
+    private static ServerResponse of(HttpResponseStatus status, String type, byte[] body) {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, type);
-        return new Answer(status, headers, Unpooled.wrappedBuffer(body), EmptyHttpHeaders.INSTANCE);
+        return new ServerResponse(status, headers, Unpooled.wrappedBuffer(body), EmptyHttpHeaders.INSTANCE);
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ServerLimits.java
+++ b/http/src/main/java/org/dahliapass/http/ServerTimeouts.java
@@ -9,4 +9,4 @@
  * @param body without a further byte of a request's body
  * @param idle without any request on an open connection
  */
-public record ServerLimits(Duration head, Duration body, Duration idle) {}
+public record ServerTimeouts(Duration head, Duration body, Duration idle) {}
--- a/http/src/test/java/org/dahliapass/http/HeldBytesTest.java
+++ b/http/src/test/java/org/dahliapass/http/AbortedRequestTest.java
@@ -32,7 +32,7 @@
  * <p>A reset drops what the kernel still holds; how much a server on the same machine gets before
  * it, is a race, so only the reset itself is looked for.
  */
-public final class HeldBytesTest {
+public final class AbortedRequestTest {
     /** Much more than the server takes without reading, and what a client's kernel holds. */
     private static final int BODY_BYTES = 200_000;
 
@@ -47,7 +47,7 @@
         mServer = new ServerSocket();
         mServer.setReceiveBufferSize(SERVER_BUFFER_BYTES);
         mServer.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        mLoops = EventLoops.one("test");
+        mLoops = EventLoops.singleThreaded("test");
         mClient =
                 new HttpClient(
                         mLoops,
@@ -112,7 +112,7 @@
     }
 
     /** Takes no answer. */
-    private static final class Silent implements AnswerListener {
+    private static final class Silent implements ResponseListener {
         @Override
         public void onHead(HttpResponse head) {}
 
--- a/http/src/test/java/org/dahliapass/http/CutAnswerTest.java
+++ b/http/src/test/java/org/dahliapass/http/AbortedResponseTest.java
@@ -23,11 +23,11 @@
 import org.testng.annotations.Test;
 
 /** Tests of what a client sees of an answer that was begun and broken off. */
-public final class CutAnswerTest {
-    private static final ServerLimits LIMITS =
-            new ServerLimits(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
+public final class AbortedResponseTest {
+    private static final ServerTimeouts LIMITS =
+            new ServerTimeouts(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
-    private final EventLoopGroup mLoops = EventLoops.one("test");
+    private final EventLoopGroup mLoops = EventLoops.singleThreaded("test");
     private HttpServer mServer;
 
     @AfterMethod(alwaysRun = true)
@@ -41,7 +41,7 @@
         CUT {
             @Override
             void end(ServerCall call, HttpServer server) {
-                call.cut();
+                call.abort();
             }
         },
         /** The server stops as a whole. */
@@ -87,7 +87,7 @@
         call.readBody(
                 0,
                 body -> {
-                    call.begin(HttpResponseStatus.OK, EmptyHttpHeaders.INSTANCE, -1);
+                    call.startResponse(HttpResponseStatus.OK, EmptyHttpHeaders.INSTANCE, -1);
                     call.write(Unpooled.wrappedBuffer(new byte[] {1, 2, 3}));
                     Future<?> unused = call.loop().submit(() -> how.end(call, mServer));
                 },
--- a/http/src/test/java/org/dahliapass/http/ClientConnectionTest.java
+++ b/http/src/test/java/org/dahliapass/http/ClientConnectionTest.java
@@ -45,7 +45,7 @@
         mConnection.send(mCall);
     }
 
-    private final class Noting implements AnswerListener {
+    private final class Noting implements ResponseListener {
         @Override
         public void onHead(HttpResponse head) {
             mSeen.add("head " + head.status().code());
--- a/http/src/test/java/org/dahliapass/http/HopHeadersTest.java
+++ b/http/src/test/java/org/dahliapass/http/HopByHopHeadersTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of {@link HopHeaders} and {@link RequestTarget}. */
-public final class HopHeadersTest {
+/** Tests of {@link HopByHopHeaders} and {@link RequestTarget}. */
+public final class HopByHopHeadersTest {
     @Test
     public void headersOfTheConnectionAndThoseItNamesAreTakenOut() {
         HttpHeaders headers =
@@ -25,7 +25,7 @@
                         .add("Keep-Alive", "timeout=5")
                         .add("Transfer-Encoding", "chunked")
                         .add("X-Stays", "3");
-        HopHeaders.strip(headers, List.of());
+        HopByHopHeaders.strip(headers, List.of());
         assertEquals(headers.entries().toString(), "[X-Stays=3]");
     }
 
@@ -37,7 +37,7 @@
                         .add("Connection", "Host, Content-Length")
                         .add("Host", "a")
                         .add("Content-Length", "2");
-        HopHeaders.strip(headers, List.of());
+        HopByHopHeaders.strip(headers, List.of());
         assertEquals(headers.entries().toString(), "[Host=a, Content-Length=2]");
     }
 
@@ -49,7 +49,7 @@
                         .add("Connection", "X-Id, X-Other")
                         .add("X-Id", "7")
                         .add("X-Other", "8");
-        HopHeaders.strip(headers, List.of(AsciiString.of("x-id")));
+        HopByHopHeaders.strip(headers, List.of(AsciiString.of("x-id")));
         assertEquals(headers.entries().toString(), "[X-Id=7]");
     }
 
@@ -58,8 +58,8 @@
         assertEquals(target("/a/b?c=/d"), new RequestTarget("h", "/a/b?c=/d"));
         assertEquals(target("http://other:80/a?b"), new RequestTarget("other:80", "/a?b"));
         assertEquals(target("http://other"), new RequestTarget("other", "/"));
-        assertEquals(target("/a/b?c=/d").pathOnly(), "/a/b");
-        assertEquals(target("/to?http://x/").pathOnly(), "/to");
+        assertEquals(target("/a/b?c=/d").pathWithoutQuery(), "/a/b");
+        assertEquals(target("/to?http://x/").pathWithoutQuery(), "/to");
     }
 
     private static RequestTarget target(String uri) {
--- a/http/src/test/java/org/dahliapass/http/ListeningCheckTest.java
+++ b/http/src/test/java/org/dahliapass/http/HttpClientListeningTest.java
@@ -15,13 +15,13 @@
 import org.testng.annotations.Test;
 
 /** Tests of {@link HttpClient#isListening}. */
-public final class ListeningCheckTest {
+public final class HttpClientListeningTest {
     private EventLoopGroup mLoops;
     private HttpClient mClient;
 
     @BeforeMethod
     public void start() {
-        mLoops = EventLoops.one("test");
+        mLoops = EventLoops.singleThreaded("test");
         mClient =
                 new HttpClient(
                         mLoops, Clock.systemUTC(), Duration.ofSeconds(10), Duration.ofSeconds(4));
--- a/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
+++ b/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
@@ -21,7 +21,7 @@
 
     @Test
     public void answerHasItsLengthAndTheConnectionStays() {
-        ServerFixture server = new ServerFixture(call -> call.answer(ServerFixture.answer("hi")));
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("hi")));
         server.send("GET /a HTTP/1.1\n" + HOST + "\n");
         String answer = server.received();
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n"), answer);
@@ -36,10 +36,10 @@
         ServerFixture server = new ServerFixture();
         server.send("GET /1 HTTP/1.1\n" + HOST + "\nGET /2 HTTP/1.1\n" + HOST + "\n");
         assertEquals(server.mCalls.size(), 1);
-        server.mCalls.get(0).answer(ServerFixture.answer("one"));
+        server.mCalls.get(0).respond(ServerFixture.answer("one"));
         assertEquals(server.mCalls.size(), 2);
         assertEquals(server.mCalls.get(1).head().uri(), "/2");
-        server.mCalls.get(1).answer(ServerFixture.answer("two"));
+        server.mCalls.get(1).respond(ServerFixture.answer("two"));
         String answers = server.received();
         assertTrue(answers.indexOf("one") < answers.indexOf("two"), answers);
     }
@@ -53,7 +53,7 @@
         }
         assertFalse(server.mChannel.config().isAutoRead());
         for (int number = 0; number < 100; number++) {
-            server.mCalls.get(number).answer(ServerFixture.answer("x"));
+            server.mCalls.get(number).respond(ServerFixture.answer("x"));
         }
         assertTrue(server.mChannel.config().isAutoRead());
         assertEquals(server.mCalls.size(), 100);
@@ -112,7 +112,7 @@
     @Test
     public void bodyOfARequestThatWasAnsweredEarlyIsDropped() {
         ServerFixture server =
-                new ServerFixture(call -> call.answer(ServerFixture.answer(call.head().uri())));
+                new ServerFixture(call -> call.respond(ServerFixture.answer(call.head().uri())));
         server.send("POST /1 HTTP/1.1\n" + HOST + "Content-Length: 25\n\n");
         assertEquals(server.mCalls.size(), 1);
         server.sendRaw("GET /inner HTTP/1.1\r\n\r\nxx");
@@ -214,7 +214,7 @@
     public void ambiguousRequestBehindAnotherOneIsRefused(
             String section, int status, String request) {
         ServerFixture server =
-                new ServerFixture(call -> call.answer(Answer.of(HttpResponseStatus.OK)));
+                new ServerFixture(call -> call.respond(ServerResponse.of(HttpResponseStatus.OK)));
         server.send("\nPOST /first HTTP/1.1\n" + HOST + "Content-Length: 2\n\n x");
         for (int place = 0; place < request.length(); place++) {
             server.send(request.substring(place, place + 1));
@@ -252,7 +252,7 @@
     /** The client may or may not send its body now, so what comes can't be told apart. */
     @Test
     public void clientThatAsksAndIsRefusedGetsItsAnswerAndTheConnectionCloses() {
-        ServerFixture server = new ServerFixture(call -> call.answer(ServerFixture.answer("no")));
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("no")));
         server.send("POST / HTTP/1.1\n" + HOST + "Content-Length: 2\nExpect: 100-continue\n\n");
         String answer = server.received();
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
@@ -288,7 +288,7 @@
 
     @Test
     public void idleConnectionIsClosedWithoutAnAnswer() {
-        ServerFixture server = new ServerFixture(call -> call.answer(ServerFixture.answer("x")));
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("x")));
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         server.received();
         server.pass(Duration.ofMillis(14_900));
@@ -311,9 +311,9 @@
     public void answerToHeadTellsItsLengthAndHasNoBody() {
         ServerFixture server = new ServerFixture();
         server.send("HEAD / HTTP/1.1\n" + HOST + "\n");
-        Answer answer = ServerFixture.answer("");
+        ServerResponse answer = ServerFixture.answer("");
         answer.headers().set("content-length", 77);
-        server.mCalls.get(0).answer(answer);
+        server.mCalls.get(0).respond(answer);
         String text = server.received();
         assertTrue(text.contains("content-length: 77\r\n"), text);
         assertTrue(text.endsWith("\r\n\r\n"), text);
@@ -321,7 +321,7 @@
 
     @Test
     public void oldClientsConnectionClosesUnlessItAsksOtherwise() {
-        ServerFixture server = new ServerFixture(call -> call.answer(ServerFixture.answer("x")));
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("x")));
         server.send("GET / HTTP/1.0\nConnection: keep-alive\n\n");
         assertTrue(server.received().contains("connection: keep-alive"));
         assertTrue(server.mChannel.isActive());
@@ -336,7 +336,7 @@
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         List<String> told = new ArrayList<>();
-        server.mCalls.get(0).onGone(() -> told.add("gone"));
+        server.mCalls.get(0).onDisconnect(() -> told.add("gone"));
         server.mCalls.get(0).onDelivered(delivery -> told.add("whole " + delivery.whole()));
         server.mChannel.close().syncUninterruptibly();
         assertEquals(told, List.of("whole false", "gone"));
@@ -349,7 +349,7 @@
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         server.mChannel.close().syncUninterruptibly();
         List<String> told = new ArrayList<>();
-        server.mCalls.get(0).onGone(() -> told.add("gone"));
+        server.mCalls.get(0).onDisconnect(() -> told.add("gone"));
         assertEquals(told, List.of("gone"));
     }
 
@@ -358,9 +358,9 @@
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         ServerCall call = server.mCalls.get(0);
-        call.begin(HttpResponseStatus.OK, new DefaultHttpHeaders(), -1);
+        call.startResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), -1);
         call.write(Unpooled.copiedBuffer("abc", StandardCharsets.UTF_8));
-        call.end(EmptyHttpHeaders.INSTANCE);
+        call.endResponse(EmptyHttpHeaders.INSTANCE);
         String answer = server.received();
         assertTrue(answer.contains("transfer-encoding: chunked"), answer);
         assertTrue(answer.endsWith("3\r\nabc\r\n0\r\n\r\n"), answer);
@@ -373,9 +373,9 @@
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         ServerCall call = server.mCalls.get(0);
-        call.begin(HttpResponseStatus.OK, new DefaultHttpHeaders(), -1);
+        call.startResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), -1);
         call.write(Unpooled.copiedBuffer("abc", StandardCharsets.UTF_8));
-        call.cut();
+        call.abort();
         assertTrue(server.received().endsWith("3\r\nabc\r\n"));
         assertFalse(server.mChannel.isActive());
     }
--- a/http/src/test/java/org/dahliapass/http/ServerFixture.java
+++ b/http/src/test/java/org/dahliapass/http/ServerFixture.java
@@ -12,8 +12,8 @@
 
 /** One connection of a server without a network; the test is its client and its handler. */
 final class ServerFixture {
-    static final ServerLimits LIMITS =
-            new ServerLimits(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
+    static final ServerTimeouts LIMITS =
+            new ServerTimeouts(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
     final ManualClock mClock = new ManualClock(Instant.ofEpochSecond(1_000));
     final List<ServerCall> mCalls = new ArrayList<>();
@@ -65,11 +65,11 @@
     /** Lets time pass and has the connection looked at. */
     void pass(Duration time) {
         mClock.advance(time);
-        mConnection.check(LIMITS);
+        mConnection.closeIfTimedOut(LIMITS);
     }
 
-    static Answer answer(String text) {
-        return Answer.text(
+    static ServerResponse answer(String text) {
+        return ServerResponse.text(
                 io.netty.handler.codec.http.HttpResponseStatus.OK,
                 text.getBytes(StandardCharsets.UTF_8));
     }
--- a/http/src/test/java/org/dahliapass/http/ServerFuzzTest.java
+++ b/http/src/test/java/org/dahliapass/http/ServerFuzzTest.java
@@ -67,7 +67,7 @@
         for (int number = 0; number < CASES; number++) {
             long seed = seeds.nextLong();
             String bytes = spoiled(new SplittableRandom(seed));
-            List<String> strict = StrictReader.read(bytes, MOST_BODY);
+            List<String> strict = StrictRequestParser.read(bytes, MOST_BODY);
             assertEquals(taken(List.of(bytes)), strict, "seed " + seed + ": " + bytes);
         }
     }
@@ -92,12 +92,12 @@
                                                             + " "
                                                             + body.toString(
                                                                     StandardCharsets.ISO_8859_1));
-                                            call.answer(ServerFixture.answer("x"));
+                                            call.respond(ServerFixture.answer("x"));
                                         },
                                         () -> {
                                             taken.add("too large");
-                                            call.closeAfterAnswer();
-                                            call.answer(ServerFixture.answer("x"));
+                                            call.closeAfterResponse();
+                                            call.respond(ServerFixture.answer("x"));
                                         }));
         for (String piece : pieces) {
             server.sendRaw(piece);
--- a/http/src/test/java/org/dahliapass/http/StrictReader.java
+++ b/http/src/test/java/org/dahliapass/http/StrictRequestParser.java
@@ -11,7 +11,7 @@
  * Reads requests by the grammar of RFC 9112 alone, whole and at once, and takes none behind
  * anything that the grammar doesn't have: what the server is compared with.
  */
-final class StrictReader {
+final class StrictRequestParser {
     private static final String LINE_END = "\r\n";
 
     private static final Pattern REQUEST_LINE =
@@ -33,7 +33,7 @@
     /** One header line. */
     private record Header(String name, String value) {}
 
-    private StrictReader(String bytes, int mostBody) {
+    private StrictRequestParser(String bytes, int mostBody) {
         mBytes = bytes;
         mMostBody = mostBody;
     }
@@ -47,7 +47,7 @@
      * Returns the requests, each with its method, target and body; a body over the limit ends them.
      */
     static List<String> read(String bytes, int mostBody) {
-        StrictReader reader = new StrictReader(bytes, mostBody);
+        StrictRequestParser reader = new StrictRequestParser(bytes, mostBody);
         try {
             boolean goesOn = true;
             while (goesOn) {
--- a/kernel/src/main/java/org/dahliapass/kernel/PartLog.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ComponentLog.java
@@ -3,16 +3,16 @@
 import org.tinylog.Logger;
 
 /** Writes log lines with the fixed prefix of one part, so that a reader can filter by part. */
-public final class PartLog {
+public final class ComponentLog {
     private final String mPrefix;
 
-    private PartLog(String prefix) {
+    private ComponentLog(String prefix) {
         mPrefix = prefix;
     }
 
     /** Returns the log of a part; its lines begin with the part's name and a colon. */
-    public static PartLog of(String part) {
-        return new PartLog(part + ": ");
+    public static ComponentLog of(String part) {
+        return new ComponentLog(part + ": ");
     }
 
     /** Logs what is of use only while looking for a fault. */
--- a/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
@@ -21,7 +21,7 @@
     /** The name under which the kernel holds the control loop. */
     public static final String NAME = "control-loop";
 
-    private static final PartLog LOG = PartLog.of("control");
+    private static final ComponentLog LOG = ComponentLog.of("control");
 
     private final Clock mClock;
     private final ScheduledThreadPoolExecutor mExecutor;
@@ -58,21 +58,21 @@
     /**
      * Runs a question on the control thread and completes with its answer.
      *
-     * @return fails with the question's own failure, or with a {@link StepException} if the loop
+     * @return fails with the question's own failure, or with a {@link OperationException} if the loop
      *     has stopped
      */
-    public <T> CompletableFuture<T> ask(Supplier<T> question) {
+    public <T> CompletableFuture<T> submit(Supplier<T> question) {
         try {
             return CompletableFuture.supplyAsync(question, mExecutor);
         } catch (RejectedExecutionException expected) {
             return CompletableFuture.failedFuture(
-                    new StepException(
+                    new OperationException(
                             "ask", "control loop", "The loop has stopped. Ask another VM."));
         }
     }
 
     /** Runs an event on the control thread every period, first after one period. */
-    public void every(Duration period, Runnable event) {
+    public void scheduleWithFixedDelay(Duration period, Runnable event) {
         try {
             mTimers.add(
                     mExecutor.scheduleWithFixedDelay(
@@ -91,8 +91,8 @@
      * <p>Guards against a period that comes while its service is stopping, which would show as
      * errors in the last lines of a log that is otherwise clean.
      */
-    public CompletableFuture<Void> stopTimers() {
-        return ask(
+    public CompletableFuture<Void> cancelTimers() {
+        return submit(
                 () -> {
                     mTimers.forEach(timer -> timer.cancel(false));
                     return null;
@@ -100,7 +100,7 @@
     }
 
     /** Runs an event on the control thread once, after a delay. */
-    public void after(Duration delay, Runnable event) {
+    public void schedule(Duration delay, Runnable event) {
         try {
             Future<?> unused =
                     mExecutor.schedule(
--- a/kernel/src/main/java/org/dahliapass/kernel/Futures.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Futures.java
@@ -6,7 +6,7 @@
 
 /** Ends chains of futures whose last step nobody waits for. */
 public final class Futures {
-    private static final PartLog LOG = PartLog.of("futures");
+    private static final ComponentLog LOG = ComponentLog.of("futures");
 
     private Futures() {}
 
@@ -31,7 +31,7 @@
     }
 
     /** Returns what made a future fail, without what the chain of futures put around it. */
-    public static Throwable cause(Throwable failure) {
+    public static Throwable unwrap(Throwable failure) {
         Throwable cause = failure;
         while (cause instanceof CompletionException && cause.getCause() != null) {
             cause = cause.getCause();
--- a/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
@@ -14,11 +14,11 @@
 /**
  * A settings file in INI, whose problems are collected and reported all at once.
  *
- * <p>Sections and keys that nobody asked for are problems too: {@link #check()} reports them.
+ * <p>Sections and keys that nobody asked for are problems too: {@link #throwIfInvalid()} reports them.
  */
 public final class IniFile {
     private final String mName;
-    private final List<Problem> mProblems = new ArrayList<>();
+    private final List<SettingsProblem> mProblems = new ArrayList<>();
     private final List<IniSection> mSections = new ArrayList<>();
 
     private IniFile(String name) {
@@ -35,7 +35,7 @@
             return parse(path.toString(), Files.readString(path));
         } catch (IOException failure) {
             throw new SettingsException(
-                    List.of(new Problem(path.toString(), "", "", "no readable file", "INI text")));
+                    List.of(new SettingsProblem(path.toString(), "", "", "no readable file", "INI text")));
         }
     }
 
@@ -57,7 +57,7 @@
             ini.load(new StringReader(text));
         } catch (IOException failure) {
             throw new SettingsException(
-                    List.of(new Problem(name, "", "", failure.getMessage(), "INI text")));
+                    List.of(new SettingsProblem(name, "", "", failure.getMessage(), "INI text")));
         }
         for (String sectionName : ini.keySet()) {
             file.addSection(sectionName, ini.getAll(sectionName));
@@ -96,7 +96,7 @@
     }
 
     /** Returns, in file order, the sections whose names begin with this word and a space. */
-    public List<IniSection> sectionsOf(String word) {
+    public List<IniSection> sectionsWithPrefix(String word) {
         List<IniSection> found =
                 mSections.stream()
                         .filter(section -> section.name().startsWith(word + " "))
@@ -107,10 +107,10 @@
 
     /** Adds a problem. */
     public void report(String section, String key, String met, String allowed) {
-        mProblems.add(new Problem(mName, section, key, met, allowed));
+        mProblems.add(new SettingsProblem(mName, section, key, met, allowed));
     }
 
-    boolean isSound(String section) {
+    boolean isValid(String section) {
         return mProblems.stream().noneMatch(problem -> problem.section().equals(section));
     }
 
@@ -119,7 +119,7 @@
      *
      * @throws SettingsException with all problems, unknown sections and keys included
      */
-    public void check() {
+    public void throwIfInvalid() {
         for (IniSection section : mSections) {
             section.reportUnknown();
         }
--- a/kernel/src/main/java/org/dahliapass/kernel/IniSection.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/IniSection.java
@@ -92,13 +92,13 @@
     }
 
     /** Returns a share from 0 to 1, written as a percentage such as 12.5%. */
-    public double share(String key) {
+    public double fraction(String key) {
         return required(key, "a percentage from 0% to 100%", IniSection::parseShare, 0.0);
     }
 
     /** Returns a share, or the fallback if the key is missing. */
-    public double share(String key, double fallback) {
-        return has(key) ? share(key) : asked(key, fallback);
+    public double fraction(String key, double fallback) {
+        return has(key) ? fraction(key) : asked(key, fallback);
     }
 
     /** Returns a duration such as 250ms, 30s, 5m or 2h within bounds, both included. */
@@ -142,7 +142,7 @@
     }
 
     /** Returns one of an enum's values, written in lower case with hyphens. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type) {
+    public <E extends Enum<E>> E enumValue(String key, Class<E> type) {
         E[] values = type.getEnumConstants();
         String allowed =
                 Arrays.stream(values).map(IniSection::written).collect(Collectors.joining(", "));
@@ -157,8 +157,8 @@
     }
 
     /** Returns one of an enum's values, or the fallback if the key is missing. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E fallback) {
-        return has(key) ? choice(key, type) : asked(key, fallback);
+    public <E extends Enum<E>> E enumValue(String key, Class<E> type, E fallback) {
+        return has(key) ? enumValue(key, type) : asked(key, fallback);
     }
 
     /** Returns a value that the caller's own parser makes of the text; empty means wrong. */
@@ -187,8 +187,8 @@
      * Returns whether no problem of this section is known so far. What clashes with a stand-in
      * value is no problem of its own: check for clashes only while the section is sound.
      */
-    public boolean isSound() {
-        return mFile.isSound(mName);
+    public boolean isValid() {
+        return mFile.isValid(mName);
     }
 
     void use() {
--- a/kernel/src/main/java/org/dahliapass/kernel/Kernel.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Kernel.java
@@ -14,7 +14,7 @@
  * <p>Registration ends before {@link #start()}; look-ups are safe from any thread after it.
  */
 public final class Kernel {
-    private static final PartLog LOG = PartLog.of("kernel");
+    private static final ComponentLog LOG = ComponentLog.of("kernel");
 
     private final Map<String, KernelService> mServices = new LinkedHashMap<>();
     private final List<String> mStarted = new ArrayList<>();
--- a/kernel/src/main/java/org/dahliapass/kernel/KernelService.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/KernelService.java
@@ -10,7 +10,7 @@
      * unless overridden.
      *
      * @param kernel where other services are found by name
-     * @return completes when the service may be used; fails with a {@link StepException}
+     * @return completes when the service may be used; fails with a {@link OperationException}
      */
     default CompletableFuture<Void> start(Kernel kernel) {
         return CompletableFuture.completedFuture(null);
--- a/kernel/src/main/java/org/dahliapass/kernel/StepException.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/OperationException.java
@@ -1,7 +1,7 @@
 package org.dahliapass.kernel;
 
 /** A failure that tells at which step and at which peer it arose. */
-public class StepException extends RuntimeException {
+public class OperationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String mStep;
@@ -14,19 +14,19 @@
      * @param peer whom it was done with: an address or a name, "self" if nobody else
      * @param message what is wrong and how to mend it
      */
-    public StepException(String step, String peer, String message) {
+    public OperationException(String step, String peer, String message) {
         this(step, peer, message, null);
     }
 
     /** Creates a failure with the failure that led to it. */
-    public StepException(String step, String peer, String message, Throwable cause) {
+    public OperationException(String step, String peer, String message, Throwable cause) {
         super(step + " at " + peer + ": " + message, cause);
         mStep = step;
         mPeer = peer;
     }
 
     /** Returns what was being done. */
-    public String step() {
+    public String operation() {
         return mStep;
     }
 
--- a/kernel/src/main/java/org/dahliapass/kernel/PeriodicTask.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/PeriodicTask.java
@@ -36,7 +36,7 @@
 
     private void plan(Duration delay) {
         if (mPlanned.compareAndSet(false, true)) {
-            mLoop.after(delay, this::run);
+            mLoop.schedule(delay, this::run);
         }
     }
 
--- a/kernel/src/main/java/org/dahliapass/kernel/Program.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Program.java
@@ -25,14 +25,14 @@
     }
 
     /** Declares the program's own options. */
-    protected abstract void declare(OptionParser parser);
+    protected abstract void declareOptions(OptionParser parser);
 
     /**
      * Does the work.
      *
      * @return the exit code; the process ends with it once this returns
      * @throws SettingsException if a settings file is wrong: printed, exit code 2
-     * @throws StepException if the work failed: printed, exit code 1
+     * @throws OperationException if the work failed: printed, exit code 1
      */
     protected abstract ExitCode run(OptionSet options) throws InterruptedException;
 
@@ -41,7 +41,7 @@
         OptionParser parser = new OptionParser();
         parser.accepts("help", "Print this help.").forHelp();
         parser.accepts("version", "Print the version.").forHelp();
-        declare(parser);
+        declareOptions(parser);
         try {
             OptionSet options = parser.parse(arguments);
             if (options.has("help")) {
@@ -58,7 +58,7 @@
         } catch (SettingsException failure) {
             errors.println(failure.getMessage());
             return ExitCode.USAGE;
-        } catch (StepException failure) {
+        } catch (OperationException failure) {
             errors.println(mName + ": " + failure.getMessage());
             return ExitCode.FAILED;
         } catch (InterruptedException failure) {
--- a/kernel/src/main/java/org/dahliapass/kernel/SettingsException.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/SettingsException.java
@@ -7,16 +7,16 @@
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Problem> mProblems;
+    private final transient List<SettingsProblem> mProblems;
 
     /** Creates the failure from the problems, in the order in which they stand in the file. */
-    public SettingsException(List<Problem> problems) {
-        super(problems.stream().map(Problem::describe).collect(Collectors.joining("\n")));
+    public SettingsException(List<SettingsProblem> problems) {
+        super(problems.stream().map(SettingsProblem::describe).collect(Collectors.joining("\n")));
         mProblems = List.copyOf(problems);
     }
 
     /** Returns the problems. */
-    public List<Problem> problems() {
+    public List<SettingsProblem> problems() {
         return mProblems;
     }
 }
--- a/kernel/src/main/java/org/dahliapass/kernel/Problem.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/SettingsProblem.java
@@ -6,10 +6,10 @@
  * @param file the file's name as the user gave it
  * @param section the section's name, empty for the whole file
  * @param key the key's name, empty for the whole section
- * @param met what was found, for instance "'fast'" or "nothing"
- * @param allowed what may stand there
+ * @param actual what was found, for instance "'fast'" or "nothing"
+ * @param expected what may stand there
  */
-public record Problem(String file, String section, String key, String met, String allowed) {
+public record SettingsProblem(String file, String section, String key, String actual, String expected) {
 
     /** Returns the problem as one line that says what is wrong and how to mend it. */
     public String describe() {
@@ -20,6 +20,6 @@
         if (!key.isEmpty()) {
             line.append(' ').append(key);
         }
-        return line.append(": met ").append(met).append("; allowed: ").append(allowed).toString();
+        return line.append(": met ").append(actual).append("; allowed: ").append(expected).toString();
     }
 }
--- a/kernel/src/test/java/org/dahliapass/kernel/ControlLoopTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/ControlLoopTest.java
@@ -41,7 +41,7 @@
         }
 
         List<Integer> copy =
-                mLoop.ask(() -> List.copyOf(seen)).get(BOUND_SECONDS, TimeUnit.SECONDS);
+                mLoop.submit(() -> List.copyOf(seen)).get(BOUND_SECONDS, TimeUnit.SECONDS);
 
         assertEquals(copy.size(), 100);
         assertEquals(copy, copy.stream().sorted().toList());
@@ -57,7 +57,7 @@
     @Test
     public void periodicEventThatThrowsRunsAgain() throws Exception {
         CountDownLatch rounds = new CountDownLatch(3);
-        mLoop.every(
+        mLoop.scheduleWithFixedDelay(
                 Duration.ofMillis(1),
                 () -> {
                     rounds.countDown();
@@ -70,7 +70,7 @@
     @Test
     public void askGivesTheQuestionsFailureToTheAsker() {
         ExecutionException failure =
-                expectThrows(ExecutionException.class, () -> mLoop.ask(this::fail).get());
+                expectThrows(ExecutionException.class, () -> mLoop.submit(this::fail).get());
 
         assertEquals(failure.getCause().getMessage(), "no answer");
     }
@@ -83,11 +83,11 @@
 
         List<String> ran = new CopyOnWriteArrayList<>();
         mLoop.execute(() -> ran.add("execute"));
-        mLoop.after(Duration.ZERO, () -> ran.add("after"));
-        mLoop.every(Duration.ofMillis(1), () -> ran.add("every"));
+        mLoop.schedule(Duration.ZERO, () -> ran.add("after"));
+        mLoop.scheduleWithFixedDelay(Duration.ofMillis(1), () -> ran.add("every"));
         ExecutionException failure =
-                expectThrows(ExecutionException.class, () -> mLoop.ask(() -> 1).get());
-        assertEquals(failure.getCause().getClass(), StepException.class);
+                expectThrows(ExecutionException.class, () -> mLoop.submit(() -> 1).get());
+        assertEquals(failure.getCause().getClass(), OperationException.class);
         assertEquals(ran, List.of());
     }
 
--- a/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
@@ -16,7 +16,7 @@
         IniFile file = IniFile.parse("vm.ini", "; a comment\n[vm]\nname = a1\n");
 
         assertEquals(file.section("vm").text("name"), "a1");
-        file.check();
+        file.throwIfInvalid();
     }
 
     @Test
@@ -24,7 +24,7 @@
         IniFile file = IniFile.parse("vm.ini", "[vm]\nname = a1\nnmae = a2\n[vn]\nname = a3\n");
         String unused = file.section("vm").text("name");
 
-        List<Problem> problems = problemsOf(file);
+        List<SettingsProblem> problems = problemsOf(file);
 
         assertEquals(
                 problems.get(0).describe(),
@@ -46,7 +46,7 @@
         IniFile file = IniFile.parse("vm.ini", "");
 
         assertFalse(file.optionalSection("vm").isPresent());
-        file.check();
+        file.throwIfInvalid();
     }
 
     @Test
@@ -54,14 +54,14 @@
         IniFile file = IniFile.parse("vm.ini", "[vm]\na = 1\n[vm]\na = 2\n");
         String unused = file.section("vm").text("a");
 
-        assertEquals(problemsOf(file).get(0).met(), "2 sections of this name");
+        assertEquals(problemsOf(file).get(0).actual(), "2 sections of this name");
     }
 
     @Test
     public void sectionsOfKeepsTheFilesOrder() {
         IniFile file = IniFile.parse("t.ini", "[kind b]\n[service x]\n[kind a]\n[kinds c]\n");
 
-        List<String> names = file.sectionsOf("kind").stream().map(IniSection::name).toList();
+        List<String> names = file.sectionsWithPrefix("kind").stream().map(IniSection::name).toList();
 
         assertEquals(names, List.of("kind b", "kind a"));
     }
@@ -79,7 +79,7 @@
         assertEquals(failure.problems().get(0).file(), "no-such.ini");
     }
 
-    private static List<Problem> problemsOf(IniFile file) {
-        return expectThrows(SettingsException.class, file::check).problems();
+    private static List<SettingsProblem> problemsOf(IniFile file) {
+        return expectThrows(SettingsException.class, file::throwIfInvalid).problems();
     }
 }
--- a/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
@@ -28,11 +28,11 @@
             row(s -> s.text("k"), "a b", "a b", List.of("")),
             row(s -> s.number("k", 1, 5), "5", 5L, List.of("0", "6", "1.5", "x", "")),
             row(s -> s.decimal("k", 0, 1), "0.25", 0.25, List.of("-1", "1.1", "NaN", "x")),
-            row(s -> s.share("k"), "12.5%", 0.125, List.of("0.5", "101%", "-1%", "%")),
+            row(s -> s.fraction("k"), "12.5%", 0.125, List.of("0.5", "101%", "-1%", "%")),
             row(s -> s.duration("k", SECOND, HOUR), "2m", Duration.ofMinutes(2), DURATIONS),
             row(s -> s.size("k", 1, 1 << 20), "64KB", 65_536L, List.of("0B", "2MB", "64", "9kb")),
             row(s -> s.yesNo("k"), "yes", true, List.of("true", "YES", "1")),
-            row(s -> s.choice("k", Pace.class), "very-fast", Pace.VERY_FAST, List.of("VERY_FAST")),
+            row(s -> s.enumValue("k", Pace.class), "very-fast", Pace.VERY_FAST, List.of("VERY_FAST")),
             row(s -> s.list("k"), "a, b,,c", List.of("a", "b", "c"), List.of("")),
         };
     }
@@ -49,16 +49,16 @@
             Function<IniSection, Object> getter, String taken, Object value, List<String> refused) {
         IniFile sound = IniFile.parse("f.ini", "[s]\nk = " + taken + "\n");
         assertEquals(getter.apply(sound.section("s")), value);
-        sound.check();
+        sound.throwIfInvalid();
 
         for (String text : refused) {
             IniFile wrong = IniFile.parse("f.ini", "[s]\nk = " + text + "\n");
             Object unused = getter.apply(wrong.section("s"));
 
-            List<Problem> problems = expectThrows(SettingsException.class, wrong::check).problems();
+            List<SettingsProblem> problems = expectThrows(SettingsException.class, wrong::throwIfInvalid).problems();
 
             assertEquals(problems.size(), 1, text);
-            assertEquals(problems.get(0).met(), "'" + text + "'");
+            assertEquals(problems.get(0).actual(), "'" + text + "'");
             assertEquals(problems.get(0).key(), "k");
         }
     }
@@ -69,10 +69,10 @@
         IniSection section = file.section("s");
 
         assertEquals(section.number("missing", 1, 5, 3), 3);
-        assertTrue(section.isSound());
+        assertTrue(section.isValid());
         long unused = section.number("wrong", 1, 5, 3);
 
-        assertFalse(section.isSound());
+        assertFalse(section.isValid());
     }
 
     @Test
@@ -80,9 +80,9 @@
         IniFile file = IniFile.parse("f.ini", "[s]\nk = 1\nk = 2\n");
         long unused = file.section("s").number("k", 1, 5);
 
-        List<Problem> problems = expectThrows(SettingsException.class, file::check).problems();
+        List<SettingsProblem> problems = expectThrows(SettingsException.class, file::throwIfInvalid).problems();
 
-        assertEquals(problems.get(0).met(), "2 values");
+        assertEquals(problems.get(0).actual(), "2 values");
     }
 
     @Test
--- a/kernel/src/test/java/org/dahliapass/kernel/KernelTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/KernelTest.java
@@ -49,7 +49,7 @@
     // stop again, what comes later must not start, and the reason must reach the operator.
     @Test
     public void startThatFailsStopsWhatWasStartedAndTellsWhy() {
-        StepException reason = new StepException("bind", "self", "The port is taken.");
+        OperationException reason = new OperationException("bind", "self", "The port is taken.");
         CompletableFuture<Void> broken = CompletableFuture.failedFuture(reason);
         mKernel.register("first", sound("first"))
                 .register("broken", new Scripted("broken", () -> broken, Acts::done))
--- a/kernel/src/test/java/org/dahliapass/kernel/PeriodicTaskTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/PeriodicTaskTest.java
@@ -45,7 +45,7 @@
         task.wake();
         task.wake();
         done.await();
-        assertEquals((int) mLoop.ask(runs::get).join(), 3);
+        assertEquals((int) mLoop.submit(runs::get).join(), 3);
     }
 
     /** News that comes while the task finds nothing to do must not wait for the next news. */
--- a/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
@@ -62,7 +62,7 @@
 
     @Test
     public void wrongSettingsAreAUsageError() {
-        mFailure = new SettingsException(List.of(new Problem("f.ini", "s", "k", "'x'", "a y")));
+        mFailure = new SettingsException(List.of(new SettingsProblem("f.ini", "s", "k", "'x'", "a y")));
 
         assertEquals(run(), ExitCode.USAGE);
         assertEquals(
@@ -72,7 +72,7 @@
 
     @Test
     public void failedWorkTellsStepAndPeer() {
-        mFailure = new StepException("read head", "10.0.0.1:80", "No answer. Is it up?");
+        mFailure = new OperationException("read head", "10.0.0.1:80", "No answer. Is it up?");
 
         assertEquals(run(), ExitCode.FAILED);
         assertTrue(mErrors.toString(StandardCharsets.UTF_8).contains("read head at 10.0.0.1:80"));
@@ -92,7 +92,7 @@
         }
 
         @Override
-        protected void declare(OptionParser parser) {
+        protected void declareOptions(OptionParser parser) {
             parser.accepts("depth", "How deep.").withRequiredArg().ofType(Integer.class);
         }
 
--- a/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
+++ b/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
@@ -10,7 +10,7 @@
 import org.dahliapass.gateway.GatewaySettings;
 import org.dahliapass.kernel.IniFile;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.ConfigurationDocument;
@@ -79,7 +79,7 @@
             gateway.setDaemon(true);
             gateway.start();
         } catch (IOException failure) {
-            throw new StepException("write the settings", "rehearsal", "No file.", failure);
+            throw new OperationException("write the settings", "rehearsal", "No file.", failure);
         }
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/capacity/CapacityMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/CapacityMain.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mJson = parser.accepts("json", "Write all figures to this file.").withRequiredArg();
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryMeasures.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.membership.MemberUpdate;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.standins.VmRegistration;
 
 /** Measures the directory of services and the platform's VM list. */
@@ -59,7 +59,7 @@
         try {
             return new ObjectMapper().writeValueAsString(entries);
         } catch (JsonProcessingException failure) {
-            throw new StepException("write VM list", "lab", "It can't be written.", failure);
+            throw new OperationException("write VM list", "lab", "It can't be written.", failure);
         }
     }
 
@@ -94,7 +94,7 @@
                     throw new IllegalStateException("The sample list lost VMs.");
                 }
             } catch (JsonProcessingException failure) {
-                throw new StepException("read VM list", "lab", "It can't be read.", failure);
+                throw new OperationException("read VM list", "lab", "It can't be read.", failure);
             }
         };
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/GossipSecond.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/GossipSecond.java
@@ -10,7 +10,7 @@
 import org.dahliapass.decisions.membership.MembershipAction;
 import org.dahliapass.decisions.membership.MembershipAction.SendGossip;
 import org.dahliapass.entry.GossipCodec;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.wire.message.Gossip;
 
 /**
@@ -89,7 +89,7 @@
             SendGossip sent = new SendGossip(mMembership.self().vm().peerEndpoint(), message);
             return GossipCodec.decode(Gossip.parseFrom(Envelope.datagram(sent).toByteArray()));
         } catch (InvalidProtocolBufferException failure) {
-            throw new StepException("decode datagram", "lab", "It can't be decoded.", failure);
+            throw new OperationException("decode datagram", "lab", "It can't be decoded.", failure);
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/HealthMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/HealthMeasures.java
@@ -7,7 +7,7 @@
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.decisions.health.TargetEvidence;
 import org.dahliapass.decisions.health.TargetHealth;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.wire.message.EvidenceReportReply;
@@ -145,7 +145,7 @@
                                 org.dahliapass.wire.message.EvidenceReport.parseFrom(sent)),
                         sequence[0]);
             } catch (InvalidProtocolBufferException failure) {
-                throw new StepException("decode evidence", "lab", "It's broken.", failure);
+                throw new OperationException("decode evidence", "lab", "It's broken.", failure);
             }
         };
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
@@ -21,7 +21,7 @@
 import org.dahliapass.entry.FleetMember;
 import org.dahliapass.entry.FleetView;
 import org.dahliapass.entry.GossipCodec;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
@@ -64,7 +64,7 @@
             byte[] bytes = GossipCodec.encode(SampleFleet.members(1, members)).toByteArray();
             return GossipCodec.decode(JoinReply.parseFrom(bytes));
         } catch (InvalidProtocolBufferException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "decode member list", "lab", "What was encoded can't be decoded.", failure);
         }
     }
@@ -128,7 +128,7 @@
                 byte[] sent = GossipCodec.encode(membership.members()).toByteArray();
                 membership.onJoinReply(GossipCodec.decode(JoinReply.parseFrom(sent)), 0);
             } catch (InvalidProtocolBufferException failure) {
-                throw new StepException("decode list", "lab", "It can't be decoded.", failure);
+                throw new OperationException("decode list", "lab", "It can't be decoded.", failure);
             }
         };
     }
--- a/lab/src/main/java/org/dahliapass/lab/cost/GatewayLoadMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/cost/GatewayLoadMain.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mVm = parser.accepts("vm", "The VM's address for callers.").withRequiredArg();
         mRequests =
                 parser.accepts("requests", "How many requests.")
--- a/lab/src/main/java/org/dahliapass/lab/cost/GatewayStageMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/cost/GatewayStageMain.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mDirectory = parser.accepts("directory", "For settings files.").withRequiredArg();
         mVms =
                 parser.accepts("vms", "How many settings files to write.")
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         parser.accepts("seed", "The first seed.")
                 .withRequiredArg()
                 .ofType(Integer.class)
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.dahliapass.kernel.IniFile;
 import org.dahliapass.kernel.IniSection;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /**
  * A service under a load, and what goes wrong with its targets.
@@ -65,11 +65,11 @@
         String path = "/scenarios/" + name + ".ini";
         try (InputStream file = Scenario.class.getResourceAsStream(path)) {
             if (file == null) {
-                throw new StepException("read the scenario", name, "There is none of this name.");
+                throw new OperationException("read the scenario", name, "There is none of this name.");
             }
             return read(name, new String(file.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException failure) {
-            throw new StepException("read the scenario", name, failure.getMessage(), failure);
+            throw new OperationException("read the scenario", name, failure.getMessage(), failure);
         }
     }
 
@@ -83,7 +83,7 @@
         IniSection fleet = file.section("fleet");
         IniSection targets = file.section("targets");
         List<RequestLoad> loads =
-                file.sectionsOf("kind").stream()
+                file.sectionsWithPrefix("kind").stream()
                         .map(section -> RequestLoad.read(section, RETRY_SHARE))
                         .toList();
         Scenario scenario =
@@ -92,21 +92,21 @@
                         (int) fleet.number("vms", 1, 1_000),
                         fleet.duration("length", Duration.ofSeconds(1), LONGEST),
                         fleet.number("news-delay-ms", 0, 10_000, 1),
-                        fleet.share("news-loss", 0.01),
+                        fleet.fraction("news-loss", 0.01),
                         (int) targets.number("count", 1, 10_000),
                         (int) targets.number("slots", 1, 1_000),
                         (int) targets.number("queue", 0, 1_000),
-                        targets.share("own-failures", 0.01),
-                        targets.choice("bout", BoutKind.class),
-                        targets.share("bout-share"),
+                        targets.fraction("own-failures", 0.01),
+                        targets.enumValue("bout", BoutKind.class),
+                        targets.fraction("bout-share"),
                         targets.duration("bout-length", SHORTEST, LONGEST),
                         targets.duration("sound-length", SHORTEST, LONGEST),
-                        targets.share("cut-share", 0),
+                        targets.fraction("cut-share", 0),
                         targets.duration("restart", SHORTEST, LONGEST, DEFAULT_RESTART),
-                        targets.share("rack-share", 0),
+                        targets.fraction("rack-share", 0),
                         fleet.decimal("burst", 0.1, 100, 1),
                         loads);
-        file.check();
+        file.throwIfInvalid();
         return scenario;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/latency/LatencyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/LatencyMain.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mVm = text(parser, "vm", "A VM's callers' address, HOST:PORT.").required();
         mTarget = text(parser, "target", "The target's address, HOST:PORT.").required();
         mCustomer = text(parser, "customer", "The customer.").required();
--- a/lab/src/main/java/org/dahliapass/lab/latency/Requests.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/Requests.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Makes the requests of a load, for a VM and for the target behind it. */
 final class Requests {
@@ -123,7 +123,7 @@
                 return address.path("token").asText();
             }
         }
-        throw new StepException(
+        throw new OperationException(
                 "ask", mVm, "The VM doesn't serve " + mService + " itself. Give one that does.");
     }
 
@@ -131,7 +131,7 @@
         try {
             return MAPPER.readTree(text);
         } catch (JsonProcessingException failure) {
-            throw new StepException("ask", mVm, "The answer isn't JSON: " + text, failure);
+            throw new OperationException("ask", mVm, "The answer isn't JSON: " + text, failure);
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/ResidentMemory.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/ResidentMemory.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** The resident set of a process, as the Linux kernel counts it in {@code /proc/PID/status}. */
 final class ResidentMemory {
@@ -23,7 +23,7 @@
         try {
             return parse(Files.readAllLines(mStatus));
         } catch (IOException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "read", mStatus.toString(), "Give the pid of a process that runs.", failure);
         }
     }
@@ -36,6 +36,6 @@
                 return Long.parseLong(matcher.group(1));
             }
         }
-        throw new StepException("read", "status", "It has no VmRSS line; the process has ended.");
+        throw new OperationException("read", "status", "It has no VmRSS line; the process has ended.");
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Streams bodies through the VM while it samples the VM's resident set. */
 final class StreamMeasurement implements AutoCloseable {
@@ -27,7 +27,7 @@
     /**
      * Streams one body.
      *
-     * @throws StepException if the body didn't arrive whole
+     * @throws OperationException if the body didn't arrive whole
      */
     StreamResult run(String reader, String path, long bytes, long bytesPerSecond) {
         long before = mMemory.kibibytes();
@@ -43,7 +43,7 @@
         double seconds = (mPacer.nowNanos() - start) / NANOS_PER_SECOND;
         sampler.cancel(false);
         if (arrived != bytes) {
-            throw new StepException("stream", path, arrived + " of " + bytes + " bytes arrived.");
+            throw new OperationException("stream", path, arrived + " of " + bytes + " bytes arrived.");
         }
         long after = mMemory.kibibytes();
         return new StreamResult(reader, bytes, seconds, before, Math.max(after, peak.get()), after);
--- a/lab/src/main/java/org/dahliapass/lab/latency/SystemLoad.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/SystemLoad.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** The machine's load average, printed with each figure: others may have used the machine too. */
 final class SystemLoad {
@@ -22,7 +22,7 @@
                     + "; processors "
                     + Runtime.getRuntime().availableProcessors();
         } catch (IOException failure) {
-            throw new StepException("read", LOAD.toString(), "Run on Linux.", failure);
+            throw new OperationException("read", LOAD.toString(), "Run on Linux.", failure);
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
@@ -13,7 +13,7 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.Program;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Prints how the decisions do against plainer ones, over a table of faults. */
 public final class PolicyMain extends Program {
@@ -31,7 +31,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         parser.accepts("seed", "The seed of all runs.")
                 .withRequiredArg()
                 .ofType(Long.class)
@@ -110,7 +110,7 @@
         try {
             mapper.writeValue(new File(file), figures);
         } catch (IOException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "write the figures", file, String.format(Locale.ROOT, "%s", failure));
         }
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Writes the plots of the policy's measurement as SVG files. */
 final class PolicyPlots {
@@ -20,7 +20,7 @@
      *
      * @param directory made if it isn't there
      * @return the files written
-     * @throws StepException if a file can't be written
+     * @throws OperationException if a file can't be written
      */
     static List<Path> write(Path directory, List<Row> rows, List<CurvePoint> curve) {
         List<Path> files = new ArrayList<>();
@@ -37,7 +37,7 @@
             Files.createDirectories(file.toAbsolutePath().getParent());
             return Files.writeString(file, svg);
         } catch (IOException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "write the plots",
                     file.toString(),
                     "name a directory that can be written: " + failure,
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
@@ -14,7 +14,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** A caller as docs/CALLERS.md tells it to be: asks, keeps the answer, sends, takes refusals. */
 final class Caller {
@@ -42,7 +42,7 @@
         String path = "/ask?customer=" + customer + "&service=" + service;
         AggregatedHttpResponse answer = client(mAsked).get(path).aggregate().join();
         if (answer.status().code() != OK) {
-            throw new StepException("ask", mAsked, answer.status() + " " + answer.contentUtf8());
+            throw new OperationException("ask", mAsked, answer.status() + " " + answer.contentUtf8());
         }
         try {
             List<Address> addresses = new ArrayList<>();
@@ -52,7 +52,7 @@
             }
             return addresses;
         } catch (IOException failure) {
-            throw new StepException("ask", mAsked, "The answer isn't JSON.", failure);
+            throw new OperationException("ask", mAsked, "The answer isn't JSON.", failure);
         }
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/FillTemplateMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/FillTemplateMain.java
@@ -14,7 +14,7 @@
 import joptsimple.OptionSpec;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.Program;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.TemplateParser;
 
 /** Writes a template whose services have other targets, so that it fits this machine. */
@@ -35,7 +35,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mTemplate = parser.accepts("template", "The template.").withRequiredArg().required();
         mTargets =
                 parser.accepts("targets", "SERVICE=HOST:PORT,HOST:PORT,...; repeatable.")
@@ -76,7 +76,7 @@
         try {
             return Files.readAllLines(path);
         } catch (IOException failure) {
-            throw new StepException("read", path.toString(), "Name a readable file.", failure);
+            throw new OperationException("read", path.toString(), "Name a readable file.", failure);
         }
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/TrafficMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/TrafficMain.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         mVm = parser.accepts("vm", "A VM's callers' address.").withRequiredArg().required();
         mGray = parser.accepts("gray", "A target is sick: its own errors are no fault of ours.");
         mRequests =
--- a/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
@@ -54,7 +54,7 @@
         mFleet.accept(mFleet.template("29s"), 1);
         mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
         mFleet.store().setFaults(new StoreFaults(true, false, 0, 0));
-        EntryVm fresh = mFleet.startVm(8, LinkFilter.OPEN);
+        EntryVm fresh = mFleet.startVm(8, LinkFilter.ALLOW_ALL);
         EntryVm gone = mFleet.vms().remove(0);
         gone.stopNow().join();
         mFleet.await("the new VM serves", () -> TestFleet.serves(fresh));
--- a/lab/src/test/java/org/dahliapass/lab/LinkCuts.java
+++ b/lab/src/test/java/org/dahliapass/lab/LinkCuts.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public boolean passes(Endpoint peer, Direction direction) {
+    public boolean allows(Endpoint peer, Direction direction) {
         boolean passes = !mCut.contains(new Link(peer, direction));
         if (!passes) {
             mLost.incrementAndGet();
--- a/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
@@ -8,7 +8,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
 import org.dahliapass.kernel.SettingsException;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -108,7 +108,7 @@
 
     @Test
     public void unknownScenarioIsNamed() {
-        assertThrows(StepException.class, () -> Scenario.ofName("none"));
+        assertThrows(OperationException.class, () -> Scenario.ofName("none"));
     }
 
     @Test
--- a/lab/src/test/java/org/dahliapass/lab/latency/ResidentMemoryTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/latency/ResidentMemoryTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.testng.annotations.Test;
 
 /** Tests for {@link ResidentMemory}. */
@@ -18,7 +18,7 @@
 
     @Test
     public void aProcessThatHasEndedHasNone() {
-        assertThrows(StepException.class, () -> ResidentMemory.parse(List.of("State:\tZ")));
+        assertThrows(OperationException.class, () -> ResidentMemory.parse(List.of("State:\tZ")));
     }
 
     @Test
--- a/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
@@ -12,7 +12,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import javax.xml.parsers.DocumentBuilderFactory;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -86,7 +86,7 @@
     public void directoryThatIsAFileIsAnError() throws IOException {
         Path file = Files.createFile(mDirectory.resolve(PolicyPlots.CURVE_FILE));
         assertThrows(
-                StepException.class, () -> PolicyPlots.write(file, List.of(), List.of(SETTING)));
+                OperationException.class, () -> PolicyPlots.write(file, List.of(), List.of(SETTING)));
     }
 
     private Element curve(List<CurvePoint> points) throws Exception {
--- a/model/src/main/java/org/dahliapass/model/KindReader.java
+++ b/model/src/main/java/org/dahliapass/model/KindReader.java
@@ -85,13 +85,13 @@
                         upToDeadline("late-after", LEAST_LATE, DEFAULT_LATE, deadline),
                         mSection.size("maximum-body", 0, MOST_BODY_BYTES, DEFAULT_BODY_BYTES),
                         mSection.decimal("rate", 0, MOST_RATE, 0),
-                        mSection.share(
+                        mSection.fraction(
                                 "retry-budget", idempotency.isRepeatable() ? DEFAULT_RETRY_SHARE : 0),
                         upToDeadline("hedge-after", Duration.ZERO, Duration.ZERO, deadline),
                         mSection.yesNo("bulky", false),
-                        mSection.share("objective", DEFAULT_OBJECTIVE),
+                        mSection.fraction("objective", DEFAULT_OBJECTIVE),
                         readBadOutcomes());
-        if (mSection.isSound()) {
+        if (mSection.isValid()) {
             reportContradictions(kind);
         }
         return kind;
@@ -116,7 +116,7 @@
                     BAD.stream().filter(bad -> written(bad).equals(word)).findFirst();
             outcome.ifPresentOrElse(outcomes::add, () -> reportOutcome("'" + word + "'"));
         }
-        if (given && words.isEmpty() && mSection.isSound()) {
+        if (given && words.isEmpty() && mSection.isValid()) {
             reportOutcome("no outcome");
         }
         return given ? outcomes : BAD;
--- a/model/src/main/java/org/dahliapass/model/ServiceReader.java
+++ b/model/src/main/java/org/dahliapass/model/ServiceReader.java
@@ -81,7 +81,7 @@
                 readTargets(),
                 (int) mSection.number("slots", 1, MOST_SLOTS),
                 (int) mSection.number("connections", 1, MOST_CONNECTIONS),
-                mSection.share("floor", DEFAULT_FLOOR),
+                mSection.fraction("floor", DEFAULT_FLOOR),
                 (int) mSection.number("cell", 1, MOST_CELL, DEFAULT_CELL),
                 readPath("health-path", "/health"),
                 readPath("load-path", "/load"),
@@ -131,7 +131,7 @@
             }
             targets.add(target.get());
         }
-        if (parts.isEmpty() && mSection.isSound()) {
+        if (parts.isEmpty() && mSection.isValid()) {
             mSection.reportProblem("targets", "no target", TARGETS_ALLOWED);
         }
         return targets;
@@ -159,8 +159,8 @@
 
     private DetectionPolicy readDetection() {
         DetectionPolicy fallback = DEFAULT_DETECTION;
-        double failureShare = mSection.share("failure-share", fallback.failureShare());
-        if (failureShare < LEAST_FAILURE_SHARE && mSection.isSound()) {
+        double failureShare = mSection.fraction("failure-share", fallback.failureShare());
+        if (failureShare < LEAST_FAILURE_SHARE && mSection.isValid()) {
             mSection.reportProblem("failure-share", "less than 1%", "a percentage from 1% to 100%");
         }
         return new DetectionPolicy(
--- a/model/src/main/java/org/dahliapass/model/TemplateParser.java
+++ b/model/src/main/java/org/dahliapass/model/TemplateParser.java
@@ -49,7 +49,7 @@
     public static Template parse(String fileName, String text) {
         TemplateParser parser = new TemplateParser(IniFile.parse(fileName, text));
         Template template = parser.readTemplate();
-        parser.mFile.check();
+        parser.mFile.throwIfInvalid();
         return template;
     }
 
@@ -74,7 +74,7 @@
     }
 
     private void collectServices() {
-        for (IniSection section : mFile.sectionsOf("service")) {
+        for (IniSection section : mFile.sectionsWithPrefix("service")) {
             List<String> words = section.qualifiers();
             if (!areNames(words, SERVICE_WORDS)) {
                 section.reportProblem("", "a wrong section name", "[service NAME]");
@@ -90,7 +90,7 @@
     }
 
     private void collectKinds() {
-        for (IniSection section : mFile.sectionsOf("kind")) {
+        for (IniSection section : mFile.sectionsWithPrefix("kind")) {
             List<String> words = section.qualifiers();
             if (!areNames(words, KIND_WORDS)) {
                 section.reportProblem("", "a wrong section name", "[kind SERVICE NAME]");
@@ -135,7 +135,7 @@
                 section.reportProblem("", "a second section of this kind", "one");
                 return;
             }
-            if (section.isSound()) {
+            if (section.isValid()) {
                 mKinds.stream()
                         .filter(earlier -> covers(earlier, kind))
                         .findFirst()
--- a/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
+++ b/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import org.dahliapass.kernel.Problem;
+import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.kernel.SettingsException;
 import org.dahliapass.model.burn.Outcome;
 import org.testng.annotations.DataProvider;
@@ -179,12 +179,12 @@
         assertTrue(SOUND.contains(sound), "the sound template has no '" + sound + "'");
         String text = SOUND.replace(sound, wrong);
 
-        List<Problem> problems = problemsOf(text);
+        List<SettingsProblem> problems = problemsOf(text);
 
         assertTrue(
                 problems.stream().anyMatch(p -> p.section().equals(section) && p.key().equals(key)),
                 "met " + problems);
-        assertTrue(problems.stream().noneMatch(p -> p.met().isEmpty() || p.allowed().isEmpty()));
+        assertTrue(problems.stream().noneMatch(p -> p.actual().isEmpty() || p.expected().isEmpty()));
     }
 
     /** Gives changes after which the template is as sound as before. */
@@ -234,7 +234,7 @@
     public void parseUnreachableKindNamesTheEarlierKind() {
         String text = SOUND.replace("POST\npath = /locks", "GET\npath = /listings/new");
 
-        assertTrue(problemsOf(text).get(0).met().contains("'listing'"));
+        assertTrue(problemsOf(text).get(0).actual().contains("'listing'"));
     }
 
     // An operator pastes half a file, or an editor mangles it. Whatever the text, the check must
@@ -275,7 +275,7 @@
         return text.toString();
     }
 
-    private static List<Problem> problemsOf(String text) {
+    private static List<SettingsProblem> problemsOf(String text) {
         return expectThrows(SettingsException.class, () -> TemplateParser.parse("t.ini", text))
                 .problems();
     }
--- a/operator/src/main/java/org/dahliapass/operator/Draft.java
+++ b/operator/src/main/java/org/dahliapass/operator/Draft.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.dahliapass.decisions.configuration.ServiceUse;
 import org.dahliapass.decisions.configuration.TemplateText;
-import org.dahliapass.kernel.Problem;
+import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.kernel.SettingsException;
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.model.Template;
@@ -54,6 +54,6 @@
     }
 
     private static SettingsException problem(String file, String met, String allowed) {
-        return new SettingsException(List.of(new Problem(file, "", "", met, allowed)));
+        return new SettingsException(List.of(new SettingsProblem(file, "", "", met, allowed)));
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
@@ -10,7 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.dahliapass.kernel.ExitCode;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Gathers explanations from all VMs and prints them in the order in which things happened. */
 final class ExplainCommand {
@@ -45,7 +45,7 @@
         for (Map.Entry<Member, CompletableFuture<List<Explanation>>> answer : answers.entrySet()) {
             try {
                 found.addAll(Invocation.await(answer.getValue()));
-            } catch (StepException failure) {
+            } catch (OperationException failure) {
                 silent.add(answer.getKey().name());
             }
         }
--- a/operator/src/main/java/org/dahliapass/operator/HttpVmOperations.java
+++ b/operator/src/main/java/org/dahliapass/operator/HttpVmOperations.java
@@ -17,7 +17,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** Asks VMs over HTTP; each call has a time-out. */
@@ -92,11 +92,11 @@
             String step, Endpoint vm, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
             String message = "No answer; check the address and that the VM runs.";
-            throw new StepException(step, vm.toString(), message, failure);
+            throw new OperationException(step, vm.toString(), message, failure);
         }
         HttpStatus status = response.status();
         if (!status.isSuccess() && !status.equals(HttpStatus.NOT_FOUND)) {
-            throw new StepException(step, vm.toString(), "Answered with status " + status + ".");
+            throw new OperationException(step, vm.toString(), "Answered with status " + status + ".");
         }
         return response;
     }
@@ -104,7 +104,7 @@
     private static JsonNode json(String step, Endpoint vm, AggregatedHttpResponse response) {
         if (response.status().equals(HttpStatus.NOT_FOUND)) {
             String message = "The VM doesn't know this path; check that it is a VM's address.";
-            throw new StepException(step, vm.toString(), message);
+            throw new OperationException(step, vm.toString(), message);
         }
         return parse(step, vm, response);
     }
@@ -113,7 +113,7 @@
         try {
             return JSON.readTree(response.contentUtf8());
         } catch (JsonProcessingException failure) {
-            throw new StepException(step, vm.toString(), "The answer isn't JSON.", failure);
+            throw new OperationException(step, vm.toString(), "The answer isn't JSON.", failure);
         }
     }
 
@@ -126,7 +126,7 @@
                     Endpoint.parse(operators)
                             .orElseThrow(
                                     () ->
-                                            new StepException(
+                                            new OperationException(
                                                     step,
                                                     vm.toString(),
                                                     "Member "
@@ -156,7 +156,7 @@
         try {
             return JSON.convertValue(json(step, vm, response), new TypeReference<>() {});
         } catch (IllegalArgumentException failure) {
-            throw new StepException(
+            throw new OperationException(
                     step, vm.toString(), "The answer isn't a list of explanations.", failure);
         }
     }
--- a/operator/src/main/java/org/dahliapass/operator/Invocation.java
+++ b/operator/src/main/java/org/dahliapass/operator/Invocation.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import joptsimple.OptionSet;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.registry.ConfigurationStore;
 
@@ -86,10 +86,10 @@
         try {
             return future.get();
         } catch (ExecutionException failure) {
-            if (failure.getCause() instanceof StepException step) {
+            if (failure.getCause() instanceof OperationException step) {
                 throw step;
             }
-            throw new StepException("run", "self", "Met a fault of this program.", failure);
+            throw new OperationException("run", "self", "Met a fault of this program.", failure);
         }
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
+++ b/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         option(parser, "store", "The configuration store's address, HOST:PORT.");
         option(parser, "base", "The number of the change that the draft started from; 0 if none.");
         option(parser, "author", "Who accepts.");
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -9,7 +9,7 @@
 import org.dahliapass.decisions.configuration.PastOperation;
 import org.dahliapass.decisions.configuration.ResolveProtocol;
 import org.dahliapass.kernel.ExitCode;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** What the command can be asked to do. */
@@ -42,13 +42,13 @@
                     accepted.newest()
                             .orElseThrow(
                                     () ->
-                                            new StepException(
+                                            new OperationException(
                                                     "show", "store", "No change was accepted."));
             invocation.warn("Change " + newest.number() + " by " + newest.author() + ".");
             String text =
                     accepted.text(newest)
                             .orElseThrow(
-                                    () -> new StepException("show", "store", "The text is gone."));
+                                    () -> new OperationException("show", "store", "The text is gone."));
             invocation.environment().output().print(text);
             return ExitCode.OK;
         }
--- a/operator/src/main/java/org/dahliapass/operator/VmOperations.java
+++ b/operator/src/main/java/org/dahliapass/operator/VmOperations.java
@@ -7,7 +7,7 @@
 /**
  * Asks VMs at their operators' address.
  *
- * <p>All futures fail with a {@link org.dahliapass.kernel.StepException}.
+ * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException}.
  */
 public interface VmOperations {
 
--- a/operator/src/test/java/org/dahliapass/operator/FakeVms.java
+++ b/operator/src/test/java/org/dahliapass/operator/FakeVms.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** VMs that answer from what a test puts in; a VM without an answer is silent. */
@@ -43,6 +43,6 @@
         return answers.containsKey(vm)
                 ? CompletableFuture.completedFuture(answers.get(vm))
                 : CompletableFuture.failedFuture(
-                        new StepException("ask", vm.toString(), "No answer."));
+                        new OperationException("ask", vm.toString(), "No answer."));
     }
 }
--- a/operator/src/test/java/org/dahliapass/operator/MemoryStoreClient.java
+++ b/operator/src/test/java/org/dahliapass/operator/MemoryStoreClient.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.platform.OutcomeUnknownException;
 import org.dahliapass.registry.StoreClient;
 import org.dahliapass.registry.StoredValue;
@@ -39,7 +39,7 @@
     @Override
     public CompletableFuture<Optional<StoredValue>> read(String key) {
         return mAway
-                ? CompletableFuture.failedFuture(new StepException("read", "store", "Away."))
+                ? CompletableFuture.failedFuture(new OperationException("read", "store", "Away."))
                 : CompletableFuture.completedFuture(Optional.ofNullable(mValues.get(key)));
     }
 
@@ -51,7 +51,7 @@
     @Override
     public CompletableFuture<SwapResult> compareAndSwap(String key, String value, long index) {
         if (mAway) {
-            return CompletableFuture.failedFuture(new StepException("swap", "store", "Away."));
+            return CompletableFuture.failedFuture(new OperationException("swap", "store", "Away."));
         }
         long current = mValues.containsKey(key) ? mValues.get(key).index() : ABSENT;
         if (current != index) {
--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationCodec.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationCodec.java
@@ -10,7 +10,7 @@
 import org.dahliapass.decisions.configuration.StoreItem;
 import org.dahliapass.decisions.configuration.StoreKey;
 import org.dahliapass.decisions.configuration.TemplateText;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /**
  * Writes the values of the configuration store as text: templates as they are, all else as JSON.
@@ -38,7 +38,7 @@
     /**
      * Returns the value that a text of the store stands for.
      *
-     * @throws StepException if it isn't one
+     * @throws OperationException if it isn't one
      */
     public static StoreItem decode(StoreKey key, String text) {
         try {
@@ -49,7 +49,7 @@
                 case CUSTOMERS -> JSON.readValue(text, CustomerIndex.class);
             };
         } catch (JsonProcessingException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "decode " + key.path(),
                     "store",
                     "The value isn't what this release writes; restore it from a backup.",
--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
@@ -36,7 +36,7 @@
         mRetryExecutor = retryExecutor;
     }
 
-    /** Reads a key; fails with a {@link org.dahliapass.kernel.StepException}. */
+    /** Reads a key; fails with a {@link org.dahliapass.kernel.OperationException}. */
     public CompletableFuture<Optional<StoreItem>> read(StoreKey key) {
         return mClient.read(key.path()).thenApply(value -> decode(key, value));
     }
--- a/registry/src/main/java/org/dahliapass/registry/HttpStoreClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/HttpStoreClient.java
@@ -8,7 +8,7 @@
 import java.util.Base64;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.OutcomeUnknownException;
 
@@ -16,7 +16,7 @@
 public final class HttpStoreClient implements StoreClient {
     private static final String PATH = "/v1/kv/";
 
-    private final PlatformHttp mHttp;
+    private final PlatformHttpClient mHttp;
 
     /**
      * Creates a client.
@@ -25,13 +25,13 @@
      * @param timeout how long an answer may take, on top of the wait of a blocking read
      */
     public HttpStoreClient(Endpoint store, Duration timeout) {
-        mHttp = new PlatformHttp(store, timeout);
+        mHttp = new PlatformHttpClient(store, timeout);
     }
 
     @Override
     public CompletableFuture<Optional<StoredValue>> read(String key) {
         String step = "read " + key;
-        return mHttp.get(step, PATH + PlatformHttp.encode(key), Duration.ZERO)
+        return mHttp.get(step, PATH + PlatformHttpClient.encode(key), Duration.ZERO)
                 .thenApply(response -> value(step, key, response));
     }
 
@@ -39,7 +39,7 @@
     public CompletableFuture<WatchedValue> watch(String key, long index, Duration wait) {
         String step = "watch " + key;
         String query = "?index=" + index + "&wait=" + wait.toSeconds() + "s";
-        return mHttp.get(step, PATH + PlatformHttp.encode(key) + query, wait)
+        return mHttp.get(step, PATH + PlatformHttpClient.encode(key) + query, wait)
                 .thenApply(
                         response ->
                                 new WatchedValue(
@@ -49,7 +49,7 @@
     @Override
     public CompletableFuture<SwapResult> compareAndSwap(String key, String value, long index) {
         String step = "swap " + key;
-        return mHttp.put(step, PATH + PlatformHttp.encode(key) + "?cas=" + index, value)
+        return mHttp.put(step, PATH + PlatformHttpClient.encode(key) + "?cas=" + index, value)
                 .thenApply(response -> swapResult(step, response));
     }
 
@@ -60,7 +60,7 @@
         JsonNode entry = mHttp.json(step, response).path(0);
         JsonNode index = entry.path("ModifyIndex");
         if (!index.isIntegralNumber()) {
-            throw new StepException(step, mHttp.peer(), "The answer has no ModifyIndex.");
+            throw new OperationException(step, mHttp.peer(), "The answer has no ModifyIndex.");
         }
         return Optional.of(new StoredValue(key, decode(step, entry), index.asLong()));
     }
@@ -70,7 +70,7 @@
             byte[] bytes = Base64.getDecoder().decode(entry.path("Value").asText(""));
             return new String(bytes, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException failure) {
-            throw new StepException(step, mHttp.peer(), "The value isn't base64.", failure);
+            throw new OperationException(step, mHttp.peer(), "The value isn't base64.", failure);
         }
     }
 
--- a/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
@@ -26,7 +26,7 @@
     private static final String ZONE = "availability-zone";
     private static final String INCARNATION = "incarnation";
 
-    private final PlatformHttp mHttp;
+    private final PlatformHttpClient mHttp;
 
     /**
      * Creates a client.
@@ -35,7 +35,7 @@
      * @param timeout how long an answer may take, on top of the wait of a blocking read
      */
     public HttpVmListClient(Endpoint platform, Duration timeout) {
-        mHttp = new PlatformHttp(platform, timeout);
+        mHttp = new PlatformHttpClient(platform, timeout);
     }
 
     @Override
@@ -52,7 +52,7 @@
 
     @Override
     public CompletableFuture<Void> deregister(String name) {
-        return mHttp.put("deregister VM", DEREGISTER_PATH + PlatformHttp.encode(name), "")
+        return mHttp.put("deregister VM", DEREGISTER_PATH + PlatformHttpClient.encode(name), "")
                 .thenApply(response -> null);
     }
 
@@ -81,7 +81,7 @@
         try {
             return Long.parseLong(text, Character.MAX_RADIX);
         } catch (NumberFormatException failure) {
-            throw new StepException(
+            throw new OperationException(
                     LIST_STEP,
                     mHttp.peer(),
                     "Meta " + INCARNATION + " is '" + text + "'; write a number in base 36.",
@@ -94,7 +94,7 @@
         return Endpoint.parse(text)
                 .orElseThrow(
                         () ->
-                                new StepException(
+                                new OperationException(
                                         LIST_STEP,
                                         mHttp.peer(),
                                         "Meta " + key + " is '" + text + "'; write host:port."));
@@ -111,7 +111,7 @@
 
     private static ObjectNode registration(ListedVm listed) {
         Vm vm = listed.vm();
-        ObjectNode service = PlatformHttp.JSON.createObjectNode();
+        ObjectNode service = PlatformHttpClient.JSON.createObjectNode();
         service.put("ID", vm.identity().name());
         service.put("Name", SERVICE);
         service.put("Address", vm.callerEndpoint().host());
--- a/registry/src/main/java/org/dahliapass/registry/PlatformHttp.java
+++ b/registry/src/main/java/org/dahliapass/registry/PlatformHttpClient.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.stream.Collectors;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.OutcomeUnknownException;
 
 /** Sends the platform's HTTP calls, each with a time-out, and turns failures into typed ones. */
-final class PlatformHttp {
+final class PlatformHttpClient {
     static final ObjectMapper JSON = new ObjectMapper();
 
     /** A blocking read may be held up to a sixteenth longer than asked for. */
@@ -36,7 +36,7 @@
     private final String mPeer;
     private final Duration mTimeout;
 
-    PlatformHttp(Endpoint peer, Duration timeout) {
+    PlatformHttpClient(Endpoint peer, Duration timeout) {
         mPeer = peer.toString();
         mTimeout = timeout;
         mClient =
@@ -79,7 +79,7 @@
         try {
             return JSON.readTree(response.contentUtf8());
         } catch (JsonProcessingException failure) {
-            throw new StepException(step, mPeer, "The answer isn't JSON.", failure);
+            throw new OperationException(step, mPeer, "The answer isn't JSON.", failure);
         }
     }
 
@@ -87,7 +87,7 @@
     long index(String step, AggregatedHttpResponse response) {
         long index = response.headers().getLong(INDEX_HEADER, -1);
         if (index < 0) {
-            throw new StepException(step, mPeer, "The answer has no X-Consul-Index.");
+            throw new OperationException(step, mPeer, "The answer has no X-Consul-Index.");
         }
         return index;
     }
@@ -102,11 +102,11 @@
     private AggregatedHttpResponse readAnswer(
             String step, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
-            throw new StepException(step, mPeer, "No answer: " + cause(failure), failure);
+            throw new OperationException(step, mPeer, "No answer: " + cause(failure), failure);
         }
         HttpStatus status = response.status();
         if (!status.equals(HttpStatus.OK) && !status.equals(HttpStatus.NOT_FOUND)) {
-            throw new StepException(step, mPeer, "Answered with status " + status + ".");
+            throw new OperationException(step, mPeer, "Answered with status " + status + ".");
         }
         return response;
     }
@@ -120,7 +120,7 @@
     private AggregatedHttpResponse writeAnswer(
             String step, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null && neverSent(failure)) {
-            throw new StepException(step, mPeer, "Not sent: " + cause(failure), failure);
+            throw new OperationException(step, mPeer, "Not sent: " + cause(failure), failure);
         }
         if (failure != null) {
             throw new OutcomeUnknownException(step, mPeer, "No answer: " + cause(failure), failure);
@@ -130,7 +130,7 @@
             return response;
         }
         if (status.codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            throw new StepException(step, mPeer, "Refused with status " + status + ".");
+            throw new OperationException(step, mPeer, "Refused with status " + status + ".");
         }
         throw new OutcomeUnknownException(
                 step, mPeer, "Answered with status " + status + ".", null);
--- a/registry/src/main/java/org/dahliapass/registry/StoreClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/StoreClient.java
@@ -8,7 +8,7 @@
 /**
  * Reads and writes the platform's configuration store.
  *
- * <p>All futures fail with a {@link org.dahliapass.kernel.StepException} if the store can't be
+ * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException} if the store can't be
  * reached or answers wrongly.
  */
 public interface StoreClient {
--- a/registry/src/main/java/org/dahliapass/registry/VmListClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/VmListClient.java
@@ -6,7 +6,7 @@
 /**
  * Reads the platform's VM list and keeps a VM's own entry in it.
  *
- * <p>All futures fail with a {@link org.dahliapass.kernel.StepException}.
+ * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException}.
  */
 public interface VmListClient {
 
--- a/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
@@ -12,7 +12,7 @@
 import org.dahliapass.decisions.configuration.StoreItem;
 import org.dahliapass.decisions.configuration.StoreKey;
 import org.dahliapass.decisions.configuration.TemplateText;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.ServiceId;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -49,9 +49,9 @@
 
     @Test
     public void decodeOfBrokenTextFailsWithTheKey() {
-        StepException failure =
+        OperationException failure =
                 expectThrows(
-                        StepException.class, () -> ConfigurationCodec.decode(StoreKey.HEAD, "{"));
-        assertEquals(failure.step(), "decode head");
+                        OperationException.class, () -> ConfigurationCodec.decode(StoreKey.HEAD, "{"));
+        assertEquals(failure.operation(), "decode head");
     }
 }
--- a/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.OutcomeUnknownException;
 import org.testng.annotations.AfterClass;
@@ -102,15 +102,15 @@
     @Test
     public void readServerErrorFailsWithStepAndPeer() {
         mHandler = request -> HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
-        StepException failure = (StepException) failureOf(client(TIMEOUT).read("head"));
-        assertEquals(failure.step(), "read head");
+        OperationException failure = (OperationException) failureOf(client(TIMEOUT).read("head"));
+        assertEquals(failure.operation(), "read head");
         assertEquals(failure.peer(), "127.0.0.1:" + mServer.activeLocalPort());
     }
 
     @Test
     public void readNoAnswerFailsByTimeOut() {
         mHandler = request -> HttpResponse.streaming();
-        assertTrue(failureOf(client(Duration.ofMillis(200)).read("head")) instanceof StepException);
+        assertTrue(failureOf(client(Duration.ofMillis(200)).read("head")) instanceof OperationException);
     }
 
     @Test
@@ -157,7 +157,7 @@
                 failureOf(client.compareAndSwap("head", "x", 3))
                         instanceof OutcomeUnknownException);
         Throwable failure = failureOf(nobodyListens().compareAndSwap("head", "x", 3));
-        assertTrue(failure instanceof StepException, failure.toString());
+        assertTrue(failure instanceof OperationException, failure.toString());
         assertFalse(failure instanceof OutcomeUnknownException, failure.toString());
     }
 }
--- a/registry/src/test/java/org/dahliapass/registry/HttpVmListClientTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/HttpVmListClientTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
@@ -92,7 +92,7 @@
         Throwable failure =
                 expectThrows(ExecutionException.class, () -> future.get(30, TimeUnit.SECONDS))
                         .getCause();
-        assertTrue(failure instanceof StepException);
+        assertTrue(failure instanceof OperationException);
         assertTrue(failure.getMessage().contains("write host:port"), failure.getMessage());
     }
 
--- a/report/src/main/java/org/dahliapass/report/BurnCollector.java
+++ b/report/src/main/java/org/dahliapass/report/BurnCollector.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
 /** Asks all VMs of the fleet for what they know of the burn, a bounded number at once. */
@@ -132,18 +132,18 @@
     private static <T> T parse(
             String step, String peer, AggregatedHttpResponse response, Class<T> type) {
         if (!response.status().equals(HttpStatus.OK)) {
-            throw new StepException(step, peer, "it answered " + response.status());
+            throw new OperationException(step, peer, "it answered " + response.status());
         }
         try {
             return JSON.readValue(response.contentUtf8(), type);
         } catch (JsonProcessingException failure) {
-            throw new StepException(step, peer, "its answer isn't the JSON expected", failure);
+            throw new OperationException(step, peer, "its answer isn't the JSON expected", failure);
         }
     }
 
     private static String reasonOf(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof StepException step) {
+        if (cause instanceof OperationException step) {
             return step.getMessage();
         }
         if (cause instanceof ResponseTimeoutException) {
--- a/report/src/main/java/org/dahliapass/report/JsonReport.java
+++ b/report/src/main/java/org/dahliapass/report/JsonReport.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.module.SimpleModule;
 import java.io.IOException;
 import java.util.OptionalDouble;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** Writes the report as JSON; a burn rate without requests is null. */
 final class JsonReport {
@@ -26,7 +26,7 @@
         try {
             return JSON.writeValueAsString(report) + "\n";
         } catch (JsonProcessingException failure) {
-            throw new StepException("write JSON", "self", "This is a fault; report it.", failure);
+            throw new OperationException("write JSON", "self", "This is a fault; report it.", failure);
         }
     }
 
--- a/report/src/main/java/org/dahliapass/report/ReportMain.java
+++ b/report/src/main/java/org/dahliapass/report/ReportMain.java
@@ -15,10 +15,10 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.kernel.Problem;
+import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.SettingsException;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** Prints the report on service-level burn, collected from all VMs of the fleet. */
@@ -51,7 +51,7 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         parser.accepts(VM, "Operators' address of any VM, HOST:PORT; may be given several times.")
                 .withRequiredArg();
         parser.accepts(CUSTOMER, "Report on this customer only.").withRequiredArg();
@@ -76,7 +76,7 @@
     }
 
     private static void checkOptions(OptionSet options) {
-        List<Problem> problems = new ArrayList<>();
+        List<SettingsProblem> problems = new ArrayList<>();
         if (!options.has(VM)) {
             problems.add(problem("--vm", "nothing", "the operators' address of any VM, HOST:PORT"));
         }
@@ -109,8 +109,8 @@
         return NAME.matcher(text).matches();
     }
 
-    private static Problem problem(String option, String met, String allowed) {
-        return new Problem("command line", "", option, met, allowed);
+    private static SettingsProblem problem(String option, String met, String allowed) {
+        return new SettingsProblem("command line", "", option, met, allowed);
     }
 
     private BurnReport collect(OptionSet options) throws InterruptedException {
@@ -121,7 +121,7 @@
             FleetBurn burn = new BurnCollector(timeout, customer).collect(contacts).get();
             return burn.toReport(mClock.millis());
         } catch (ExecutionException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "collect", "the fleet", "This is a fault; report it.", failure.getCause());
         }
     }
@@ -130,7 +130,7 @@
         try {
             Files.writeString(Path.of(file), page);
         } catch (IOException failure) {
-            throw new StepException(
+            throw new OperationException(
                     "write the page", file, "It can't be written. Name another file.", failure);
         }
     }
--- a/standins/src/main/java/org/dahliapass/standins/StandInProgram.java
+++ b/standins/src/main/java/org/dahliapass/standins/StandInProgram.java
@@ -23,7 +23,7 @@
     abstract String describe(List<StandIn> started);
 
     @Override
-    protected void declare(OptionParser parser) {
+    protected void declareOptions(OptionParser parser) {
         declareNumber(parser, PORT, "0", "TCP port on 127.0.0.1; 0 takes a free one.");
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/TargetMain.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetMain.java
@@ -20,8 +20,8 @@
     }
 
     @Override
-    protected void declare(OptionParser parser) {
-        super.declare(parser);
+    protected void declareOptions(OptionParser parser) {
+        super.declareOptions(parser);
         declareNumber(parser, "count", "1", "Targets; each after the first has the next port.");
         declareNumber(parser, "slots", "3", "Slots of each target.");
         declareNumber(parser, "service-millis", "5", "How long work takes, in milliseconds.");
--- a/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
@@ -2,10 +2,10 @@
 
 import org.dahliapass.decisions.traffic.Admission;
 import org.dahliapass.decisions.traffic.RefusalReason;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 
 /** No slot was given. */
-public final class RefusedException extends StepException {
+public final class RefusedException extends OperationException {
     private static final long serialVersionUID = 1L;
 
     private final Reason mReason;
--- a/wire/src/main/java/org/dahliapass/wire/Addresses.java
+++ b/wire/src/main/java/org/dahliapass/wire/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
 /** Translates addresses by IP number, without asking a name service. */
@@ -27,8 +27,8 @@
         return new Endpoint(address.getAddress().getHostAddress(), address.getPort());
     }
 
-    private static StepException notAnAddress(Endpoint endpoint, Throwable cause) {
-        return new StepException(
+    private static OperationException notAnAddress(Endpoint endpoint, Throwable cause) {
+        return new OperationException(
                 "read address",
                 endpoint.toString(),
                 "The host isn't an IP number. Peers are named by IP number.",
--- a/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
+++ b/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
@@ -5,22 +5,22 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
-import org.dahliapass.kernel.PartLog;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.wire.message.Gossip;
 import org.dahliapass.wire.message.ReplyStatus;
 
 /** Reads incoming datagrams, checks them and hands them on. */
 final class DatagramReceiver extends SimpleChannelInboundHandler<DatagramPacket> {
-    private static final PartLog LOG = PartLog.of("wire");
+    private static final ComponentLog LOG = ComponentLog.of("wire");
 
-    private final PeerGuard mGuard;
+    private final PeerMessageValidator mGuard;
     private final GossipHandler mHandler;
     private final LinkFilter mFilter;
     private final TrafficCounters mCounters;
 
     DatagramReceiver(
-            PeerGuard guard, GossipHandler handler, LinkFilter filter, TrafficCounters counters) {
+            PeerMessageValidator guard, GossipHandler handler, LinkFilter filter, TrafficCounters counters) {
         mGuard = guard;
         mHandler = handler;
         mFilter = filter;
@@ -31,12 +31,12 @@
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet)
             throws InvalidProtocolBufferException {
         Endpoint from = Addresses.toEndpoint(packet.sender());
-        if (!mFilter.passes(from, Direction.IN)) {
+        if (!mFilter.allows(from, Direction.IN)) {
             return;
         }
         Gossip gossip = Gossip.parseFrom(ByteBufUtil.getBytes(packet.content()));
         mCounters.count(TrafficKind.of(gossip), Direction.IN, packet.content().readableBytes());
-        ReplyStatus status = mGuard.check(gossip);
+        ReplyStatus status = mGuard.validate(gossip);
         if (status != ReplyStatus.OK) {
             mCounters.countRefused(status);
             return;
--- a/wire/src/main/java/org/dahliapass/wire/LinkFilter.java
+++ b/wire/src/main/java/org/dahliapass/wire/LinkFilter.java
@@ -12,8 +12,8 @@
 @FunctionalInterface
 public interface LinkFilter {
     /** Lets everything pass. */
-    LinkFilter OPEN = (peer, direction) -> true;
+    LinkFilter ALLOW_ALL = (peer, direction) -> true;
 
     /** Returns whether a message passes; one that doesn't is lost without a sign. */
-    boolean passes(Endpoint peer, Direction direction);
+    boolean allows(Endpoint peer, Direction direction);
 }
--- a/wire/src/main/java/org/dahliapass/wire/Frames.java
+++ b/wire/src/main/java/org/dahliapass/wire/MessageFraming.java
@@ -8,18 +8,18 @@
 import io.netty.handler.codec.protobuf.ProtobufEncoder;
 
 /** Cuts a TCP stream into messages: four bytes of length, then the message. */
-final class Frames {
+final class MessageFraming {
     /** A larger message closes the connection; a whole member list or template is smaller. */
-    static final int MOST_BYTES = 4 * 1024 * 1024;
+    static final int MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
-    private Frames() {}
+    private MessageFraming() {}
 
     /** Adds the codec for a stream whose incoming messages are of the prototype's type. */
     static void addTo(ChannelPipeline pipeline, MessageLite prototype) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         pipeline.addLast(new ProtobufDecoder(prototype));
         pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
         pipeline.addLast(new ProtobufEncoder());
--- a/wire/src/main/java/org/dahliapass/wire/PeerConnection.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerConnection.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
@@ -70,7 +70,7 @@
                                 timeout.toMillis(),
                                 TimeUnit.MILLISECONDS);
         mPending.put(id, new Pending(kind, reply, timer));
-        if (!mFilter.passes(mPeer, Direction.OUT)) {
+        if (!mFilter.allows(mPeer, Direction.OUT)) {
             return;
         }
         mCounters.count(kind, Direction.OUT, request.getSerializedSize());
@@ -79,7 +79,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, PeerReply reply) {
-        if (!mFilter.passes(mPeer, Direction.IN)) {
+        if (!mFilter.allows(mPeer, Direction.IN)) {
             return;
         }
         mSilentTimeouts = 0;
@@ -143,8 +143,8 @@
         }
     }
 
-    private StepException failure(TrafficKind kind, String message) {
-        return new StepException(step(kind), mPeer.toString(), message);
+    private OperationException failure(TrafficKind kind, String message) {
+        return new OperationException(step(kind), mPeer.toString(), message);
     }
 
     private static String step(TrafficKind kind) {
