--- a/wire/src/main/java/org/dahliapass/wire/PeerConnections.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerConnectionPool.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
 
 /** Keeps one connection to each peer that this process sends requests to. */
-final class PeerConnections {
+final class PeerConnectionPool {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int IDLE_SECONDS = 60;
 
@@ -31,7 +31,7 @@
     private final LinkFilter mFilter;
     private final TrafficCounters mCounters;
 
-    PeerConnections(EventLoopGroup group, LinkFilter filter, TrafficCounters counters) {
+    PeerConnectionPool(EventLoopGroup group, LinkFilter filter, TrafficCounters counters) {
         mGroup = group;
         mFilter = filter;
         mCounters = counters;
@@ -42,7 +42,7 @@
         try {
             Link link = mLinks.computeIfAbsent(peer, this::open);
             link.connected().addListener(done -> onConnected(peer, link, request, timeout, reply));
-        } catch (StepException failure) {
+        } catch (OperationException failure) {
             reply.completeExceptionally(failure);
         }
         return reply;
@@ -63,7 +63,7 @@
         if (!link.connected().isSuccess()) {
             mLinks.remove(peer, link);
             reply.completeExceptionally(
-                    new StepException(
+                    new OperationException(
                             "connect",
                             peer.toString(),
                             "The peer can't be reached. Check that it runs.",
@@ -91,7 +91,7 @@
                                     @Override
                                     protected void initChannel(Channel channel) {
                                         ChannelPipeline pipeline = channel.pipeline();
-                                        Frames.addTo(pipeline, PeerReply.getDefaultInstance());
+                                        MessageFraming.addTo(pipeline, PeerReply.getDefaultInstance());
                                         pipeline.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS));
                                         pipeline.addLast(connection);
                                     }
--- a/wire/src/main/java/org/dahliapass/wire/PeerGuard.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerMessageValidator.java
@@ -22,20 +22,20 @@
  * <p>This keeps misdirected and outdated messages out. It doesn't prove who sent a message: whoever
  * can reach the port and knows the fleet's name can claim to be a VM.
  */
-final class PeerGuard {
+final class PeerMessageValidator {
     private final String mFleet;
     private final VmIdentity mSelf;
     private final Predicate<VmIdentity> mMembers;
 
-    PeerGuard(String fleet, VmIdentity self, Predicate<VmIdentity> members) {
+    PeerMessageValidator(String fleet, VmIdentity self, Predicate<VmIdentity> members) {
         mFleet = fleet;
         mSelf = self;
         mMembers = members;
     }
 
     /** Returns OK or why the datagram is refused. */
-    ReplyStatus check(Gossip gossip) {
-        return check(
+    ReplyStatus validate(Gossip gossip) {
+        return validate(
                 gossip.getFleet(),
                 gossip.getRecipientIncarnation(),
                 gossip.getSender(),
@@ -43,15 +43,15 @@
     }
 
     /** Returns OK or why the request is refused. */
-    ReplyStatus check(PeerRequest request) {
-        return check(
+    ReplyStatus validate(PeerRequest request) {
+        return validate(
                 request.getFleet(),
                 request.getRecipientIncarnation(),
                 request.getSender(),
                 request.hasJoin());
     }
 
-    private ReplyStatus check(
+    private ReplyStatus validate(
             String fleet, long recipientIncarnation, Identity sender, boolean introduces) {
         if (!fleet.equals(mFleet)) {
             return ReplyStatus.WRONG_FLEET;
--- a/wire/src/main/java/org/dahliapass/wire/RequestServer.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerRequestServer.java
@@ -18,8 +18,8 @@
 
 /** The answering end of all connections: checks each request and writes its reply. */
 @Sharable
-final class RequestServer extends SimpleChannelInboundHandler<PeerRequest> {
-    private final PeerGuard mGuard;
+final class PeerRequestServer extends SimpleChannelInboundHandler<PeerRequest> {
+    private final PeerMessageValidator mGuard;
     private final RequestHandler mHandler;
     private final TrafficCounters mCounters;
     private final Set<Channel> mChannels = ConcurrentHashMap.newKeySet();
@@ -27,7 +27,7 @@
     private final CompletableFuture<Void> mDrained = new CompletableFuture<>();
     private volatile boolean mStopping;
 
-    RequestServer(PeerGuard guard, RequestHandler handler, TrafficCounters counters) {
+    PeerRequestServer(PeerMessageValidator guard, RequestHandler handler, TrafficCounters counters) {
         mGuard = guard;
         mHandler = handler;
         mCounters = counters;
@@ -60,7 +60,7 @@
     protected void channelRead0(ChannelHandlerContext context, PeerRequest request) {
         TrafficKind kind = TrafficKind.of(request);
         mCounters.count(kind, Direction.IN, request.getSerializedSize());
-        ReplyStatus status = mGuard.check(request);
+        ReplyStatus status = mGuard.validate(request);
         if (status == ReplyStatus.OK && kind == TrafficKind.UNKNOWN) {
             status = ReplyStatus.UNKNOWN_REQUEST;
         }
--- a/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
@@ -21,8 +21,8 @@
 import java.util.function.Predicate;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PartLog;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.ComponentLog;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 import org.dahliapass.wire.message.Gossip;
@@ -47,9 +47,9 @@
     public static final int VERSION = 1;
 
     /** A larger datagram isn't sent, since networks may drop its fragments. */
-    public static final int MOST_DATAGRAM_BYTES = 1_200;
+    public static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    private static final PartLog LOG = PartLog.of("wire");
+    private static final ComponentLog LOG = ComponentLog.of("wire");
     private static final int THREADS = 2;
     private static final int BIND_TRIES = 16;
     private static final long STOP_SECONDS = 2;
@@ -64,12 +64,12 @@
             request -> CompletableFuture.failedFuture(new IllegalStateException("No handler set."));
     private Predicate<VmIdentity> mMembers = identity -> false;
     private EventLoopGroup mGroup;
-    private PeerConnections mConnections;
-    private RequestServer mServer;
+    private PeerConnectionPool mConnections;
+    private PeerRequestServer mServer;
     private Channel mTcp;
     private volatile Channel mUdp;
 
-    /** Creates the transport; {@link LinkFilter#OPEN} lets everything pass. */
+    /** Creates the transport; {@link LinkFilter#ALLOW_ALL} lets everything pass. */
     public PeerTransport(PeerTransportSettings settings, LinkFilter filter) {
         mSettings = settings;
         mFilter = filter;
@@ -91,7 +91,7 @@
     }
 
     /** Sets how to tell whether a VM is a member; asked on traffic threads. */
-    public void setMembers(Predicate<VmIdentity> members) {
+    public void setMembershipCheck(Predicate<VmIdentity> members) {
         mMembers = members;
     }
 
@@ -108,9 +108,9 @@
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         mGroup = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
-        PeerGuard guard = new PeerGuard(mSettings.fleet(), mSettings.self(), mMembers);
-        mServer = new RequestServer(guard, mRequestHandler, mCounters);
-        mConnections = new PeerConnections(mGroup, mFilter, mCounters);
+        PeerMessageValidator guard = new PeerMessageValidator(mSettings.fleet(), mSettings.self(), mMembers);
+        mServer = new PeerRequestServer(guard, mRequestHandler, mCounters);
+        mConnections = new PeerConnectionPool(mGroup, mFilter, mCounters);
         return bind(guard, BIND_TRIES)
                 .handle((ignored, failure) -> failure)
                 .thenCompose(failure -> failure == null ? done() : shutDownAfter(failure));
@@ -130,7 +130,7 @@
 
     /**
      * Sends a datagram; loss shows no sign. The transport fills in version, fleet and sender. One
-     * of more than {@link #MOST_DATAGRAM_BYTES} is dropped and counted.
+     * of more than {@link #MAX_DATAGRAM_BYTES} is dropped and counted.
      */
     public void sendDatagram(Endpoint to, Gossip gossip) {
         byte[] bytes =
@@ -140,12 +140,12 @@
                         .setSender(mSelf)
                         .build()
                         .toByteArray();
-        if (bytes.length > MOST_DATAGRAM_BYTES) {
+        if (bytes.length > MAX_DATAGRAM_BYTES) {
             mCounters.countOversized();
             LOG.warn("A datagram of " + bytes.length + " bytes was dropped. Carry less news.");
             return;
         }
-        if (!mFilter.passes(to, Direction.OUT)) {
+        if (!mFilter.allows(to, Direction.OUT)) {
             return;
         }
         InetSocketAddress address = Addresses.toSocketAddress(to);
@@ -161,7 +161,7 @@
      * transport fills in version, fleet, sender and request id.
      *
      * @return the reply of status OK; fails with a {@link RefusedException} that tells another
-     *     status, or with a {@link StepException} if there is no reply in time
+     *     status, or with a {@link OperationException} if there is no reply in time
      */
     public CompletableFuture<PeerReply> request(
             Endpoint to, PeerRequest request, Duration timeout) {
@@ -175,7 +175,7 @@
         return mConnections.request(to, stamped, timeout);
     }
 
-    private CompletableFuture<Void> bind(PeerGuard guard, int triesLeft) {
+    private CompletableFuture<Void> bind(PeerMessageValidator guard, int triesLeft) {
         CompletableFuture<Void> bound = new CompletableFuture<>();
         ChannelFuture unused =
                 bindTcp()
@@ -195,7 +195,7 @@
      * to start now and then: with port 0, another port is tried.
      */
     private void bindUdp(
-            PeerGuard guard, Channel tcp, int triesLeft, CompletableFuture<Void> bound) {
+            PeerMessageValidator guard, Channel tcp, int triesLeft, CompletableFuture<Void> bound) {
         DatagramReceiver receiver = new DatagramReceiver(guard, mGossipHandler, mFilter, mCounters);
         int port = ((InetSocketAddress) tcp.localAddress()).getPort();
         ChannelFuture unused =
@@ -229,7 +229,7 @@
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                Frames.addTo(channel.pipeline(), PeerRequest.getDefaultInstance());
+                                MessageFraming.addTo(channel.pipeline(), PeerRequest.getDefaultInstance());
                                 channel.pipeline().addLast(mServer);
                             }
                         })
@@ -239,7 +239,7 @@
     private void fail(CompletableFuture<Void> bound, String step, Throwable cause) {
         String where = mSettings.host() + ":" + mSettings.port();
         bound.completeExceptionally(
-                new StepException(step, where, "The port can't be taken. Choose another.", cause));
+                new OperationException(step, where, "The port can't be taken. Choose another.", cause));
     }
 
     private static void forward(CompletableFuture<Void> from, CompletableFuture<Void> to) {
--- a/wire/src/main/java/org/dahliapass/wire/RefusedException.java
+++ b/wire/src/main/java/org/dahliapass/wire/RefusedException.java
@@ -1,10 +1,10 @@
 package org.dahliapass.wire;
 
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.wire.message.ReplyStatus;
 
 /** A request that the peer answered by a status other than OK. */
-public final class RefusedException extends StepException {
+public final class RefusedException extends OperationException {
     private static final long serialVersionUID = 1L;
 
     private final ReplyStatus mStatus;
--- a/wire/src/test/java/org/dahliapass/wire/PeerGuardTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerMessageValidatorTest.java
@@ -13,64 +13,64 @@
 import org.testng.annotations.Test;
 
 /** Checks who may speak. */
-public final class PeerGuardTest {
+public final class PeerMessageValidatorTest {
     private static final String FLEET = "kathmandu";
     private static final VmIdentity SELF = new VmIdentity("vm-1", 7);
     private static final VmIdentity MEMBER = new VmIdentity("vm-2", 3);
     private static final VmIdentity STRANGER = new VmIdentity("vm-3", 1);
 
-    private final PeerGuard mGuard = new PeerGuard(FLEET, SELF, MEMBER::equals);
+    private final PeerMessageValidator mGuard = new PeerMessageValidator(FLEET, SELF, MEMBER::equals);
 
     @Test
     public void memberMaySpeak() {
-        assertEquals(mGuard.check(gossip(MEMBER).build()), ReplyStatus.OK);
-        assertEquals(mGuard.check(request(MEMBER).build()), ReplyStatus.OK);
+        assertEquals(mGuard.validate(gossip(MEMBER).build()), ReplyStatus.OK);
+        assertEquals(mGuard.validate(request(MEMBER).build()), ReplyStatus.OK);
     }
 
     @Test
     public void otherFleetIsRefused() {
         assertEquals(
-                mGuard.check(gossip(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
+                mGuard.validate(gossip(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
         assertEquals(
-                mGuard.check(request(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
+                mGuard.validate(request(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
     }
 
     @Test
     public void messageForFormerProcessIsRefused() {
         assertEquals(
-                mGuard.check(request(MEMBER).setRecipientIncarnation(6).build()),
+                mGuard.validate(request(MEMBER).setRecipientIncarnation(6).build()),
                 ReplyStatus.WRONG_INCARNATION);
         assertEquals(
-                mGuard.check(request(MEMBER).setRecipientIncarnation(0).build()),
+                mGuard.validate(request(MEMBER).setRecipientIncarnation(0).build()),
                 ReplyStatus.WRONG_INCARNATION);
     }
 
     @Test
     public void strangerIsRefused() {
-        assertEquals(mGuard.check(gossip(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
-        assertEquals(mGuard.check(request(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mGuard.validate(gossip(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mGuard.validate(request(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     @Test
     public void memberOfOtherIncarnationIsRefused() {
         VmIdentity former = new VmIdentity(MEMBER.name(), MEMBER.incarnation() - 1);
-        assertEquals(mGuard.check(request(former).build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mGuard.validate(request(former).build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     @Test
     public void strangerMayIntroduceItself() {
         Gossip.Builder introduction =
                 gossip(STRANGER).setRecipientIncarnation(0).addMembers(alive(STRANGER));
-        assertEquals(mGuard.check(introduction.build()), ReplyStatus.OK);
+        assertEquals(mGuard.validate(introduction.build()), ReplyStatus.OK);
         PeerRequest.Builder join =
                 request(STRANGER).setRecipientIncarnation(0).setJoin(Join.getDefaultInstance());
-        assertEquals(mGuard.check(join.build()), ReplyStatus.OK);
+        assertEquals(mGuard.validate(join.build()), ReplyStatus.OK);
     }
 
     @Test
     public void strangerWithOthersNewsIsRefused() {
         Gossip.Builder hearsay = gossip(STRANGER).addMembers(alive(MEMBER));
-        assertEquals(mGuard.check(hearsay.build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mGuard.validate(hearsay.build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     private static Gossip.Builder gossip(VmIdentity sender) {
--- a/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.dahliapass.kernel.Kernel;
-import org.dahliapass.kernel.StepException;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 import org.dahliapass.wire.message.FetchChanges;
@@ -50,8 +50,8 @@
 
     @Test
     public void datagramArrives() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         alice.sendDatagram(bob.endpoint(), ping(5));
         assertEquals(mArrived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 5);
         assertEquals(bob.counters().messages(TrafficKind.PING, Direction.IN), 1);
@@ -62,8 +62,8 @@
 
     @Test
     public void oversizedDatagramIsDroppedAndCounted() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        ByteString filling = ByteString.copyFrom(new byte[PeerTransport.MOST_DATAGRAM_BYTES]);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        ByteString filling = ByteString.copyFrom(new byte[PeerTransport.MAX_DATAGRAM_BYTES]);
         alice.sendDatagram(alice.endpoint(), withUnknownField(ping(1), filling));
         assertEquals(alice.counters().oversized(), 1);
         assertEquals(alice.counters().messages(TrafficKind.PING, Direction.OUT), 0);
@@ -71,8 +71,8 @@
 
     @Test
     public void fieldsOfNewerReleaseAreIgnored() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         Gossip newer = withUnknownField(ping(6), ByteString.copyFromUtf8("news"));
         alice.sendDatagram(bob.endpoint(), newer);
         assertEquals(mArrived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 6);
@@ -80,14 +80,14 @@
 
     @Test
     public void repliesOutOfOrderReachTheirRequests() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         List<CompletableFuture<PeerReply>> held = new ArrayList<>();
         BlockingQueue<Long> asked = new LinkedBlockingQueue<>();
         PeerTransport bob =
                 start(
                         BOB,
                         0,
-                        LinkFilter.OPEN,
+                        LinkFilter.ALLOW_ALL,
                         request -> {
                             held.add(new CompletableFuture<>());
                             asked.add(request.getFetchChanges().getSinceNumber());
@@ -106,8 +106,8 @@
 
     @Test
     public void refusalTellsItsStatus() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         PeerRequest stale = fetch(1).toBuilder().setRecipientIncarnation(1).build();
         Throwable failure = failure(alice.request(bob.endpoint(), stale, LONG));
         assertEquals(((RefusedException) failure).status(), ReplyStatus.WRONG_INCARNATION);
@@ -116,8 +116,8 @@
 
     @Test
     public void requestOfNewerReleaseIsRefusedAsUnknown() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         PeerRequest unknown = fetch(1).toBuilder().clearBody().build();
         Throwable failure = failure(alice.request(bob.endpoint(), unknown, LONG));
         assertEquals(((RefusedException) failure).status(), ReplyStatus.UNKNOWN_REQUEST);
@@ -125,12 +125,12 @@
 
     @Test
     public void failingHandlerIsToldToTheRequester() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob =
                 start(
                         BOB,
                         0,
-                        LinkFilter.OPEN,
+                        LinkFilter.ALLOW_ALL,
                         request -> {
                             throw new IllegalStateException("Broken on purpose.");
                         });
@@ -143,15 +143,15 @@
         // A VM asks a peer that is restarted on the same address. What a user would see: answers
         // that fail long after the peer is back. The old connection breaks; the request that meets
         // it fails with step and peer, and a later one must open a new connection.
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         Endpoint where = bob.endpoint();
         join(alice.request(where, fetch(1), LONG));
         join(bob.stop());
         mTransports.remove(bob);
-        StepException failure = (StepException) failure(alice.request(where, fetch(2), LONG));
+        OperationException failure = (OperationException) failure(alice.request(where, fetch(2), LONG));
         assertEquals(failure.peer(), where.toString());
-        start(BOB, where.port(), LinkFilter.OPEN);
+        start(BOB, where.port(), LinkFilter.ALLOW_ALL);
         assertEquals(
                 join(alice.request(where, fetch(3), LONG)).getFetchChanges().getThroughNumber(), 3);
     }
@@ -162,9 +162,9 @@
         // is not heard. Bob's datagrams arrive at alice; hers are lost, and so are her requests.
         LinkFilter deafPeer = (peer, direction) -> direction == Direction.IN;
         PeerTransport alice = start(ALICE, 0, deafPeer);
-        PeerTransport bob = start(BOB, 0, LinkFilter.OPEN);
+        PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         Throwable failure = failure(alice.request(bob.endpoint(), fetch(1), SHORT));
-        assertEquals(((StepException) failure).step(), "request FETCH_CHANGES");
+        assertEquals(((OperationException) failure).operation(), "request FETCH_CHANGES");
         alice.sendDatagram(bob.endpoint(), ping(1));
         Gossip back = ping(9).toBuilder().setRecipientIncarnation(ALICE.incarnation()).build();
         bob.sendDatagram(alice.endpoint(), back);
@@ -177,14 +177,14 @@
     public void stopWaitsForWhatIsInFlight() throws Exception {
         // A VM stops while it answers a peer. What a user would see: a request cut off by a planned
         // stop. The stop begins while the handler still works; the answer must be sent first.
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         CompletableFuture<PeerReply> work = new CompletableFuture<>();
         CompletableFuture<Void> reached = new CompletableFuture<>();
         PeerTransport bob =
                 start(
                         BOB,
                         0,
-                        LinkFilter.OPEN,
+                        LinkFilter.ALLOW_ALL,
                         request -> {
                             reached.complete(null);
                             return work;
@@ -201,11 +201,11 @@
 
     @Test
     public void takenPortIsReported() throws Exception {
-        PeerTransport alice = start(ALICE, 0, LinkFilter.OPEN);
+        PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport second =
                 new PeerTransport(
                         new PeerTransportSettings("fleet", BOB, HOST, alice.endpoint().port()),
-                        LinkFilter.OPEN);
+                        LinkFilter.ALLOW_ALL);
         Throwable failure = failure(second.start(new Kernel()));
         assertTrue(failure.getMessage().contains("bind TCP"), failure.getMessage());
     }
@@ -224,7 +224,7 @@
             throws Exception {
         PeerTransport transport =
                 new PeerTransport(new PeerTransportSettings("fleet", self, HOST, port), filter);
-        transport.setMembers(identity -> identity.equals(ALICE) || identity.equals(BOB));
+        transport.setMembershipCheck(identity -> identity.equals(ALICE) || identity.equals(BOB));
         transport.setGossipHandler((from, gossip) -> mArrived.add(gossip));
         transport.setRequestHandler(answer);
         join(transport.start(new Kernel()));
