--- a/decisions/src/main/java/org/dahliapass/decisions/poison/Turns.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/DigestLocks.java
@@ -13,7 +13,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class Turns {
+public final class DigestLocks {
     /** Requests that wait for their turn, of all digests together; each holds its body. */
     private static final int MOST_WAITING = 256;
 
@@ -22,12 +22,12 @@
     private int mWaitingCount;
 
     /** Returns whether a request like this one is at a target. */
-    public boolean isTaken(RequestDigest digest) {
+    public boolean isHeld(RequestDigest digest) {
         return mTaken.contains(digest);
     }
 
     /** Takes the turn, which has to be given back. */
-    public void take(RequestDigest digest) {
+    public void acquire(RequestDigest digest) {
         mTaken.add(digest);
     }
 
@@ -37,7 +37,7 @@
      * @param next looks again what may be done
      * @return false if too many wait
      */
-    public boolean await(RequestDigest digest, Runnable next) {
+    public boolean addWaiter(RequestDigest digest, Runnable next) {
         if (mWaitingCount >= MOST_WAITING) {
             return false;
         }
@@ -47,7 +47,7 @@
     }
 
     /** Gives the turn back; all who wait look again, as the request may be cleared by now. */
-    public void giveBack(RequestDigest digest) {
+    public void release(RequestDigest digest) {
         mTaken.remove(digest);
         Queue<Runnable> waiting = mWaiting.remove(digest);
         if (waiting != null) {
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/PoisonRegister.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/PoisonDetector.java
@@ -18,9 +18,9 @@
  * is bounded whatever callers send: a digest takes a place only once a target has ended under it.
  * Not safe for use by several threads. A call costs O(1), but for a merge.
  */
-public final class PoisonRegister {
+public final class PoisonDetector {
     /** How long a request is suspected or quarantined after the last that was heard of it. */
-    public static final Duration MEMORY = Duration.ofMinutes(10);
+    public static final Duration RETENTION = Duration.ofMinutes(10);
 
     /** Places, of about 500 bytes each. */
     private static final int MOST_SUSPECTS = 1_000;
@@ -58,23 +58,23 @@
      * Returns how long a request stays quarantined if nothing is heard of it, in milliseconds; 0 if
      * it isn't.
      */
-    public long quarantineLeftMillis(RequestDigest digest, long nowMillis) {
+    public long quarantineRemainingMillis(RequestDigest digest, long nowMillis) {
         Suspect suspect = mQuarantined.get(digest);
         return suspect == null
                 ? 0
-                : Math.max(0, suspect.newestMillis() + MEMORY.toMillis() - nowMillis);
+                : Math.max(0, suspect.lastUpdatedMillis() + RETENTION.toMillis() - nowMillis);
     }
 
     /** Returns what other VMs are to know of a request. */
-    public SuspectNews news(RequestDigest digest, long nowMillis) {
+    public SuspectReport report(RequestDigest digest, long nowMillis) {
         Treatment treatment = treatment(digest, nowMillis);
         Suspect suspect = find(digest);
         if (suspect == null) {
-            return new SuspectNews(digest, List.of(), false, false);
+            return new SuspectReport(digest, List.of(), false, false);
         }
-        return new SuspectNews(
+        return new SuspectReport(
                 digest,
-                suspect.ends(),
+                suspect.crashes(),
                 treatment == Treatment.QUARANTINED,
                 treatment == Treatment.USUAL);
     }
@@ -84,13 +84,13 @@
      *
      * @return whether that VM lacks that the request is quarantined
      */
-    public boolean onNews(SuspectNews news, long nowMillis) {
+    public boolean onPeerReport(SuspectReport news, long nowMillis) {
         RequestDigest digest = news.digest();
         if (news.answered()) {
             onAnswered(digest, nowMillis);
             return false;
         }
-        news.ends().forEach(end -> onEnd(digest, end, nowMillis));
+        news.crashes().forEach(end -> onCrash(digest, end, nowMillis));
         if (news.quarantined()) {
             onQuarantined(digest, nowMillis);
             return false;
@@ -103,13 +103,13 @@
      *
      * @return whether it wasn't known
      */
-    public boolean onEnd(RequestDigest digest, TargetEnd end, long nowMillis) {
+    public boolean onCrash(RequestDigest digest, TargetCrash end, long nowMillis) {
         dropOverdue(nowMillis);
         Suspect suspect = find(digest);
         if (suspect == null) {
             suspect = new Suspect(nowMillis);
         }
-        boolean isNew = suspect.onEnd(end, nowMillis);
+        boolean isNew = suspect.onCrash(end, nowMillis);
         if (isNew) {
             put(digest, suspect);
         }
@@ -174,8 +174,8 @@
         while (oldestFirst.hasNext()) {
             Suspect oldest = oldestFirst.next();
             boolean cleared = oldest.treatment() == Treatment.USUAL;
-            long memoryMillis = cleared ? ANSWER_MEMORY_MILLIS : MEMORY.toMillis();
-            if (nowMillis - oldest.newestMillis() <= memoryMillis) {
+            long memoryMillis = cleared ? ANSWER_MEMORY_MILLIS : RETENTION.toMillis();
+            if (nowMillis - oldest.lastUpdatedMillis() <= memoryMillis) {
                 return;
             }
             oldestFirst.remove();
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/Suspect.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/Suspect.java
@@ -21,7 +21,7 @@
     /** The most by which news of the same moment differ between two VMs, in milliseconds. */
     private static final long NEWS_DELAY_MILLIS = 20;
 
-    private final List<TargetEnd> mEnds = new ArrayList<>();
+    private final List<TargetCrash> mEnds = new ArrayList<>();
     private long mAnsweredMillis = Long.MIN_VALUE;
     private boolean mQuarantined;
     private long mNewestMillis;
@@ -35,13 +35,13 @@
      *
      * @return whether it wasn't known
      */
-    boolean onEnd(TargetEnd end, long nowMillis) {
+    boolean onCrash(TargetCrash end, long nowMillis) {
         boolean known = mEnds.stream().anyMatch(one -> one.incarnation().equals(end.incarnation()));
-        if (known || end.endedMillis() <= mAnsweredMillis || mEnds.size() >= MOST_ENDS) {
+        if (known || end.crashedMillis() <= mAnsweredMillis || mEnds.size() >= MOST_ENDS) {
             return false;
         }
         mEnds.add(end);
-        mEnds.sort(Comparator.comparingLong(TargetEnd::endedMillis));
+        mEnds.sort(Comparator.comparingLong(TargetCrash::crashedMillis));
         mNewestMillis = nowMillis;
         mQuarantined |= isProved();
         return true;
@@ -76,10 +76,10 @@
     private int endsInTurn() {
         int turns = 0;
         long lastEndMillis = Long.MIN_VALUE / 2;
-        for (TargetEnd end : mEnds) {
+        for (TargetCrash end : mEnds) {
             if (follows(end, lastEndMillis)) {
                 turns++;
-                lastEndMillis = end.endedMillis();
+                lastEndMillis = end.crashedMillis();
             }
         }
         return turns;
@@ -89,10 +89,10 @@
      * Returns whether the request was sent after an earlier end; as that may have been seen by
      * another VM, also if it was sent a little before and ran on for long enough.
      */
-    private static boolean follows(TargetEnd end, long earlierMillis) {
+    private static boolean follows(TargetCrash end, long earlierMillis) {
         return end.sentMillis() >= earlierMillis
                 || (end.sentMillis() >= earlierMillis - NEWS_DELAY_MILLIS
-                        && end.endedMillis() >= earlierMillis + NEWS_DELAY_MILLIS);
+                        && end.crashedMillis() >= earlierMillis + NEWS_DELAY_MILLIS);
     }
 
     Treatment treatment() {
@@ -102,7 +102,7 @@
         return mEnds.isEmpty() ? Treatment.USUAL : Treatment.ALONE;
     }
 
-    List<TargetEnd> ends() {
+    List<TargetCrash> crashes() {
         return List.copyOf(mEnds);
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Returns when something new was last heard of it, in milliseconds. */
-    long newestMillis() {
+    long lastUpdatedMillis() {
         return mNewestMillis;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/SuspectNews.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/SuspectReport.java
@@ -7,14 +7,14 @@
  * What one VM tells another of a request under which targets ended.
  *
  * @param digest the request
- * @param ends the targets that ended under it, as far as the VM knows
+ * @param crashes the targets that ended under it, as far as the VM knows
  * @param quarantined whether the VM keeps it from all targets
  * @param answered whether a target has answered it since, which clears it
  */
-public record SuspectNews(
-        RequestDigest digest, List<TargetEnd> ends, boolean quarantined, boolean answered) {
+public record SuspectReport(
+        RequestDigest digest, List<TargetCrash> crashes, boolean quarantined, boolean answered) {
     /** Copies the list. */
-    public SuspectNews {
-        ends = List.copyOf(ends);
+    public SuspectReport {
+        crashes = List.copyOf(crashes);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/TargetEnd.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/TargetCrash.java
@@ -5,6 +5,6 @@
  *
  * @param incarnation the start of the target that ended
  * @param sentMillis when the request was sent to it, in milliseconds
- * @param endedMillis when the connection to it broke, in milliseconds
+ * @param crashedMillis when the connection to it broke, in milliseconds
  */
-public record TargetEnd(String incarnation, long sentMillis, long endedMillis) {}
+public record TargetCrash(String incarnation, long sentMillis, long crashedMillis) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
@@ -23,13 +23,13 @@
  */
 public final class AdmissionQueue<T> {
     private final SlotTable mSlots;
-    private final Balancer mBalancer;
-    private final ServiceTimes mTimes;
-    private final RetryAfter mRetryAfter;
+    private final LoadBalancer mBalancer;
+    private final ServiceTimeEstimator mTimes;
+    private final RetryAfterPolicy mRetryAfter;
     private final Map<QueueLane, LaneQueue<T>> mLanes = new EnumMap<>(QueueLane.class);
     private final Map<QueueLane, Integer> mCredit = new EnumMap<>(QueueLane.class);
-    private final Map<QueueEntry<T>, Waiting<T>> mWaiting = new HashMap<>();
-    private final TreeSet<Waiting<T>> mByLatestStart = new TreeSet<>();
+    private final Map<QueueEntry<T>, QueuedEntry<T>> mWaiting = new HashMap<>();
+    private final TreeSet<QueuedEntry<T>> mByLatestStart = new TreeSet<>();
     private final CustomerCounts mWaitingByCustomer = new CustomerCounts();
     private final CustomerCounts mBulkyByCustomer = new CustomerCounts();
     private QueueLimits mLimits;
@@ -47,14 +47,14 @@
     public AdmissionQueue(
             QueueLimits limits,
             SlotTable slots,
-            Balancer balancer,
-            ServiceTimes times,
+            LoadBalancer balancer,
+            ServiceTimeEstimator times,
             RandomGenerator random) {
         mLimits = limits;
         mSlots = slots;
         mBalancer = balancer;
         mTimes = times;
-        mRetryAfter = new RetryAfter(random);
+        mRetryAfter = new RetryAfterPolicy(random);
         for (QueueLane lane : QueueLane.values()) {
             mLanes.put(lane, new LaneQueue<>());
             mCredit.put(lane, 0);
@@ -91,27 +91,27 @@
      * @param answered whether a whole answer came
      * @param nowMillis the time, in milliseconds
      */
-    public QueueStep<T> onTryEnded(
+    public DispatchResult<T> onAttemptEnded(
             QueueEntry<T> entry,
             Endpoint target,
             long startedMillis,
             boolean answered,
             long nowMillis) {
         if (entry.kind().bulky()) {
-            mBulkyByCustomer.subtract(entry.customer());
+            mBulkyByCustomer.decrement(entry.customer());
         }
-        return onExtraTryEnded(entry, target, startedMillis, answered, nowMillis);
+        return onExtraAttemptEnded(entry, target, startedMillis, answered, nowMillis);
     }
 
     /** Does as {@code onTryEnded} for a retry or a hedge, whose slot the retry policy took. */
-    public QueueStep<T> onExtraTryEnded(
+    public DispatchResult<T> onExtraAttemptEnded(
             QueueEntry<T> entry,
             Endpoint target,
             long startedMillis,
             boolean answered,
             long nowMillis) {
-        mSlots.onEnded(target, entry.kind().bulky());
-        mTimes.onTryEnded(entry.kind(), nowMillis - startedMillis, answered, nowMillis);
+        mSlots.release(target, entry.kind().bulky());
+        mTimes.onAttemptEnded(entry.kind(), nowMillis - startedMillis, answered, nowMillis);
         return onSlotFreed(nowMillis);
     }
 
@@ -119,28 +119,28 @@
      * Decides who is next: to be called whenever a slot may have come free, also by a new view of
      * the targets or a peer's report, and after an offer that was queued.
      */
-    public QueueStep<T> onSlotFreed(long nowMillis) {
-        List<Expired<T>> expired = expire(nowMillis);
-        List<Dispatched<T>> dispatched = new ArrayList<>();
-        Optional<Dispatched<T>> next = dispatchNext(nowMillis);
+    public DispatchResult<T> onSlotFreed(long nowMillis) {
+        List<ExpiredEntry<T>> expired = expire(nowMillis);
+        List<DispatchedEntry<T>> dispatched = new ArrayList<>();
+        Optional<DispatchedEntry<T>> next = dispatchNext(nowMillis);
         while (next.isPresent()) {
             dispatched.add(next.get());
             next = dispatchNext(nowMillis);
         }
-        return new QueueStep<>(dispatched, expired);
+        return new DispatchResult<>(dispatched, expired);
     }
 
     /** Takes out the entries whose patience or deadline is over, to be refused at once. */
-    public List<Expired<T>> expire(long nowMillis) {
-        List<Expired<T>> expired = new ArrayList<>();
+    public List<ExpiredEntry<T>> expire(long nowMillis) {
+        List<ExpiredEntry<T>> expired = new ArrayList<>();
         long drainMillis = drainMillis(nowMillis);
         while (!mByLatestStart.isEmpty()
                 && mByLatestStart.first().entry().latestStartMillis() <= nowMillis) {
-            Waiting<T> waiting = mByLatestStart.first();
+            QueuedEntry<T> waiting = mByLatestStart.first();
             mLanes.get(QueueLane.of(waiting.entry().kind())).remove(waiting);
             forget(waiting);
             expired.add(
-                    new Expired<>(waiting.entry(), refuse(RefusalReason.WAITED_OUT, drainMillis)));
+                    new ExpiredEntry<>(waiting.entry(), refuse(RefusalReason.WAIT_TIMED_OUT, drainMillis)));
         }
         return expired;
     }
@@ -154,7 +154,7 @@
 
     /** Takes out an entry whose caller went away; false if it doesn't wait here any more. */
     public boolean cancel(QueueEntry<T> entry) {
-        Waiting<T> waiting = mWaiting.get(entry);
+        QueuedEntry<T> waiting = mWaiting.get(entry);
         if (waiting == null) {
             return false;
         }
@@ -178,7 +178,7 @@
             return refuse(RefusalReason.QUEUE_FULL, drainMillis(nowMillis));
         }
         long waitMillis = waitMillis(entry, nowMillis);
-        long typicalMillis = mTimes.typicalMillis(entry.kind());
+        long typicalMillis = mTimes.meanMillis(entry.kind());
         long startByMillis =
                 Math.min(entry.latestStartMillis(), entry.deadlineMillis() - typicalMillis);
         long spareMillis = startByMillis - nowMillis;
@@ -199,33 +199,33 @@
     private boolean hasRoomFor(String customer) {
         int freePlaces = mLimits.capacity() - mWaiting.size();
         int limit = Math.min(mLimits.capacityPerCustomer(), freePlaces);
-        return mWaitingByCustomer.of(customer) < limit;
+        return mWaitingByCustomer.count(customer) < limit;
     }
 
     private void enqueue(QueueEntry<T> entry) {
-        Waiting<T> waiting = new Waiting<>(entry, mSequence++);
+        QueuedEntry<T> waiting = new QueuedEntry<>(entry, mSequence++);
         mWaiting.put(entry, waiting);
         mByLatestStart.add(waiting);
-        mWaitingByCustomer.add(entry.customer());
+        mWaitingByCustomer.increment(entry.customer());
         mLanes.get(QueueLane.of(entry.kind())).add(waiting);
     }
 
-    private void forget(Waiting<T> waiting) {
+    private void forget(QueuedEntry<T> waiting) {
         mWaiting.remove(waiting.entry());
         mByLatestStart.remove(waiting);
-        mWaitingByCustomer.subtract(waiting.entry().customer());
+        mWaitingByCustomer.decrement(waiting.entry().customer());
     }
 
     private void take(QueueEntry<T> entry, Endpoint target, long nowMillis) {
-        mTimes.onTryStarted(nowMillis);
-        mSlots.onStarted(target, entry.kind().bulky());
+        mTimes.onAttemptStarted(nowMillis);
+        mSlots.acquire(target, entry.kind().bulky());
         if (entry.kind().bulky()) {
-            mBulkyByCustomer.add(entry.customer());
+            mBulkyByCustomer.increment(entry.customer());
         }
     }
 
     private Admission.Refused refuse(RefusalReason reason, long waitMillis) {
-        return new Admission.Refused(reason, mRetryAfter.millis(waitMillis));
+        return new Admission.Refused(reason, mRetryAfter.delayMillis(waitMillis));
     }
 
     /** Returns whether an entry that waits for its turn could take the free slot as well. */
@@ -241,13 +241,13 @@
 
     private Optional<Endpoint> targetFor(QueueEntry<T> entry, long nowMillis) {
         if (entry.kind().bulky()
-                && mBulkyByCustomer.of(entry.customer()) >= mLimits.bulkyPerCustomer()) {
+                && mBulkyByCustomer.count(entry.customer()) >= mLimits.bulkyPerCustomer()) {
             return Optional.empty();
         }
         return mBalancer.pick(entry.kind(), entry.excluded(), nowMillis);
     }
 
-    private Optional<Dispatched<T>> dispatchNext(long nowMillis) {
+    private Optional<DispatchedEntry<T>> dispatchNext(long nowMillis) {
         Map<QueueLane, Candidate<T>> candidates = new EnumMap<>(QueueLane.class);
         for (QueueLane lane : QueueLane.values()) {
             candidate(lane, nowMillis).ifPresent(candidate -> candidates.put(lane, candidate));
@@ -260,11 +260,11 @@
         mLanes.get(lane).serve(chosen.waiting());
         forget(chosen.waiting());
         take(chosen.waiting().entry(), chosen.target(), nowMillis);
-        return Optional.of(new Dispatched<>(chosen.waiting().entry(), chosen.target()));
+        return Optional.of(new DispatchedEntry<>(chosen.waiting().entry(), chosen.target()));
     }
 
     private Optional<Candidate<T>> candidate(QueueLane lane, long nowMillis) {
-        for (Waiting<T> waiting : mLanes.get(lane).heads()) {
+        for (QueuedEntry<T> waiting : mLanes.get(lane).heads()) {
             if (waiting.entry().latestStartMillis() <= nowMillis) {
                 continue;
             }
@@ -299,10 +299,10 @@
     /** Estimates how long a new entry of this kind and customer would wait, in milliseconds. */
     private long waitMillis(QueueEntry<T> entry, long nowMillis) {
         QueueLane own = QueueLane.of(entry.kind());
-        int ahead = mLanes.get(own).ahead(entry.customer(), entry.latestStartMillis());
+        int ahead = mLanes.get(own).entriesAhead(entry.customer(), entry.latestStartMillis());
         double turns = ahead + 1.0;
-        if (own == QueueLane.BULKY && mSlots.ownBulkyTotal() > 0) {
-            return millis(turns / mTimes.bulkySlotsFreedPerMilli(mSlots, nowMillis));
+        if (own == QueueLane.BULKY && mSlots.ownBulkyInFlightTotal() > 0) {
+            return millis(turns / mTimes.bulkySlotReleasesPerMilli(mSlots, nowMillis));
         }
         double all = turns;
         for (QueueLane lane : QueueLane.values()) {
@@ -310,12 +310,12 @@
                 all += Math.min(mLanes.get(lane).size(), turns * lane.weight() / own.weight());
             }
         }
-        return millis(all / mTimes.slotsFreedPerMilli(mSlots, nowMillis));
+        return millis(all / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
     }
 
     /** Estimates how long it takes until all that wait now are served, in milliseconds. */
     private long drainMillis(long nowMillis) {
-        return millis(mWaiting.size() / mTimes.slotsFreedPerMilli(mSlots, nowMillis));
+        return millis(mWaiting.size() / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
     }
 
     /** Nothing in flight means no rate: the wait is then unknown and patience bounds it. */
@@ -323,5 +323,5 @@
         return Double.isInfinite(estimate) || Double.isNaN(estimate) ? 0 : (long) estimate;
     }
 
-    private record Candidate<T>(Waiting<T> waiting, Endpoint target) {}
+    private record Candidate<T>(QueuedEntry<T> waiting, Endpoint target) {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns how a request gets its connection. */
-    public ConnectionChoice choose(ConnectionUse use) {
+    public ConnectionChoice choose(ConnectionCounts use) {
         if (use.idle() > 0) {
             return ConnectionChoice.REUSE;
         }
@@ -54,7 +54,7 @@
      * @param use the connections to the target
      * @param peakInFlight the most requests that this VM had in flight there of late
      */
-    public int openAhead(ConnectionUse use, int peakInFlight) {
+    public int connectionsToPrewarm(ConnectionCounts use, int peakInFlight) {
         int wanted = Math.min(mSlotsPerTarget, peakInFlight + HEADROOM);
         int usable = use.idle() + use.busy() + use.opening();
         int room = limit() - use.total();
@@ -79,7 +79,7 @@
      * @param opening not open yet
      * @param closing not closed yet, no longer usable
      */
-    public record ConnectionUse(int idle, int busy, int opening, int closing) {
+    public record ConnectionCounts(int idle, int busy, int opening, int closing) {
         /** Returns how many there are in all. */
         public int total() {
             return idle + busy + opening + closing;
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/CustomerCounts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/CustomerCounts.java
@@ -7,15 +7,15 @@
 final class CustomerCounts {
     private final Map<String, Integer> mCounts = new HashMap<>();
 
-    void add(String customer) {
+    void increment(String customer) {
         mCounts.merge(customer, 1, Integer::sum);
     }
 
-    void subtract(String customer) {
+    void decrement(String customer) {
         mCounts.computeIfPresent(customer, (unused, count) -> count == 1 ? null : count - 1);
     }
 
-    int of(String customer) {
+    int count(String customer) {
         return mCounts.getOrDefault(customer, 0);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueStep.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchResult.java
@@ -9,9 +9,9 @@
  * @param expired requests to be refused now
  * @param <T> what the caller needs to go on with a request
  */
-public record QueueStep<T>(List<Dispatched<T>> dispatched, List<Expired<T>> expired) {
+public record DispatchResult<T>(List<DispatchedEntry<T>> dispatched, List<ExpiredEntry<T>> expired) {
     /** Copies the lists. */
-    public QueueStep {
+    public DispatchResult {
         dispatched = List.copyOf(dispatched);
         expired = List.copyOf(expired);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Dispatched.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchedEntry.java
@@ -9,4 +9,4 @@
  * @param target the target
  * @param <T> what the caller needs to go on with the request
  */
-public record Dispatched<T>(QueueEntry<T> entry, Endpoint target) {}
+public record DispatchedEntry<T>(QueueEntry<T> entry, Endpoint target) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Expired.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ExpiredEntry.java
@@ -7,4 +7,4 @@
  * @param refusal the answer
  * @param <T> what the caller needs to go on with the request
  */
-public record Expired<T>(QueueEntry<T> entry, Admission.Refused refusal) {}
+public record ExpiredEntry<T>(QueueEntry<T> entry, Admission.Refused refusal) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FailedTry.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailedAttempt.java
@@ -11,18 +11,18 @@
  * @param failure how the last try failed
  * @param mayHaveRun whether any try of this request may have run, the last one included
  * @param tried all targets tried so far, the last one included
- * @param tries how many tries there were, the last one included
+ * @param attempts how many tries there were, the last one included
  * @param deadlineMillis when the answer is of no more use, in milliseconds
  */
-public record FailedTry(
+public record FailedAttempt(
         RequestKind kind,
         FailureKind failure,
         boolean mayHaveRun,
         Set<Endpoint> tried,
-        int tries,
+        int attempts,
         long deadlineMillis) {
     /** Copies the set. */
-    public FailedTry {
+    public FailedAttempt {
         tried = Set.copyOf(tried);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureKind.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureKind.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether somebody still waits for an answer, so that another try makes sense. */
-    public boolean isAnswerWanted() {
+    public boolean isCallerWaiting() {
         return this != CANCELLED_BY_CALLER;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/BoutRates.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureModel.java
@@ -7,12 +7,12 @@
  * <p>Answers the load pattern of targets that fail a part of their work for some seconds while
  * their health report is good. How often and how much differs by service and changes, so nothing of
  * it is fixed here: each figure starts from a weak prior, which a few bouts outweigh, and older
- * evidence fades. Bouts are counted when they are over, by {@link BoutBeliefs}.
+ * evidence fades. Bouts are counted when they are over, by {@link TargetStateEstimator}.
  *
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
  * call costs O(1).
  */
-final class BoutRates {
+final class FailureModel {
     /** As if one onset had been seen in half a minute of sound work at one target. */
     private static final double PRIOR_ONSETS = 1;
 
@@ -64,7 +64,7 @@
     private double mWorkSound;
 
     /** Takes time in which a target was seen sound, in milliseconds. */
-    void onSoundTime(long millis) {
+    void onHealthyTime(long millis) {
         mSoundMillis += millis;
     }
 
@@ -85,7 +85,7 @@
      * @param silent those of them that got no answer
      * @param work all pieces of work that ended in it
      */
-    void onBout(long millis, int failed, int silent, int work) {
+    void onFailurePeriod(long millis, int failed, int silent, int work) {
         mBouts++;
         mBoutMillis += millis;
         mFailedInBout += failed;
@@ -101,7 +101,7 @@
     }
 
     /** Takes pieces of work that ended at a sound target. */
-    void onSoundWork(int failed, int work) {
+    void onHealthyAttempts(int failed, int work) {
         mFailedSound += failed;
         mWorkSound += work;
         if (mWorkSound > MOST_SOUND_WORK) {
@@ -121,23 +121,23 @@
     }
 
     /** Returns the share of targets that are in a bout: what is known of one never seen. */
-    double shareInBout() {
+    double failingShare() {
         return onsetPerMilli() / (onsetPerMilli() + recoveryPerMilli());
     }
 
     /** Returns the share of its work that a target fails in a bout. */
-    double failedInBout() {
+    double failureRateWhenFailing() {
         double share = (PRIOR_FAILED_IN_BOUT + mFailedInBout) / (PRIOR_WORK_IN_BOUT + mWorkInBout);
         return Math.max(LEAST_FAILED_IN_BOUT, share);
     }
 
     /** Returns the share of the failures in a bout that show as no answer. */
-    double silentInBout() {
+    double silentShareWhenFailing() {
         return (PRIOR_SILENT + mSilentInBout) / (PRIOR_FAILURES + mFailedInBout);
     }
 
     /** Returns the share of its work that a sound target fails. */
-    double failedSound() {
+    double failureRateWhenHealthy() {
         double share = (PRIOR_FAILED_SOUND + mFailedSound) / (PRIOR_WORK_SOUND + mWorkSound);
         return Math.min(MOST_FAILED_SOUND, share);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/UseFloor.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FloorSharePolicy.java
@@ -13,7 +13,7 @@
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. A
  * call costs O(targets).
  */
-final class UseFloor {
+final class FloorSharePolicy {
     /** A target that got nothing for this long is not in use, in milliseconds. */
     private static final long IDLE_MILLIS = 1_400;
 
@@ -27,14 +27,14 @@
     private static final double LOST_SHARE = 0.08;
 
     private final double mFloorShare;
-    private final WorkEvidence mEvidence;
+    private final PassiveFailureDetector mEvidence;
 
     /**
      * Creates the floor.
      *
      * @param floorShare the share of the sound targets that must stay in use; 0 for none
      */
-    UseFloor(double floorShare, WorkEvidence evidence) {
+    FloorSharePolicy(double floorShare, PassiveFailureDetector evidence) {
         mFloorShare = floorShare;
         mEvidence = evidence;
     }
@@ -46,7 +46,7 @@
      * @param free all targets with a free slot
      * @param all all targets that are compared
      */
-    List<WeightedTarget> among(
+    List<WeightedTarget> select(
             List<WeightedTarget> best,
             List<WeightedTarget> free,
             List<WeightedTarget> all,
@@ -63,8 +63,8 @@
     }
 
     private double leastInUse(int targets) {
-        boolean losesWork = mEvidence.lostShare() > LOST_SHARE;
-        double unsound = losesWork ? 0 : Math.min(1 - mFloorShare, mEvidence.shareInBout());
+        boolean losesWork = mEvidence.lossRate() > LOST_SHARE;
+        double unsound = losesWork ? 0 : Math.min(1 - mFloorShare, mEvidence.failingShare());
         return (mFloorShare + RESERVE_SHARE) * (1 - unsound) * targets;
     }
 
@@ -73,6 +73,6 @@
     }
 
     private boolean isIdle(WeightedTarget target, long nowMillis) {
-        return nowMillis - mEvidence.usedMillis(target.endpoint()) > IDLE_MILLIS;
+        return nowMillis - mEvidence.lastUsedMillis(target.endpoint()) > IDLE_MILLIS;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
@@ -24,10 +24,10 @@
     private static final double LEAST_DOUBT = 0.25;
 
     private final RetryBudget mBudget;
-    private final Balancer mBalancer;
+    private final LoadBalancer mBalancer;
     private final SlotTable mSlots;
-    private final ServiceTimes mTimes;
-    private final WorkEvidence mEvidence;
+    private final ServiceTimeEstimator mTimes;
+    private final PassiveFailureDetector mEvidence;
 
     /**
      * Joins what a decision needs.
@@ -40,10 +40,10 @@
      */
     public HedgePolicy(
             RetryBudget budget,
-            Balancer balancer,
+            LoadBalancer balancer,
             SlotTable slots,
-            ServiceTimes times,
-            WorkEvidence evidence) {
+            ServiceTimeEstimator times,
+            PassiveFailureDetector evidence) {
         mBudget = budget;
         mBalancer = balancer;
         mSlots = slots;
@@ -62,7 +62,7 @@
         if (!mayHedge(kind)) {
             return OptionalLong.empty();
         }
-        long typical = mTimes.typicalMillis(kind);
+        long typical = mTimes.meanMillis(kind);
         long latest = kind.lateAfter().toMillis() - SLOW_ANSWER_FACTOR * typical;
         long known = typical == 0 ? kind.hedgeAfter().toMillis() : Math.max(typical, latest);
         return OptionalLong.of(Math.min(known, kind.hedgeAfter().toMillis()));
@@ -83,7 +83,7 @@
      * @param nowMillis the time, in milliseconds
      * @return the target; empty for no hedge
      */
-    public Optional<Endpoint> start(
+    public Optional<Endpoint> tryStart(
             RequestKind kind,
             Set<Endpoint> tried,
             long deadlineMillis,
@@ -93,10 +93,10 @@
         if (hadFurtherTry || !mayHedge(kind)) {
             return Optional.empty();
         }
-        if (overloaded || !mBudget.hasLeft(kind, nowMillis)) {
+        if (overloaded || !mBudget.hasRemaining(kind, nowMillis)) {
             return Optional.empty();
         }
-        if (deadlineMillis - nowMillis < Math.max(1, mTimes.typicalMillis(kind))) {
+        if (deadlineMillis - nowMillis < Math.max(1, mTimes.meanMillis(kind))) {
             return Optional.empty();
         }
         if (!isDoubtful(tried, nowMillis)) {
@@ -105,14 +105,14 @@
         Optional<Endpoint> target = mBalancer.pick(kind, tried, nowMillis);
         target.ifPresent(
                 endpoint -> {
-                    mBudget.onFurtherTry(nowMillis);
-                    mSlots.onStarted(endpoint, kind.bulky());
+                    mBudget.onExtraAttempt(nowMillis);
+                    mSlots.acquire(endpoint, kind.bulky());
                 });
         return target;
     }
 
     private boolean isDoubtful(Set<Endpoint> tried, long nowMillis) {
         return tried.stream()
-                .anyMatch(target -> mEvidence.chanceOfLoss(target, nowMillis) >= LEAST_DOUBT);
+                .anyMatch(target -> mEvidence.lossProbability(target, nowMillis) >= LEAST_DOUBT);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/LaneQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LaneQueue.java
@@ -13,10 +13,10 @@
  * @param <T> what the caller needs to go on with a request
  */
 final class LaneQueue<T> {
-    private final Map<String, TreeSet<Waiting<T>>> mByCustomer = new LinkedHashMap<>();
+    private final Map<String, TreeSet<QueuedEntry<T>>> mByCustomer = new LinkedHashMap<>();
     private int mSize;
 
-    void add(Waiting<T> waiting) {
+    void add(QueuedEntry<T> waiting) {
         mByCustomer
                 .computeIfAbsent(waiting.entry().customer(), unused -> new TreeSet<>())
                 .add(waiting);
@@ -24,9 +24,9 @@
     }
 
     /** Takes an entry out without a change in the customers' turns. */
-    void remove(Waiting<T> waiting) {
+    void remove(QueuedEntry<T> waiting) {
         String customer = waiting.entry().customer();
-        TreeSet<Waiting<T>> own = mByCustomer.get(customer);
+        TreeSet<QueuedEntry<T>> own = mByCustomer.get(customer);
         if (own == null || !own.remove(waiting)) {
             return;
         }
@@ -37,10 +37,10 @@
     }
 
     /** Takes out an entry that is served: its customer's next turn comes after all others'. */
-    void serve(Waiting<T> waiting) {
+    void serve(QueuedEntry<T> waiting) {
         remove(waiting);
         String customer = waiting.entry().customer();
-        TreeSet<Waiting<T>> rest = mByCustomer.remove(customer);
+        TreeSet<QueuedEntry<T>> rest = mByCustomer.remove(customer);
         if (rest != null) {
             mByCustomer.put(customer, rest);
         }
@@ -51,8 +51,8 @@
     }
 
     /** Returns the first entry of each customer, in the order of their turns. */
-    List<Waiting<T>> heads() {
-        List<Waiting<T>> heads = new ArrayList<>(mByCustomer.size());
+    List<QueuedEntry<T>> heads() {
+        List<QueuedEntry<T>> heads = new ArrayList<>(mByCustomer.size());
         mByCustomer.values().forEach(own -> heads.add(own.first()));
         return heads;
     }
@@ -61,16 +61,16 @@
      * Counts the entries that are served before a new one of this customer: its own that must start
      * no later, and as many of each other customer, one for each turn.
      */
-    int ahead(String customer, long latestStartMillis) {
+    int entriesAhead(String customer, long latestStartMillis) {
         int own = 0;
-        for (Waiting<T> waiting : mByCustomer.getOrDefault(customer, new TreeSet<>())) {
+        for (QueuedEntry<T> waiting : mByCustomer.getOrDefault(customer, new TreeSet<>())) {
             if (waiting.entry().latestStartMillis() > latestStartMillis) {
                 break;
             }
             own++;
         }
         int ahead = own;
-        for (Map.Entry<String, TreeSet<Waiting<T>>> other : mByCustomer.entrySet()) {
+        for (Map.Entry<String, TreeSet<QueuedEntry<T>>> other : mByCustomer.entrySet()) {
             if (!other.getKey().equals(customer)) {
                 ahead += Math.min(other.getValue().size(), own + 1);
             }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Balancer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
@@ -10,7 +10,7 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * Finds the targets with a free slot for a request, of which {@link Placement} chooses one.
+ * Finds the targets with a free slot for a request, of which {@link TargetSelector} chooses one.
  *
  * <p>The VM's own share of the slots goes first; others' unused slots are borrowed only while the
  * cell has many. Reports are always somewhat old, so VMs that all took the one least loaded target,
@@ -20,7 +20,7 @@
  * A pick costs O(VMs of the cell) for each target that is compared: some of many, and all if none
  * of those has a slot.
  */
-public final class Balancer {
+public final class LoadBalancer {
     /** Others' slots are borrowed while less than this share of all usable slots is in use. */
     private static final double BORROW_BELOW = 0.7;
 
@@ -42,7 +42,7 @@
 
     private final SlotTable mSlots;
     private final int mBulkySlotsPerTarget;
-    private final Placement mPlacement;
+    private final TargetSelector mPlacement;
     private final RandomGenerator mRandom;
     private List<WeightedTarget> mTargets = List.of();
     private double mGreatestWeight;
@@ -55,8 +55,8 @@
      *     where the service has bulky kinds only
      * @param random draws the targets
      */
-    public Balancer(SlotTable slots, double bulkyShare, RandomGenerator random) {
-        this("", 0, slots, bulkyShare, random, new WorkEvidence(new ServiceTimes(), slots));
+    public LoadBalancer(SlotTable slots, double bulkyShare, RandomGenerator random) {
+        this("", 0, slots, bulkyShare, random, new PassiveFailureDetector(new ServiceTimeEstimator(), slots));
     }
 
     /**
@@ -66,16 +66,16 @@
      * @param floorShare the share of the sound targets that must stay in use; 0 for none
      * @param evidence what the newest work shows of the targets
      */
-    public Balancer(
+    public LoadBalancer(
             String zone,
             double floorShare,
             SlotTable slots,
             double bulkyShare,
             RandomGenerator random,
-            WorkEvidence evidence) {
+            PassiveFailureDetector evidence) {
         mSlots = slots;
         mBulkySlotsPerTarget = Math.max(1, (int) (slots.slotsPerTarget() * bulkyShare));
-        mPlacement = new Placement(zone, floorShare, slots, evidence, random);
+        mPlacement = new TargetSelector(zone, floorShare, slots, evidence, random);
         mRandom = random;
     }
 
@@ -113,18 +113,18 @@
             Set<Endpoint> excluded,
             long nowMillis) {
         List<WeightedTarget> free = withSlot(targets, kind, excluded, nowMillis);
-        return mPlacement.choose(kind, free, targets, nowMillis);
+        return mPlacement.select(kind, free, targets, nowMillis);
     }
 
     /** Picks a target as {@link #pick}, for a further try after one that failed. */
-    public Optional<Endpoint> pickAgain(RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
+    public Optional<Endpoint> pickForRetry(RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
         List<WeightedTarget> drawn = drawn();
         Optional<Endpoint> picked = pickAmong(drawn, kind, excluded, nowMillis);
         if (picked.isPresent()) {
             return picked;
         }
         List<WeightedTarget> free = withSlot(mTargets, kind, excluded, nowMillis);
-        return mPlacement.chooseAgain(kind, free, mTargets, nowMillis);
+        return mPlacement.selectForRetry(kind, free, mTargets, nowMillis);
     }
 
     /**
@@ -160,7 +160,7 @@
             RequestKind kind,
             Set<Endpoint> excluded,
             long nowMillis) {
-        if (kind.bulky() && mSlots.ownBulkyTotal() >= bulkyLimit()) {
+        if (kind.bulky() && mSlots.ownBulkyInFlightTotal() >= bulkyLimit()) {
             return List.of();
         }
         List<WeightedTarget> own = withOwnSlot(targets, kind, excluded);
@@ -196,7 +196,7 @@
         List<WeightedTarget> own = new ArrayList<>();
         for (WeightedTarget target : targets) {
             if (isUsable(target, kind, excluded)
-                    && mSlots.ownFree(target.endpoint(), usableSlots(target)) > 0
+                    && mSlots.ownFreeSlots(target.endpoint(), usableSlots(target)) > 0
                     && hasBulkyRoom(target, kind)) {
                 own.add(target);
             }
@@ -218,7 +218,7 @@
         for (WeightedTarget target : targets) {
             if (isUsable(target, kind, excluded)
                     && hasBulkyRoom(target, kind)
-                    && mSlots.unused(target.endpoint(), usableSlots(target), nowMillis) > 0) {
+                    && mSlots.unusedSlots(target.endpoint(), usableSlots(target), nowMillis) > 0) {
                 unused.add(target);
             }
         }
@@ -233,7 +233,7 @@
         for (WeightedTarget target : mTargets) {
             int slots = usableSlots(target);
             usable += slots;
-            ownShare += mSlots.share(target.endpoint(), slots);
+            ownShare += mSlots.ownShare(target.endpoint(), slots);
             inUse += inFlight(target, nowMillis);
         }
         return ownShare == 0 || inUse < BORROW_BELOW * usable;
@@ -243,11 +243,11 @@
         if (!(target.weight() > 0) || excluded.contains(target.endpoint())) {
             return false;
         }
-        return target.mayCarryGuarded() || kind.idempotency() != Idempotency.AT_MOST_ONCE;
+        return target.acceptsGuarded() || kind.idempotency() != Idempotency.AT_MOST_ONCE;
     }
 
     private boolean hasBulkyRoom(WeightedTarget target, RequestKind kind) {
-        return !kind.bulky() || mSlots.ownBulky(target.endpoint()) < mBulkySlotsPerTarget;
+        return !kind.bulky() || mSlots.ownBulkyInFlight(target.endpoint()) < mBulkySlotsPerTarget;
     }
 
     /** Returns the slots that a target's weight allows: all at the greatest weight, else fewer. */
@@ -260,7 +260,7 @@
 
     private double inFlight(WeightedTarget target, long nowMillis) {
         Endpoint endpoint = target.endpoint();
-        return mSlots.own(endpoint) + mSlots.others(endpoint, nowMillis);
+        return mSlots.ownInFlight(endpoint) + mSlots.peersInFlight(endpoint, nowMillis);
     }
 
     /**
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/WorkEvidence.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
@@ -17,7 +17,7 @@
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
  * call on one target costs O(requests in flight there and VMs that report).
  */
-public final class WorkEvidence {
+public final class PassiveFailureDetector {
     /** A full target has worked off a part of its queue after this time, in milliseconds. */
     private static final long REST_MILLIS = 250;
 
@@ -36,14 +36,14 @@
     /** A proof after doubt is told at once, from this chance of a bout on. */
     private static final double DOUBT = 0.5;
 
-    private final ServiceTimes mTimes;
+    private final ServiceTimeEstimator mTimes;
     private final SlotTable mSlots;
-    private final BoutRates mRates = new BoutRates();
-    private final BoutBeliefs mBeliefs = new BoutBeliefs(mRates);
-    private final PathBeliefs mPaths = new PathBeliefs();
+    private final FailureModel mRates = new FailureModel();
+    private final TargetStateEstimator mBeliefs = new TargetStateEstimator(mRates);
+    private final PathStateEstimator mPaths = new PathStateEstimator();
     private final Map<Endpoint, TargetSigns> mTargets = new HashMap<>();
     private final Map<Endpoint, Long> mUntoldProofs = new HashMap<>();
-    private final List<WorkNews> mNews = new ArrayList<>();
+    private final List<TargetObservation> mNews = new ArrayList<>();
     private Set<Endpoint> mToldInFlight = Set.of();
     private double mShareThatMustNotRepeat = UNKNOWN_SHARE;
     private double mLostShare;
@@ -53,7 +53,7 @@
 
     /** What is known of one target beside the ends of its work. */
     private static final class TargetSigns {
-        private final UnansweredWork mWork = new UnansweredWork();
+        private final PendingAttempts mWork = new PendingAttempts();
         private final Map<String, PeerSilence> mPeers = new HashMap<>();
         private long mRestUntilMillis = Long.MIN_VALUE;
         private long mUsedMillis = Long.MIN_VALUE / 2;
@@ -69,7 +69,7 @@
      * @param times what is an unusual time for an answer
      * @param slots what is in flight
      */
-    public WorkEvidence(ServiceTimes times, SlotTable slots) {
+    public PassiveFailureDetector(ServiceTimeEstimator times, SlotTable slots) {
         mTimes = times;
         mSlots = slots;
     }
@@ -80,7 +80,7 @@
      * @param work identifies it
      */
     public void onStarted(RequestKind kind, Endpoint target, Object work, long nowMillis) {
-        long overdueMillis = nowMillis + mTimes.unusualMillis(kind);
+        long overdueMillis = nowMillis + mTimes.overdueAfterMillis(kind);
         TargetSigns signs = signs(target);
         signs.use(nowMillis);
         signs.mWork.start(work, overdueMillis, nowMillis);
@@ -105,7 +105,7 @@
             long nowMillis) {
         boolean unjudged = signs(target).mWork.end(work);
         noteLost(outcome);
-        boolean late = nowMillis - startedMillis >= mTimes.unusualMillis(kind);
+        boolean late = nowMillis - startedMillis >= mTimes.overdueAfterMillis(kind);
         switch (outcome) {
             case SUCCESS -> {
                 if (!late) {
@@ -113,16 +113,16 @@
                 }
             }
             case REFUSED_SHED -> signs(target).mRestUntilMillis = nowMillis + REST_MILLIS;
-            case FAILURE -> onFailed(target, WorkSign.ERROR, startedMillis);
+            case FAILURE -> onFailed(target, Observation.ERROR, startedMillis);
             case CANCELLED -> {
                 if (late && unjudged) {
-                    onOwnEnd(target, WorkSign.LATE, startedMillis);
+                    onOwnEnd(target, Observation.LATE, startedMillis);
                 }
             }
             default -> {
                 if (unjudged) {
                     boolean silent = outcome == Outcome.TIMEOUT;
-                    onFailed(target, silent ? WorkSign.SILENT : WorkSign.BROKEN, startedMillis);
+                    onFailed(target, silent ? Observation.SILENT : Observation.BROKEN, startedMillis);
                 }
             }
         }
@@ -138,72 +138,72 @@
     }
 
     /** Returns the share of this VM's newest work that was lost. */
-    public double lostShare() {
+    public double lossRate() {
         return mLostShare;
     }
 
     private void onAnswered(Endpoint target, long startedMillis, long nowMillis) {
-        boolean doubted = mBeliefs.chance(target, nowMillis) > DOUBT;
-        onOwnEnd(target, WorkSign.ANSWERED, startedMillis);
+        boolean doubted = mBeliefs.failingProbability(target, nowMillis) > DOUBT;
+        onOwnEnd(target, Observation.ANSWERED, startedMillis);
         if (doubted) {
-            mNews.add(new WorkNews(target, WorkSign.ANSWERED, startedMillis));
+            mNews.add(new TargetObservation(target, Observation.ANSWERED, startedMillis));
         } else {
             mUntoldProofs.merge(target, startedMillis, Math::max);
         }
     }
 
-    private void onFailed(Endpoint target, WorkSign sign, long startedMillis) {
+    private void onFailed(Endpoint target, Observation sign, long startedMillis) {
         onOwnEnd(target, sign, startedMillis);
-        mNews.add(new WorkNews(target, sign, startedMillis));
+        mNews.add(new TargetObservation(target, sign, startedMillis));
     }
 
     /** Blames the target and the path, each by how well the other one explains the end. */
-    private void onOwnEnd(Endpoint target, WorkSign sign, long startedMillis) {
-        double cut = mPaths.chance(target, startedMillis);
-        double bout = mBeliefs.chance(target, startedMillis);
-        double inBout = sign.inBout(mRates);
-        double whileSound = sign.whileSound(mRates);
+    private void onOwnEnd(Endpoint target, Observation sign, long startedMillis) {
+        double cut = mPaths.partitionProbability(target, startedMillis);
+        double bout = mBeliefs.failingProbability(target, startedMillis);
+        double inBout = sign.likelihoodWhenFailing(mRates);
+        double whileSound = sign.likelihoodWhenHealthy(mRates);
         double ratio =
-                sign.cameBack()
+                sign.hasResponse()
                         ? inBout / whileSound
                         : (cut + (1 - cut) * inBout) / (cut + (1 - cut) * whileSound);
-        mBeliefs.onEnd(target, sign, ratio, startedMillis);
-        mPaths.onEnd(target, sign, bout * inBout + (1 - bout) * whileSound, startedMillis);
+        mBeliefs.onObservation(target, sign, ratio, startedMillis);
+        mPaths.onObservation(target, sign, bout * inBout + (1 - bout) * whileSound, startedMillis);
     }
 
     /**
      * Takes what another VM saw. Without an answer it may have been that VM's own path: half of the
      * weight leaves a target that others still use in use with them.
      */
-    private void onPeerEnd(Endpoint target, WorkSign sign, long sentMillis) {
-        double ratio = sign.inBout(mRates) / sign.whileSound(mRates);
-        mBeliefs.onEnd(target, sign, sign.cameBack() ? ratio : Math.sqrt(ratio), sentMillis);
+    private void onPeerEnd(Endpoint target, Observation sign, long sentMillis) {
+        double ratio = sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates);
+        mBeliefs.onObservation(target, sign, sign.hasResponse() ? ratio : Math.sqrt(ratio), sentMillis);
     }
 
     /**
      * Takes work without an answer for lost once it is overdue by as long again, without waiting
      * for its timeout, which may be seconds away; about 1 in 40 sound answers takes longer.
      */
-    public void giveUpOnLost(long nowMillis) {
+    public void expireOverdue(long nowMillis) {
         mTargets.forEach(
                 (target, signs) -> {
                     for (long startedMillis : signs.mWork.removeLost(nowMillis)) {
-                        onFailed(target, WorkSign.SILENT, startedMillis);
+                        onFailed(target, Observation.SILENT, startedMillis);
                     }
                 });
     }
 
     /** Returns what other VMs should hear of at once, oldest first, and forgets it. */
-    public List<WorkNews> takeNews() {
-        List<WorkNews> news = List.copyOf(mNews);
+    public List<TargetObservation> drainObservations() {
+        List<TargetObservation> news = List.copyOf(mNews);
         mNews.clear();
         return news;
     }
 
     /** Takes another VM's news. */
-    public void onPeerNews(WorkNews news) {
+    public void onPeerObservation(TargetObservation news) {
         signs(news.target()).use(news.sentMillis());
-        onPeerEnd(news.target(), news.sign(), news.sentMillis());
+        onPeerEnd(news.target(), news.observation(), news.sentMillis());
     }
 
     /**
@@ -211,18 +211,18 @@
      *
      * @param vm the VM's name
      */
-    public void onPeerReport(String vm, List<TargetWork> report, long nowMillis) {
-        for (TargetWork work : report) {
+    public void onPeerReport(String vm, List<TargetReport> report, long nowMillis) {
+        for (TargetReport work : report) {
             TargetSigns signs = signs(work.target());
-            work.provenMillis()
+            work.lastAnsweredMillis()
                     .ifPresent(
                             sent -> {
                                 signs.use(sent);
-                                onPeerEnd(work.target(), WorkSign.ANSWERED, sent);
+                                onPeerEnd(work.target(), Observation.ANSWERED, sent);
                             });
             if (work.inFlight() > 0) {
                 signs.use(nowMillis);
-                signs.mPeers.put(vm, new PeerSilence(work.silence(), nowMillis));
+                signs.mPeers.put(vm, new PeerSilence(work.silenceRatio(), nowMillis));
             } else {
                 signs.mPeers.remove(vm);
             }
@@ -230,13 +230,13 @@
     }
 
     /** Returns the chance that a target is in a bout, from 0 to 1. */
-    public double chanceOfBout(Endpoint target, long nowMillis) {
-        double chance = mBeliefs.chance(target, nowMillis);
+    public double failingProbability(Endpoint target, long nowMillis) {
+        double chance = mBeliefs.failingProbability(target, nowMillis);
         TargetSigns signs = mTargets.get(target);
         if (signs == null) {
             return chance;
         }
-        double odds = chance / (1 - chance) * signs.mWork.silence(mRates, nowMillis);
+        double odds = chance / (1 - chance) * signs.mWork.silenceRatio(mRates, nowMillis);
         signs.mPeers.values().removeIf(peer -> nowMillis - peer.atMillis() > REPORT_KEPT_MILLIS);
         for (PeerSilence peer : signs.mPeers.values()) {
             odds *= peer.silence();
@@ -245,46 +245,46 @@
     }
 
     /** Returns the chance that a target fails a piece of work that it is sent now. */
-    public double chanceOfLoss(Endpoint target, long nowMillis) {
-        double bout = chanceOfBout(target, nowMillis);
-        double byTarget = bout * mRates.failedInBout() + (1 - bout) * mRates.failedSound();
-        return 1 - (1 - byTarget) * (1 - mPaths.chance(target, nowMillis));
+    public double lossProbability(Endpoint target, long nowMillis) {
+        double bout = failingProbability(target, nowMillis);
+        double byTarget = bout * mRates.failureRateWhenFailing() + (1 - bout) * mRates.failureRateWhenHealthy();
+        return 1 - (1 - byTarget) * (1 - mPaths.partitionProbability(target, nowMillis));
     }
 
     /** Takes a request's first try, before it has a target. */
-    public void onFirstTry(RequestKind kind) {
+    public void onFirstAttempt(RequestKind kind) {
         double mustNotRepeat = kind.idempotency().isRepeatable() ? 0 : 1;
         mShareThatMustNotRepeat += (mustNotRepeat - mShareThatMustNotRepeat) * NEWEST_WEIGHT;
     }
 
     /** Returns the share of the service's newest requests that must not repeat. */
-    public double shareThatMustNotRepeat() {
+    public double nonRepeatableShare() {
         return mShareThatMustNotRepeat;
     }
 
     /** Returns the chance that this VM's path to a target is cut, from 0 to 1. */
-    public double chanceOfCut(Endpoint target, long nowMillis) {
-        return mPaths.chance(target, nowMillis);
+    public double partitionProbability(Endpoint target, long nowMillis) {
+        return mPaths.partitionProbability(target, nowMillis);
     }
 
     /** Returns the share of targets that are in a bout at any time, as learned. */
-    public double shareInBout() {
-        return mRates.shareInBout();
+    public double failingShare() {
+        return mRates.failingShare();
     }
 
     /** Returns when the newest work of which the end is known was sent; 0 for never. */
-    public long seenMillis(Endpoint target) {
-        return mBeliefs.seenMillis(target);
+    public long lastObservedMillis(Endpoint target) {
+        return mBeliefs.lastObservedMillis(target);
     }
 
     /** Returns when any VM last had work at a target, as far as this one knows. */
-    public long usedMillis(Endpoint target) {
+    public long lastUsedMillis(Endpoint target) {
         TargetSigns signs = mTargets.get(target);
         return signs == null ? Long.MIN_VALUE / 2 : signs.mUsedMillis;
     }
 
     /** Returns whether the target was full a moment ago. */
-    public boolean isResting(Endpoint target, long nowMillis) {
+    public boolean isCoolingDown(Endpoint target, long nowMillis) {
         TargetSigns signs = mTargets.get(target);
         return signs != null && nowMillis < signs.mRestUntilMillis;
     }
@@ -306,21 +306,21 @@
     }
 
     /** Returns what is new for the other VMs since the last report; empty if nothing is. */
-    public List<TargetWork> takeReport(long nowMillis) {
+    public List<TargetReport> drainReport(long nowMillis) {
         Map<Endpoint, Integer> inFlight = new HashMap<>();
         mSlots.ownReport().forEach(use -> inFlight.put(use.target(), use.inFlight()));
         Set<Endpoint> told = new HashSet<>(mToldInFlight);
         told.addAll(inFlight.keySet());
         told.addAll(mUntoldProofs.keySet());
-        List<TargetWork> report = new ArrayList<>();
+        List<TargetReport> report = new ArrayList<>();
         for (Endpoint target : told) {
             Long proven = mUntoldProofs.get(target);
             TargetSigns signs = mTargets.get(target);
             report.add(
-                    new TargetWork(
+                    new TargetReport(
                             target,
                             inFlight.getOrDefault(target, 0),
-                            signs == null ? 1 : signs.mWork.silence(mRates, nowMillis),
+                            signs == null ? 1 : signs.mWork.silenceRatio(mRates, nowMillis),
                             proven == null ? OptionalLong.empty() : OptionalLong.of(proven)));
         }
         mToldInFlight = Set.copyOf(inFlight.keySet());
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PathBeliefs.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PathStateEstimator.java
@@ -15,7 +15,7 @@
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
  * call costs O(1).
  */
-final class PathBeliefs {
+final class PathStateEstimator {
     /** As rare as a failing path is: with one of a hundred, the second loss in a row decides. */
     private static final double SHARE_CUT = 0.01;
 
@@ -33,7 +33,7 @@
     private record Path(double chance, long seenMillis) {}
 
     /** Returns the chance that the path to a target is cut. */
-    double chance(Endpoint target, long nowMillis) {
+    double partitionProbability(Endpoint target, long nowMillis) {
         Path path = mPaths.get(target);
         if (path == null) {
             return SHARE_CUT;
@@ -47,13 +47,13 @@
      *
      * @param withoutCut how likely that end was if the path is sound
      */
-    void onEnd(Endpoint target, WorkSign sign, double withoutCut, long sentMillis) {
+    void onObservation(Endpoint target, Observation sign, double withoutCut, long sentMillis) {
         Path path = mPaths.get(target);
         if (path != null && sentMillis < path.seenMillis()) {
             return;
         }
-        double before = chance(target, sentMillis);
-        double ifCut = sign.cameBack() ? ANSWERED_WHEN_CUT : 1 - ANSWERED_WHEN_CUT;
+        double before = partitionProbability(target, sentMillis);
+        double ifCut = sign.hasResponse() ? ANSWERED_WHEN_CUT : 1 - ANSWERED_WHEN_CUT;
         double odds = before / (1 - before) * ifCut / withoutCut;
         mPaths.put(target, new Path(Math.min(MOST_CHANCE, odds / (1 + odds)), sentMillis));
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/UnansweredWork.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PendingAttempts.java
@@ -11,7 +11,7 @@
  * <p>Not safe for use by several threads. Each call costs O(pieces of work in flight at the
  * target), which its slots bound.
  */
-final class UnansweredWork {
+final class PendingAttempts {
     /**
      * How fast silence speaks against a target: one in eleven sound answers takes longer than is
      * unusual. From times to answer with a logarithmic standard deviation of 0.8, of which the
@@ -75,9 +75,9 @@
      * Returns how many times as likely this silence is in a bout as at a sound target; 1 while
      * nothing is unanswered.
      */
-    double silence(BoutRates rates, long nowMillis) {
-        double lost = rates.failedInBout() * rates.silentInBout();
-        double answered = 1 - rates.failedInBout();
+    double silenceRatio(FailureModel rates, long nowMillis) {
+        double lost = rates.failureRateWhenFailing() * rates.silentShareWhenFailing();
+        double answered = 1 - rates.failureRateWhenFailing();
         double ratio = 1;
         for (Work work : mWork.values()) {
             double sound = work.soundShare(nowMillis);
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLimits.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLimits.java
@@ -19,7 +19,7 @@
         int slots = service.targets().size() * service.slotsPerTarget();
         int slotsPerVm = Math.max(1, slots / Math.max(1, service.cellSize()));
         int capacity = Math.max(LEAST_CAPACITY, ENTRIES_PER_SLOT * slotsPerVm);
-        int bulkySlots = (int) (slotsPerVm * Balancer.bulkyShare(service.kinds()));
+        int bulkySlots = (int) (slotsPerVm * LoadBalancer.bulkyShare(service.kinds()));
         return new QueueLimits(capacity, capacity / 2, Math.max(1, bulkySlots / 2));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Waiting.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueuedEntry.java
@@ -7,9 +7,9 @@
  * @param sequence grows with each entry of the queue
  * @param <T> what the caller needs to go on with the request
  */
-record Waiting<T>(QueueEntry<T> entry, long sequence) implements Comparable<Waiting<T>> {
+record QueuedEntry<T>(QueueEntry<T> entry, long sequence) implements Comparable<QueuedEntry<T>> {
     @Override
-    public int compareTo(Waiting<T> other) {
+    public int compareTo(QueuedEntry<T> other) {
         int byStart = Long.compare(entry.latestStartMillis(), other.entry.latestStartMillis());
         return byStart != 0 ? byStart : Long.compare(sequence, other.sequence);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RateLimiter.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RateLimiter.java
@@ -37,7 +37,7 @@
      * @param nowMillis the time, in milliseconds
      * @return empty if it may go on; else when there is a token, in milliseconds from now
      */
-    public OptionalLong refusal(
+    public OptionalLong tryAcquire(
             String customer, ServiceId service, RequestKind kind, long nowMillis) {
         if (!(kind.ratePerSecond() > 0)) {
             return OptionalLong.empty();
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RefusalReason.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RefusalReason.java
@@ -9,5 +9,5 @@
     /** By the measured rate no slot frees in time. */
     TOO_LATE,
     /** It waited as long as its kind's patience or its deadline allows. */
-    WAITED_OUT
+    WAIT_TIMED_OUT
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryAfter.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryAfterPolicy.java
@@ -3,14 +3,14 @@
 import java.util.random.RandomGenerator;
 
 /** Tells refused callers when to come back: when there may be room, and not all at once. */
-final class RetryAfter {
+final class RetryAfterPolicy {
     private static final long FLOOR_MILLIS = 1_000;
     private static final long CEILING_MILLIS = 60_000;
     private static final double JITTER_SHARE = 0.5;
 
     private final RandomGenerator mRandom;
 
-    RetryAfter(RandomGenerator random) {
+    RetryAfterPolicy(RandomGenerator random) {
         mRandom = random;
     }
 
@@ -22,7 +22,7 @@
      *
      * @param waitMillis when there may be room, in milliseconds from now
      */
-    long millis(long waitMillis) {
+    long delayMillis(long waitMillis) {
         long base = Math.min(CEILING_MILLIS, Math.max(FLOOR_MILLIS, waitMillis));
         return base + (long) (base * JITTER_SHARE * mRandom.nextDouble());
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
@@ -27,7 +27,7 @@
     private long mNewestBucket = Long.MIN_VALUE;
 
     /** Takes a first try, which earns its kind's share of a further try. */
-    public void onFirstTry(RequestKind kind, long nowMillis) {
+    public void onFirstAttempt(RequestKind kind, long nowMillis) {
         mEarned[bucketAt(nowMillis)] += kind.retryShare();
     }
 
@@ -38,7 +38,7 @@
      * left when targets begin to refuse: a read that is lost may be asked for again, a lock that is
      * refused keeps somebody from going on. Reads leave a part to requests that must not repeat.
      */
-    public boolean hasLeft(RequestKind kind, long nowMillis) {
+    public boolean hasRemaining(RequestKind kind, long nowMillis) {
         bucketAt(nowMillis);
         double earned = 0;
         int spent = 0;
@@ -51,7 +51,7 @@
     }
 
     /** Spends a further try. */
-    public void onFurtherTry(long nowMillis) {
+    public void onExtraAttempt(long nowMillis) {
         mSpent[bucketAt(nowMillis)]++;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryDecision.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryDecision.java
@@ -9,7 +9,7 @@
      *
      * @param target the target
      */
-    record Go(Endpoint target) implements RetryDecision {}
+    record Retry(Endpoint target) implements RetryDecision {}
 
     /**
      * It isn't tried again: the caller gets its final answer at once.
@@ -21,19 +21,19 @@
     /** Why a request isn't tried again. */
     enum StopReason {
         /** Nobody waits for the answer. */
-        NOT_WANTED,
+        CALLER_GONE,
         /** The kind allows no further tries. */
-        KIND_FORBIDS,
+        NOT_RETRYABLE,
         /** A try may have run, and the kind must not run twice. */
         MAY_HAVE_RUN,
         /** It was tried as often as any request may be. */
-        TRIES_USED_UP,
+        ATTEMPTS_EXHAUSTED,
         /** No answer would come before the deadline. */
         TOO_LATE,
         /** Requests wait for slots, so that a further try would add to an overload. */
         OVERLOADED,
         /** The service's further tries are spent. */
-        BUDGET_SPENT,
+        BUDGET_EXHAUSTED,
         /** No other target has a free slot. */
         NO_TARGET
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
@@ -1,7 +1,7 @@
 package org.dahliapass.decisions.traffic;
 
 import java.util.Optional;
-import org.dahliapass.decisions.traffic.RetryDecision.Go;
+import org.dahliapass.decisions.traffic.RetryDecision.Retry;
 import org.dahliapass.decisions.traffic.RetryDecision.Stop;
 import org.dahliapass.decisions.traffic.RetryDecision.StopReason;
 import org.dahliapass.model.Endpoint;
@@ -16,9 +16,9 @@
     private static final int MOST_TRIES = 3;
 
     private final RetryBudget mBudget;
-    private final Balancer mBalancer;
+    private final LoadBalancer mBalancer;
     private final SlotTable mSlots;
-    private final ServiceTimes mTimes;
+    private final ServiceTimeEstimator mTimes;
 
     /**
      * Joins what a decision needs.
@@ -28,7 +28,7 @@
      * @param slots the slots of the service
      * @param times how long answers take
      */
-    public RetryPolicy(RetryBudget budget, Balancer balancer, SlotTable slots, ServiceTimes times) {
+    public RetryPolicy(RetryBudget budget, LoadBalancer balancer, SlotTable slots, ServiceTimeEstimator times) {
         mBudget = budget;
         mBalancer = balancer;
         mSlots = slots;
@@ -42,28 +42,28 @@
      * @param overloaded whether requests of the service wait for slots
      * @param nowMillis the time, in milliseconds
      */
-    public RetryDecision decide(FailedTry failed, boolean overloaded, long nowMillis) {
+    public RetryDecision decide(FailedAttempt failed, boolean overloaded, long nowMillis) {
         Optional<StopReason> forbidden = forbidden(failed);
         if (forbidden.isPresent()) {
             return new Stop(forbidden.get());
         }
-        long typicalMillis = Math.max(1, mTimes.typicalMillis(failed.kind()));
+        long typicalMillis = Math.max(1, mTimes.meanMillis(failed.kind()));
         if (failed.deadlineMillis() - nowMillis < typicalMillis) {
             return new Stop(StopReason.TOO_LATE);
         }
         if (overloaded) {
             return new Stop(StopReason.OVERLOADED);
         }
-        if (!mBudget.hasLeft(failed.kind(), nowMillis)) {
-            return new Stop(StopReason.BUDGET_SPENT);
+        if (!mBudget.hasRemaining(failed.kind(), nowMillis)) {
+            return new Stop(StopReason.BUDGET_EXHAUSTED);
         }
-        Optional<Endpoint> target = mBalancer.pickAgain(failed.kind(), failed.tried(), nowMillis);
+        Optional<Endpoint> target = mBalancer.pickForRetry(failed.kind(), failed.tried(), nowMillis);
         if (target.isEmpty()) {
             return new Stop(StopReason.NO_TARGET);
         }
-        mBudget.onFurtherTry(nowMillis);
-        mSlots.onStarted(target.get(), failed.kind().bulky());
-        return new Go(target.get());
+        mBudget.onExtraAttempt(nowMillis);
+        mSlots.acquire(target.get(), failed.kind().bulky());
+        return new Retry(target.get());
     }
 
     /**
@@ -72,19 +72,19 @@
      * <p>Guards against a request that runs twice: the first target worked on it and only its
      * answer was lost. A guarded kind goes on only if every try is proved not to have run.
      */
-    private static Optional<StopReason> forbidden(FailedTry failed) {
-        if (!failed.failure().isAnswerWanted()) {
-            return Optional.of(StopReason.NOT_WANTED);
+    private static Optional<StopReason> forbidden(FailedAttempt failed) {
+        if (!failed.failure().isCallerWaiting()) {
+            return Optional.of(StopReason.CALLER_GONE);
         }
         boolean mayHaveRun = failed.mayHaveRun() || failed.failure().mayHaveRun();
         if (mayHaveRun && !failed.kind().idempotency().isRepeatable()) {
             return Optional.of(StopReason.MAY_HAVE_RUN);
         }
         if (!(failed.kind().retryShare() > 0)) {
-            return Optional.of(StopReason.KIND_FORBIDS);
+            return Optional.of(StopReason.NOT_RETRYABLE);
         }
-        if (failed.tries() >= MOST_TRIES) {
-            return Optional.of(StopReason.TRIES_USED_UP);
+        if (failed.attempts() >= MOST_TRIES) {
+            return Optional.of(StopReason.ATTEMPTS_EXHAUSTED);
         }
         return Optional.empty();
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimes.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimeEstimator.java
@@ -11,7 +11,7 @@
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
  * call costs O(1).
  */
-public final class ServiceTimes {
+public final class ServiceTimeEstimator {
     /** The newest time's weight in a moving mean: about the last ten tries count. */
     private static final double NEWEST_WEIGHT = 0.1;
 
@@ -31,7 +31,7 @@
     private long mLastChangeMillis;
 
     /** Takes the start of a try: from then on the next end is waited for. */
-    public void onTryStarted(long nowMillis) {
+    public void onAttemptStarted(long nowMillis) {
         mLastChangeMillis = nowMillis;
     }
 
@@ -43,7 +43,7 @@
      * @param answered whether a whole answer came; else it says nothing of the kind's latency
      * @param nowMillis the time, in milliseconds
      */
-    public void onTryEnded(RequestKind kind, long tookMillis, boolean answered, long nowMillis) {
+    public void onAttemptEnded(RequestKind kind, long tookMillis, boolean answered, long nowMillis) {
         mLastChangeMillis = nowMillis;
         mHoldByLane.computeIfAbsent(holdLane(kind), unused -> new MovingMean()).add(tookMillis);
         if (answered) {
@@ -52,7 +52,7 @@
     }
 
     /** Returns the mean time of a kind's latest answers in milliseconds; 0 while none is known. */
-    public long typicalMillis(RequestKind kind) {
+    public long meanMillis(RequestKind kind) {
         MovingMean mean = mAnswerByKind.get(kind.name());
         return mean == null ? 0 : Math.round(mean.mMean);
     }
@@ -63,8 +63,8 @@
      * <p>Times to answer are skewed: with the spread seen of work of this sort, a logarithmic
      * standard deviation of 0.8, about 7 in 100 sound answers take longer than this.
      */
-    public long unusualMillis(RequestKind kind) {
-        long typical = typicalMillis(kind);
+    public long overdueAfterMillis(RequestKind kind) {
+        long typical = meanMillis(kind);
         long known = typical == 0 ? kind.lateAfter().toMillis() / 2 : typical;
         return Math.max(LEAST_UNUSUAL_MILLIS, Math.round(known * UNUSUAL_FACTOR));
     }
@@ -81,16 +81,16 @@
      * @param nowMillis the time, in milliseconds
      * @return slots a millisecond; infinite while nothing is known
      */
-    double slotsFreedPerMilli(SlotTable slots, long nowMillis) {
-        int bulky = slots.ownBulkyTotal();
+    double slotReleasesPerMilli(SlotTable slots, long nowMillis) {
+        int bulky = slots.ownBulkyInFlightTotal();
         double rate =
-                rate(bulky, QueueLane.BULKY) + rate(slots.ownTotal() - bulky, QueueLane.SHORT);
+                rate(bulky, QueueLane.BULKY) + rate(slots.ownInFlightTotal() - bulky, QueueLane.SHORT);
         return Math.min(rate, stallRate(nowMillis));
     }
 
     /** Estimates as {@code slotsFreedPerMilli}, for the slots that bulky requests hold. */
-    double bulkySlotsFreedPerMilli(SlotTable slots, long nowMillis) {
-        return Math.min(rate(slots.ownBulkyTotal(), QueueLane.BULKY), stallRate(nowMillis));
+    double bulkySlotReleasesPerMilli(SlotTable slots, long nowMillis) {
+        return Math.min(rate(slots.ownBulkyInFlightTotal(), QueueLane.BULKY), stallRate(nowMillis));
     }
 
     /** Guarded and short requests share their slots, so they share a mean. */
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/SlotTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/SlotTable.java
@@ -82,7 +82,7 @@
     }
 
     /** Takes a slot for a request of this VM. */
-    public void onStarted(Endpoint target, boolean bulky) {
+    public void acquire(Endpoint target, boolean bulky) {
         OwnUse use = mOwn.computeIfAbsent(target, unused -> new OwnUse());
         use.mInFlight++;
         mOwnTotal++;
@@ -97,7 +97,7 @@
      *
      * @throws IllegalStateException if no such request is in flight: a slot was given back twice
      */
-    public void onEnded(Endpoint target, boolean bulky) {
+    public void release(Endpoint target, boolean bulky) {
         OwnUse use = mOwn.get(target);
         if (use == null || use.mInFlight == 0 || (bulky && use.mBulky == 0)) {
             throw new IllegalStateException(
@@ -115,24 +115,24 @@
     }
 
     /** Returns how many of this VM's requests are in flight at a target. */
-    public int own(Endpoint target) {
+    public int ownInFlight(Endpoint target) {
         OwnUse use = mOwn.get(target);
         return use == null ? 0 : use.mInFlight;
     }
 
     /** Returns how many of this VM's bulky requests are in flight at a target. */
-    public int ownBulky(Endpoint target) {
+    public int ownBulkyInFlight(Endpoint target) {
         OwnUse use = mOwn.get(target);
         return use == null ? 0 : use.mBulky;
     }
 
     /** Returns how many of this VM's requests are in flight at all targets. */
-    public int ownTotal() {
+    public int ownInFlightTotal() {
         return mOwnTotal;
     }
 
     /** Returns how many of this VM's bulky requests are in flight at all targets. */
-    public int ownBulkyTotal() {
+    public int ownBulkyInFlightTotal() {
         return mOwnBulkyTotal;
     }
 
@@ -147,7 +147,7 @@
     }
 
     /** Estimates how many requests of the cell's other VMs are in flight at a target. */
-    public double others(Endpoint target, long nowMillis) {
+    public double peersInFlight(Endpoint target, long nowMillis) {
         Map<VmIdentity, PeerReport> reports = mReports.get(target);
         if (reports == null) {
             return 0;
@@ -172,8 +172,8 @@
      * @param target the target
      * @param usableSlots the slots of the target that the cell may use now
      */
-    public int ownFree(Endpoint target, int usableSlots) {
-        return Math.max(0, share(target, usableSlots) - own(target));
+    public int ownFreeSlots(Endpoint target, int usableSlots) {
+        return Math.max(0, ownShare(target, usableSlots) - ownInFlight(target));
     }
 
     /**
@@ -183,13 +183,13 @@
      * @param usableSlots the slots of the target that the cell may use now
      * @param nowMillis the time, in milliseconds
      */
-    public int unused(Endpoint target, int usableSlots, long nowMillis) {
-        int others = (int) Math.round(others(target, nowMillis));
-        return Math.max(0, usableSlots - own(target) - others);
+    public int unusedSlots(Endpoint target, int usableSlots, long nowMillis) {
+        int others = (int) Math.round(peersInFlight(target, nowMillis));
+        return Math.max(0, usableSlots - ownInFlight(target) - others);
     }
 
     /** Returns how many of a target's usable slots belong to this VM. */
-    public int share(Endpoint target, int usableSlots) {
+    public int ownShare(Endpoint target, int usableSlots) {
         int whole = usableSlots / mCellSize;
         int rest = usableSlots % mCellSize;
         // All VMs must agree on it, and a record's own hash code may differ between runtimes.
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Placement.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetSelector.java
@@ -12,12 +12,12 @@
  *
  * <p>A request goes where the chance of its loss is least, and among near equals where the load is
  * less. A target that failed is left alone until waiting for better ones costs more than the doubt,
- * or until too few targets are in use ({@link UseFloor}).
+ * or until too few targets are in use ({@link FloorSharePolicy}).
  *
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. A
  * choice costs O(targets x VMs that report).
  */
-final class Placement {
+final class TargetSelector {
     /**
      * A target that is rather in a bout than not gets nothing while enough others are left: waiting
      * a while for another one costs less than a lost request, but a lower limit waits too long in a
@@ -62,9 +62,9 @@
 
     private final String mZone;
     private final SlotTable mSlots;
-    private final WorkEvidence mEvidence;
+    private final PassiveFailureDetector mEvidence;
     private final RandomGenerator mRandom;
-    private final UseFloor mFloor;
+    private final FloorSharePolicy mFloor;
 
     /**
      * Joins what a choice needs.
@@ -72,14 +72,14 @@
      * @param zone this VM's availability zone
      * @param floorShare the share of the sound targets that must stay in use; 0 for none
      */
-    Placement(
+    TargetSelector(
             String zone,
             double floorShare,
             SlotTable slots,
-            WorkEvidence evidence,
+            PassiveFailureDetector evidence,
             RandomGenerator random) {
         mZone = zone;
-        mFloor = new UseFloor(floorShare, evidence);
+        mFloor = new FloorSharePolicy(floorShare, evidence);
         mSlots = slots;
         mEvidence = evidence;
         mRandom = random;
@@ -92,11 +92,11 @@
      * @param all all targets of the service
      * @return the target; empty if waiting for another one is better
      */
-    Optional<Endpoint> choose(
+    Optional<Endpoint> select(
             RequestKind kind, List<WeightedTarget> free, List<WeightedTarget> all, long nowMillis) {
         List<WeightedTarget> best = nearest(kind, acceptable(free, all, nowMillis));
         List<WeightedTarget> targets =
-                mFloor.among(best, nearest(kind, free), nearest(kind, all), nowMillis);
+                mFloor.select(best, nearest(kind, free), nearest(kind, all), nowMillis);
         return draw(HedgePolicy.mayHedge(kind), targets, nowMillis);
     }
 
@@ -104,9 +104,9 @@
      * Chooses a target for a further try, which can't wait: without a target it ends as a failure
      * or a refusal, so a doubtful target is better than none.
      */
-    Optional<Endpoint> chooseAgain(
+    Optional<Endpoint> selectForRetry(
             RequestKind kind, List<WeightedTarget> free, List<WeightedTarget> all, long nowMillis) {
-        Optional<Endpoint> chosen = choose(kind, free, all, nowMillis);
+        Optional<Endpoint> chosen = select(kind, free, all, nowMillis);
         return chosen.isPresent() ? chosen : draw(HedgePolicy.mayHedge(kind), free, nowMillis);
     }
 
@@ -138,15 +138,15 @@
         acceptable.removeIf(target -> !isAcceptable(target, nowMillis));
         List<WeightedTarget> rested =
                 acceptable.stream()
-                        .filter(target -> !mEvidence.isResting(target.endpoint(), nowMillis))
+                        .filter(target -> !mEvidence.isCoolingDown(target.endpoint(), nowMillis))
                         .toList();
         return rested.isEmpty() ? acceptable : rested;
     }
 
     private boolean isAcceptable(WeightedTarget target, long nowMillis) {
         Endpoint endpoint = target.endpoint();
-        return mEvidence.chanceOfBout(endpoint, nowMillis) <= MOST_CHANCE
-                && mEvidence.chanceOfCut(endpoint, nowMillis) <= MOST_CHANCE;
+        return mEvidence.failingProbability(endpoint, nowMillis) <= MOST_CHANCE
+                && mEvidence.partitionProbability(endpoint, nowMillis) <= MOST_CHANCE;
     }
 
     /**
@@ -173,15 +173,15 @@
 
     private double cost(boolean mayRepeat, WeightedTarget target, long nowMillis) {
         Endpoint endpoint = target.endpoint();
-        double inFlight = mSlots.own(endpoint) + mSlots.others(endpoint, nowMillis);
+        double inFlight = mSlots.ownInFlight(endpoint) + mSlots.peersInFlight(endpoint, nowMillis);
         double load = inFlight / mSlots.slotsPerTarget() / target.weight();
-        double loss = mEvidence.chanceOfLoss(endpoint, nowMillis);
+        double loss = mEvidence.lossProbability(endpoint, nowMillis);
         if (!mayRepeat) {
             return loss + FULL_LOAD_COST * load;
         }
-        double locks = mEvidence.shareThatMustNotRepeat();
+        double locks = mEvidence.nonRepeatableShare();
         double lossCost = 1 - (1 - LOSS_COST_OF_REPEATABLE) * locks;
-        long age = nowMillis - mEvidence.seenMillis(endpoint);
+        long age = nowMillis - mEvidence.lastObservedMillis(endpoint);
         double news = NEWS_VALUE * locks * (1 - Math.exp(-age / NEWS_AGE_MILLIS));
         return lossCost * loss + FULL_LOAD_COST * load - news;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/BoutBeliefs.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetStateEstimator.java
@@ -18,7 +18,7 @@
  * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
  * call costs O(1).
  */
-final class BoutBeliefs {
+final class TargetStateEstimator {
     /** From this chance on a bout is counted as begun, for the rates. */
     private static final double SURE = 0.9;
 
@@ -33,7 +33,7 @@
     /** Longer gaps between two pieces of work say little about the time between them. */
     private static final long LONGEST_GAP_MILLIS = 2_000;
 
-    private final BoutRates mRates;
+    private final FailureModel mRates;
     private final Map<Endpoint, Belief> mBeliefs = new HashMap<>();
 
     /** What is known of one target. */
@@ -51,7 +51,7 @@
         private int mAnsweredSince;
     }
 
-    BoutBeliefs(BoutRates rates) {
+    TargetStateEstimator(FailureModel rates) {
         mRates = rates;
     }
 
@@ -61,7 +61,7 @@
      * @param ratio how many times as likely that end is in a bout as at a sound target
      * @param sentMillis when the work was sent, which is the moment that its end speaks of
      */
-    void onEnd(Endpoint target, WorkSign sign, double ratio, long sentMillis) {
+    void onObservation(Endpoint target, Observation sign, double ratio, long sentMillis) {
         Belief belief = mBeliefs.computeIfAbsent(target, unused -> newBelief(sentMillis));
         boolean older = sentMillis < belief.mSeenMillis;
         if (older && sign.isFailure() != belief.mSeenFailing) {
@@ -74,7 +74,7 @@
         belief.mSeenMillis = Math.max(belief.mSeenMillis, sentMillis);
         belief.mSeenFailing = sign.isFailure();
         if (sign.isFailure()) {
-            countFailure(belief, !sign.cameBack(), sentMillis);
+            countFailure(belief, !sign.hasResponse(), sentMillis);
         } else {
             countAnswer(belief, gap, sentMillis);
         }
@@ -82,7 +82,7 @@
 
     private Belief newBelief(long sentMillis) {
         Belief belief = new Belief();
-        belief.mChance = mRates.shareInBout();
+        belief.mChance = mRates.failingShare();
         belief.mSeenMillis = sentMillis;
         belief.mLastProofMillis = sentMillis;
         return belief;
@@ -121,7 +121,7 @@
             closeCounts(belief, sentMillis);
         }
         if (!belief.mInBout) {
-            mRates.onSoundTime(Math.min(LONGEST_GAP_MILLIS, gap));
+            mRates.onHealthyTime(Math.min(LONGEST_GAP_MILLIS, gap));
         }
         belief.mLastProofMillis = sentMillis;
     }
@@ -130,14 +130,14 @@
     private void closeCounts(Belief belief, long sentMillis) {
         if (belief.mInBout) {
             long until = (belief.mLastFailureMillis + sentMillis) / 2;
-            mRates.onBout(
+            mRates.onFailurePeriod(
                     Math.max(1, until - belief.mBoutFromMillis),
                     belief.mFailed,
                     belief.mSilent,
                     belief.mWork);
-            mRates.onSoundWork(0, belief.mAnsweredSince);
+            mRates.onHealthyAttempts(0, belief.mAnsweredSince);
         } else {
-            mRates.onSoundWork(belief.mFailed, belief.mWork + belief.mAnsweredSince);
+            mRates.onHealthyAttempts(belief.mFailed, belief.mWork + belief.mAnsweredSince);
         }
         belief.mInBout = false;
         belief.mFailed = 0;
@@ -147,13 +147,13 @@
     }
 
     /** Returns the chance that a target is in a bout, by the ends of its work alone. */
-    double chance(Endpoint target, long nowMillis) {
+    double failingProbability(Endpoint target, long nowMillis) {
         Belief belief = mBeliefs.get(target);
-        return belief == null ? mRates.shareInBout() : drifted(belief, nowMillis);
+        return belief == null ? mRates.failingShare() : drifted(belief, nowMillis);
     }
 
     /** Returns when the newest work of which the end is known was sent; 0 for never. */
-    long seenMillis(Endpoint target) {
+    long lastObservedMillis(Endpoint target) {
         Belief belief = mBeliefs.get(target);
         return belief == null ? 0 : belief.mSeenMillis;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ThreadLateness.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ThreadOverloadDetector.java
@@ -11,7 +11,7 @@
  *
  * <p>Not safe for use by several threads: the thread that is watched owns it.
  */
-public final class ThreadLateness {
+public final class ThreadOverloadDetector {
     /**
      * A check that is this late, in milliseconds, found a line: a tenth of the shortest objective
      * known is 60, and a single pause of the garbage collector is under 50.
@@ -33,7 +33,7 @@
      * @param dueMillis when it shall run
      * @param nowMillis the time; the thread is taken to be on time where no check was due before
      */
-    public void onPlanned(long dueMillis, long nowMillis) {
+    public void onScheduled(long dueMillis, long nowMillis) {
         if (mDueMillis == Long.MAX_VALUE) {
             mOnTimeMillis = nowMillis;
         }
@@ -61,7 +61,7 @@
     /**
      * Returns whether what comes now would wait in a line that the thread doesn't catch up with.
      */
-    public boolean isBehind(long nowMillis) {
+    public boolean isOverloaded(long nowMillis) {
         return mDueMillis != Long.MAX_VALUE && nowMillis - mOnTimeMillis > BEHIND_MILLIS;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
@@ -9,10 +9,10 @@
  * @param instance the target
  * @param zone the name of its availability zone
  * @param weight its share of work against the other targets; 0 for no new work
- * @param mayCarryGuarded whether requests that run at most once may go there
+ * @param acceptsGuarded whether requests that run at most once may go there
  */
 public record WeightedTarget(
-        TargetInstance instance, String zone, double weight, boolean mayCarryGuarded) {
+        TargetInstance instance, String zone, double weight, boolean acceptsGuarded) {
     /** Returns where the target is reached. */
     public Endpoint endpoint() {
         return instance.endpoint();
--- a/decisions/src/test/java/org/dahliapass/decisions/poison/TurnsTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/poison/DigestLocksTest.java
@@ -9,35 +9,35 @@
 import org.dahliapass.model.RequestDigest;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Turns}. */
-public final class TurnsTest {
+/** Tests of {@link DigestLocks}. */
+public final class DigestLocksTest {
     private static final RequestDigest DIGEST = new RequestDigest(1, 2);
 
     /** Guards against a copy that ends a second target while the first one still runs. */
     @Test
     public void nextOneGoesWhenTheTurnIsGivenBack() {
-        Turns turns = new Turns();
+        DigestLocks turns = new DigestLocks();
         List<String> gone = new ArrayList<>();
-        turns.take(DIGEST);
-        assertTrue(turns.isTaken(DIGEST));
-        assertTrue(turns.await(DIGEST, () -> gone.add("next")));
-        assertFalse(turns.isTaken(new RequestDigest(3, 4)));
-        turns.giveBack(DIGEST);
+        turns.acquire(DIGEST);
+        assertTrue(turns.isHeld(DIGEST));
+        assertTrue(turns.addWaiter(DIGEST, () -> gone.add("next")));
+        assertFalse(turns.isHeld(new RequestDigest(3, 4)));
+        turns.release(DIGEST);
         assertEquals(gone, List.of("next"));
-        assertFalse(turns.isTaken(DIGEST));
+        assertFalse(turns.isHeld(DIGEST));
     }
 
     /** Guards against an attacker whose copies fill the memory of a VM. */
     @Test
     public void waitersAreBounded() {
-        Turns turns = new Turns();
-        turns.take(DIGEST);
+        DigestLocks turns = new DigestLocks();
+        turns.acquire(DIGEST);
         int waiting = 0;
-        while (turns.await(DIGEST, () -> {})) {
+        while (turns.addWaiter(DIGEST, () -> {})) {
             waiting++;
             assertTrue(waiting <= 256, "More than 256 wait.");
         }
-        turns.giveBack(DIGEST);
-        assertTrue(turns.await(DIGEST, () -> {}));
+        turns.release(DIGEST);
+        assertTrue(turns.addWaiter(DIGEST, () -> {}));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/AdmissionQueueTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/AdmissionQueueTest.java
@@ -24,15 +24,15 @@
     private static final int CAPACITY_PER_CUSTOMER = 20;
 
     private SlotTable mSlots;
-    private ServiceTimes mTimes;
-    private Balancer mBalancer;
+    private ServiceTimeEstimator mTimes;
+    private LoadBalancer mBalancer;
     private AdmissionQueue<String> mQueue;
 
     @BeforeMethod
     public void startEmpty() {
         mSlots = new SlotTable(3, 1_000);
-        mTimes = new ServiceTimes();
-        mBalancer = new Balancer(mSlots, 0.5, new SplittableRandom(1));
+        mTimes = new ServiceTimeEstimator();
+        mBalancer = new LoadBalancer(mSlots, 0.5, new SplittableRandom(1));
         mBalancer.onTargets(Kinds.targets(1));
         QueueLimits limits = new QueueLimits(50, CAPACITY_PER_CUSTOMER, 2);
         mQueue = new AdmissionQueue<>(limits, mSlots, mBalancer, mTimes, new SplittableRandom(2));
@@ -43,9 +43,9 @@
         QueueEntry<String> first = fillSlots();
         QueueEntry<String> second = entry("b", Kinds.LISTING, 0);
         assertTrue(mQueue.offer(second, 0) instanceof Queued);
-        QueueStep<String> step = end(first, 0, 50);
+        DispatchResult<String> step = end(first, 0, 50);
         assertEquals(step.dispatched().get(0).entry(), second);
-        assertEquals(mSlots.ownTotal(), 3);
+        assertEquals(mSlots.ownInFlightTotal(), 3);
     }
 
     @Test
@@ -58,7 +58,7 @@
     // with 1 s a request, 3 slots and 1 s of patience, the third in the queue is too late.
     @Test
     public void refusedAtOnceWhenNoSlotFreesInTime() {
-        mTimes.onTryEnded(Kinds.LOOKUP, 1_000, false, 0);
+        mTimes.onAttemptEnded(Kinds.LOOKUP, 1_000, false, 0);
         fillSlots();
         assertTrue(mQueue.offer(entry("a", Kinds.LOOKUP, 0), 0) instanceof Queued);
         assertTrue(mQueue.offer(entry("a", Kinds.LOOKUP, 0), 0) instanceof Queued);
@@ -71,7 +71,7 @@
     // are queued in vain. What counts is that nothing has come free for five seconds.
     @Test
     public void refusedAtOnceWhileTargetsHang() {
-        mTimes.onTryEnded(Kinds.LOOKUP, 10, true, 0);
+        mTimes.onAttemptEnded(Kinds.LOOKUP, 10, true, 0);
         fillSlots();
         QueueEntry<String> late = entry("a", Kinds.LOOKUP, 5_000);
         assertRefused(mQueue.offer(late, 5_000), RefusalReason.TOO_LATE);
@@ -106,9 +106,9 @@
         mQueue.offer(waiting, 0);
         assertEquals(mQueue.nextExpiryMillis().orElseThrow(), 1_000);
         assertTrue(mQueue.expire(999).isEmpty());
-        Expired<String> expired = mQueue.expire(1_000).get(0);
+        ExpiredEntry<String> expired = mQueue.expire(1_000).get(0);
         assertEquals(expired.entry(), waiting);
-        assertRefused(expired.refusal(), RefusalReason.WAITED_OUT);
+        assertRefused(expired.refusal(), RefusalReason.WAIT_TIMED_OUT);
     }
 
     @Test
@@ -121,7 +121,7 @@
         mQueue.offer(entry("b", Kinds.EXTRACT, 0), 0);
         StringBuilder order = new StringBuilder();
         for (int turn = 0; turn < 8; turn++) {
-            Dispatched<String> next = end(running.poll(), 0, 10).dispatched().get(0);
+            DispatchedEntry<String> next = end(running.poll(), 0, 10).dispatched().get(0);
             order.append(next.entry().kind().name().charAt(0));
             running.add(next.entry());
         }
@@ -149,29 +149,29 @@
 
     @Test
     public void eachEntryEndsOnceInTimeAndInPlace() {
-        checkRuns(QueueRun.Fault.NONE);
+        checkRuns(QueueSimulation.Fault.NONE);
     }
 
     @DataProvider
     public static Object[][] plantedFaults() {
         return new Object[][] {
-            new Object[] {QueueRun.Fault.EXPIRED_FORGOTTEN, "cancelled a waiting entry"},
-            new Object[] {QueueRun.Fault.STALE_TIME, "dispatched too late"},
-            new Object[] {QueueRun.Fault.EXCLUSION_LOST, "to an excluded target"},
+            new Object[] {QueueSimulation.Fault.EXPIRED_FORGOTTEN, "cancelled a waiting entry"},
+            new Object[] {QueueSimulation.Fault.STALE_TIME, "dispatched too late"},
+            new Object[] {QueueSimulation.Fault.EXCLUSION_LOST, "to an excluded target"},
         };
     }
 
     @Test(dataProvider = "plantedFaults")
-    public void plantedFaultIsFound(QueueRun.Fault fault, String finding) {
+    public void plantedFaultIsFound(QueueSimulation.Fault fault, String finding) {
         AssertionError error = expectThrows(AssertionError.class, () -> checkRuns(fault));
         assertTrue(error.getMessage().contains(finding), error.getMessage());
     }
 
-    private static void checkRuns(QueueRun.Fault fault) {
+    private static void checkRuns(QueueSimulation.Fault fault) {
         qt().withFixedSeed(1)
                 .withExamples(200)
                 .forAll(longs().all())
-                .checkAssert(seed -> new QueueRun(seed, fault).check());
+                .checkAssert(seed -> new QueueSimulation(seed, fault).check());
     }
 
     private int turnsWaitedBesideFlood(String customer) {
@@ -198,8 +198,8 @@
         return last;
     }
 
-    private QueueStep<String> end(QueueEntry<String> entry, long started, long now) {
-        return mQueue.onTryEnded(entry, Kinds.endpoint(0), started, true, now);
+    private DispatchResult<String> end(QueueEntry<String> entry, long started, long now) {
+        return mQueue.onAttemptEnded(entry, Kinds.endpoint(0), started, true, now);
     }
 
     /**
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/ConnectionPlanTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/ConnectionPlanTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import org.dahliapass.decisions.traffic.ConnectionPlan.ConnectionChoice;
-import org.dahliapass.decisions.traffic.ConnectionPlan.ConnectionUse;
+import org.dahliapass.decisions.traffic.ConnectionPlan.ConnectionCounts;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -29,16 +29,16 @@
     public void idleConnectionIsReusedAndElseOneIsOpenedUpToTheLimit() {
         mPlan.onCellSize(100);
         assertEquals(mPlan.limit(), 2);
-        assertEquals(mPlan.choose(new ConnectionUse(1, 1, 0, 0)), ConnectionChoice.REUSE);
-        assertEquals(mPlan.choose(new ConnectionUse(0, 1, 0, 0)), ConnectionChoice.OPEN);
-        assertEquals(mPlan.choose(new ConnectionUse(0, 1, 0, 1)), ConnectionChoice.WAIT);
+        assertEquals(mPlan.choose(new ConnectionCounts(1, 1, 0, 0)), ConnectionChoice.REUSE);
+        assertEquals(mPlan.choose(new ConnectionCounts(0, 1, 0, 0)), ConnectionChoice.OPEN);
+        assertEquals(mPlan.choose(new ConnectionCounts(0, 1, 0, 1)), ConnectionChoice.WAIT);
     }
 
     @Test
     public void oneMoreThanThePeakIsHeldOpenButNoMoreThanSlots() {
-        assertEquals(mPlan.openAhead(new ConnectionUse(0, 0, 0, 0), 0), 1);
-        assertEquals(mPlan.openAhead(new ConnectionUse(0, 1, 0, 0), 1), 1);
-        assertEquals(mPlan.openAhead(new ConnectionUse(0, 1, 1, 0), 1), 0);
-        assertEquals(mPlan.openAhead(new ConnectionUse(0, 0, 0, 0), 9), 3);
+        assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 0, 0, 0), 0), 1);
+        assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 1, 0, 0), 1), 1);
+        assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 1, 1, 0), 1), 0);
+        assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 0, 0, 0), 9), 3);
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/UseFloorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/FloorSharePolicyTest.java
@@ -8,21 +8,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link UseFloor}. */
-public final class UseFloorTest {
+/** Tests of {@link FloorSharePolicy}. */
+public final class FloorSharePolicyTest {
     private static final int TARGETS = 10;
     private static final long NOW = 10_000;
     private static final double FLOOR_SHARE = 0.7;
 
     private final List<WeightedTarget> mTargets = Kinds.targets(TARGETS);
     private final List<WeightedTarget> mBest = mTargets.subList(0, 3);
-    private WorkEvidence mEvidence;
-    private UseFloor mFloor;
+    private PassiveFailureDetector mEvidence;
+    private FloorSharePolicy mFloor;
 
     @BeforeMethod
     public void start() {
-        mEvidence = new WorkEvidence(new ServiceTimes(), new SlotTable(3, 1_000));
-        mFloor = new UseFloor(FLOOR_SHARE, mEvidence);
+        mEvidence = new PassiveFailureDetector(new ServiceTimeEstimator(), new SlotTable(3, 1_000));
+        mFloor = new FloorSharePolicy(FLOOR_SHARE, mEvidence);
     }
 
     /** Nothing else is looked at while as many are in use as there have to be. */
@@ -60,9 +60,9 @@
     /** What another VM has in flight is in use as well. */
     @Test
     public void workOfOtherVmsCounts() {
-        List<TargetWork> report =
+        List<TargetReport> report =
                 mTargets.subList(0, 8).stream()
-                        .map(target -> new TargetWork(target.endpoint(), 1, 1, none()))
+                        .map(target -> new TargetReport(target.endpoint(), 1, 1, none()))
                         .toList();
         mEvidence.onPeerReport("vm-2", report, NOW - 500);
         assertEquals(amongAll(), mBest);
@@ -84,7 +84,7 @@
 
     @Test
     public void withoutAFloorTheBestAreChosenAmong() {
-        mFloor = new UseFloor(0, mEvidence);
+        mFloor = new FloorSharePolicy(0, mEvidence);
         assertEquals(amongAll(), mBest);
     }
 
@@ -93,7 +93,7 @@
     }
 
     private List<WeightedTarget> amongAll() {
-        return mFloor.among(mBest, mTargets, mTargets, NOW);
+        return mFloor.select(mBest, mTargets, mTargets, NOW);
     }
 
     /** Gives work to the targets from one number up to another one. */
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/BalancerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/LoadBalancerTest.java
@@ -17,19 +17,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests {@link Balancer}. */
-public final class BalancerTest {
+/** Tests {@link LoadBalancer}. */
+public final class LoadBalancerTest {
     private static final int SLOTS = 3;
     private static final VmIdentity SELF = new VmIdentity("a", 1);
     private static final VmIdentity PEER = new VmIdentity("b", 1);
 
     private SlotTable mSlots;
-    private Balancer mBalancer;
+    private LoadBalancer mBalancer;
 
     @BeforeMethod
     public void startEmpty() {
         mSlots = new SlotTable(SLOTS, 1_000);
-        mBalancer = new Balancer(mSlots, 0.5, new SplittableRandom(7));
+        mBalancer = new LoadBalancer(mSlots, 0.5, new SplittableRandom(7));
     }
 
     // A target that returns after a fault is buried in work: it is idle, so the least loaded of
@@ -50,11 +50,11 @@
         mBalancer.onTargets(List.of(Kinds.target(0, 1), Kinds.target(1, 0.1)));
         Optional<Endpoint> pick = mBalancer.pick(Kinds.LOOKUP, Set.of(), 0);
         while (pick.isPresent()) {
-            mSlots.onStarted(pick.get(), false);
+            mSlots.acquire(pick.get(), false);
             pick = mBalancer.pick(Kinds.LOOKUP, Set.of(), 0);
         }
-        assertEquals(mSlots.own(Kinds.endpoint(0)), SLOTS);
-        assertEquals(mSlots.own(Kinds.endpoint(1)), 1);
+        assertEquals(mSlots.ownInFlight(Kinds.endpoint(0)), SLOTS);
+        assertEquals(mSlots.ownInFlight(Kinds.endpoint(1)), 1);
     }
 
     @Test
@@ -72,7 +72,7 @@
     @Test
     public void bulkyRequestsLeaveSlotsForShortOnes() {
         mBalancer.onTargets(Kinds.targets(1));
-        mSlots.onStarted(Kinds.endpoint(0), true);
+        mSlots.acquire(Kinds.endpoint(0), true);
         assertTrue(mBalancer.pick(Kinds.EXTRACT, Set.of(), 0).isEmpty());
         assertTrue(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).isPresent());
     }
@@ -84,7 +84,7 @@
         mSlots.onCell(SELF, List.of(PEER));
         mBalancer.onTargets(Kinds.targets(10));
         for (int taken = 0; taken < 15; taken++) {
-            mSlots.onStarted(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow(), false);
+            mSlots.acquire(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow(), false);
         }
         Endpoint lent = mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow();
         mSlots.onPeerInFlight(PEER, lent, 6, 0);
@@ -105,7 +105,7 @@
                     draws[0]++;
                     return random.nextLong();
                 };
-        Balancer balancer = new Balancer(mSlots, 0.5, counting);
+        LoadBalancer balancer = new LoadBalancer(mSlots, 0.5, counting);
         balancer.onTargets(many(372));
         assertTrue(balancer.pick(Kinds.LOOKUP, Set.of(), 0).isPresent());
         assertTrue(draws[0] < 100, draws[0] + " draws, at least one for each compared target");
@@ -127,13 +127,13 @@
         mBalancer.onTargets(many(200));
         for (int number = 0; number < 199; number++) {
             for (int slot = 0; slot < SLOTS; slot++) {
-                mSlots.onStarted(Kinds.endpoint(number), false);
+                mSlots.acquire(Kinds.endpoint(number), false);
             }
         }
         for (int count = 0; count < SLOTS; count++) {
             Endpoint pick = mBalancer.pick(Kinds.SIGN_OFF, Set.of(), 0).orElseThrow();
             assertEquals(pick, Kinds.endpoint(199));
-            mSlots.onStarted(pick, false);
+            mSlots.acquire(pick, false);
         }
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/WorkEvidenceTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/PassiveFailureDetectorTest.java
@@ -12,41 +12,41 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link WorkEvidence}. */
-public final class WorkEvidenceTest {
+/** Tests of {@link PassiveFailureDetector}. */
+public final class PassiveFailureDetectorTest {
     private static final Endpoint TARGET = Kinds.endpoint(0);
     private static final double CLOSE = 1e-9;
 
     private SlotTable mSlots;
-    private WorkEvidence mEvidence;
+    private PassiveFailureDetector mEvidence;
 
     @BeforeMethod
     public void start() {
         mSlots = new SlotTable(3, 1_000);
-        mEvidence = new WorkEvidence(new ServiceTimes(), mSlots);
+        mEvidence = new PassiveFailureDetector(new ServiceTimeEstimator(), mSlots);
     }
 
     @Test
     public void reportNamesWorkInFlightAndNewProofsOnce() {
         begin("first", 0);
-        TargetWork inFlight = mEvidence.takeReport(0).get(0);
+        TargetReport inFlight = mEvidence.drainReport(0).get(0);
         assertEquals(inFlight.inFlight(), 1);
-        assertEquals(inFlight.provenMillis(), OptionalLong.empty());
+        assertEquals(inFlight.lastAnsweredMillis(), OptionalLong.empty());
         end("first", 0, Outcome.SUCCESS, 200);
         assertEquals(
-                mEvidence.takeReport(200),
-                List.of(new TargetWork(TARGET, 0, 1, OptionalLong.of(0))));
-        assertEquals(mEvidence.takeReport(300), List.of());
+                mEvidence.drainReport(200),
+                List.of(new TargetReport(TARGET, 0, 1, OptionalLong.of(0))));
+        assertEquals(mEvidence.drainReport(300), List.of());
     }
 
     /** The other VMs would take the slot for used until the report fades. */
     @Test
     public void reportTellsOnceThatNothingIsInFlightAnyMore() {
         begin("first", 0);
-        mEvidence.takeReport(0);
+        mEvidence.drainReport(0);
         end("first", 0, Outcome.CUT_SHORT, 200);
-        assertEquals(mEvidence.takeReport(200).get(0).inFlight(), 0);
-        assertEquals(mEvidence.takeReport(300), List.of());
+        assertEquals(mEvidence.drainReport(200).get(0).inFlight(), 0);
+        assertEquals(mEvidence.drainReport(300), List.of());
     }
 
     /**
@@ -58,13 +58,13 @@
     public void silenceSpeaksAgainstTheTargetAndIsReported() {
         begin("proof", 0);
         end("proof", 0, Outcome.SUCCESS, 100);
-        double before = mEvidence.chanceOfBout(TARGET, 300);
+        double before = mEvidence.failingProbability(TARGET, 300);
         begin("first", 100);
-        double early = mEvidence.takeReport(150).get(0).silence();
-        double unusual = mEvidence.takeReport(2_300).get(0).silence();
+        double early = mEvidence.drainReport(150).get(0).silenceRatio();
+        double unusual = mEvidence.drainReport(2_300).get(0).silenceRatio();
         assertTrue(early < 1.1, "early: " + early);
         assertTrue(unusual > 3, "unusual: " + unusual);
-        assertTrue(mEvidence.chanceOfBout(TARGET, 2_300) > 3 * before);
+        assertTrue(mEvidence.failingProbability(TARGET, 2_300) > 3 * before);
     }
 
     /**
@@ -74,12 +74,12 @@
     @Test
     public void silenceAtAnotherVmCountsWhileItIsReported() {
         mEvidence.onPeerReport("vm-2", List.of(proof(1_000)), 1_000);
-        double before = mEvidence.chanceOfBout(TARGET, 1_300);
+        double before = mEvidence.failingProbability(TARGET, 1_300);
         mEvidence.onPeerReport("vm-2", List.of(silent(11)), 1_300);
-        assertTrue(mEvidence.chanceOfBout(TARGET, 1_300) > 5 * before);
+        assertTrue(mEvidence.failingProbability(TARGET, 1_300) > 5 * before);
         mEvidence.onPeerReport(
-                "vm-2", List.of(new TargetWork(TARGET, 0, 1, OptionalLong.empty())), 1_300);
-        assertEquals(mEvidence.chanceOfBout(TARGET, 1_300), before, CLOSE);
+                "vm-2", List.of(new TargetReport(TARGET, 0, 1, OptionalLong.empty())), 1_300);
+        assertEquals(mEvidence.failingProbability(TARGET, 1_300), before, CLOSE);
     }
 
     /** A VM that lost power must not speak against a target for ever. */
@@ -87,7 +87,7 @@
     public void reportOfAVmThatFellSilentIsForgotten() {
         mEvidence.onPeerReport("vm-2", List.of(silent(11)), 1_300);
         mEvidence.onPeerReport("vm-3", List.of(proof(3_000)), 3_000);
-        assertTrue(mEvidence.chanceOfBout(TARGET, 3_000) < 0.1);
+        assertTrue(mEvidence.failingProbability(TARGET, 3_000) < 0.1);
     }
 
     /**
@@ -97,24 +97,24 @@
     @Test
     public void workThatIsLostIsToldBeforeItsTimeout() {
         begin("work", 0);
-        mEvidence.giveUpOnLost(4_399);
-        assertEquals(mEvidence.takeNews(), List.of());
-        mEvidence.giveUpOnLost(4_400);
-        assertEquals(mEvidence.takeNews(), List.of(new WorkNews(TARGET, WorkSign.SILENT, 0)));
-        mEvidence.giveUpOnLost(4_500);
+        mEvidence.expireOverdue(4_399);
+        assertEquals(mEvidence.drainObservations(), List.of());
+        mEvidence.expireOverdue(4_400);
+        assertEquals(mEvidence.drainObservations(), List.of(new TargetObservation(TARGET, Observation.SILENT, 0)));
+        mEvidence.expireOverdue(4_500);
         end("work", 0, Outcome.TIMEOUT, 10_000);
-        assertEquals(mEvidence.takeNews(), List.of());
+        assertEquals(mEvidence.drainObservations(), List.of());
     }
 
     @Test
     public void failureOfAnotherVmSpeaksAgainstTheTargetUntilItAnswers() {
-        double before = mEvidence.chanceOfBout(TARGET, 100);
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.ERROR, 100));
-        assertTrue(mEvidence.chanceOfBout(TARGET, 100) > 3 * before);
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.ANSWERED, 110));
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.ANSWERED, 120));
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.ANSWERED, 130));
-        assertTrue(mEvidence.chanceOfBout(TARGET, 130) < 0.5);
+        double before = mEvidence.failingProbability(TARGET, 100);
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.ERROR, 100));
+        assertTrue(mEvidence.failingProbability(TARGET, 100) > 3 * before);
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.ANSWERED, 110));
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.ANSWERED, 120));
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.ANSWERED, 130));
+        assertTrue(mEvidence.failingProbability(TARGET, 130) < 0.5);
     }
 
     /**
@@ -130,28 +130,28 @@
             end("lost-" + number, now, Outcome.TIMEOUT, now + 1_000);
             mEvidence.onPeerReport("vm-2", List.of(proof(now + 1_000)), now + 1_000);
         }
-        assertTrue(mEvidence.chanceOfBout(TARGET, 11_100) < 0.2, "the target is sound");
-        assertTrue(mEvidence.chanceOfCut(TARGET, 11_100) > 0.5, "the path is not");
-        assertTrue(mEvidence.chanceOfLoss(TARGET, 11_100) > 0.5);
+        assertTrue(mEvidence.failingProbability(TARGET, 11_100) < 0.2, "the target is sound");
+        assertTrue(mEvidence.partitionProbability(TARGET, 11_100) > 0.5, "the path is not");
+        assertTrue(mEvidence.lossProbability(TARGET, 11_100) > 0.5);
     }
 
     /** The paths of one VM fail: the others must not take all its targets for failing. */
     @Test
     public void lossOfAnotherVmCountsLessThanAnErrorThatTheTargetAnswered() {
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.SILENT, 100));
-        double silent = mEvidence.chanceOfBout(TARGET, 100);
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.SILENT, 100));
+        double silent = mEvidence.failingProbability(TARGET, 100);
         mEvidence.forget(Set.of(TARGET));
-        mEvidence.onPeerNews(new WorkNews(TARGET, WorkSign.ERROR, 100));
-        assertTrue(silent < mEvidence.chanceOfBout(TARGET, 100));
+        mEvidence.onPeerObservation(new TargetObservation(TARGET, Observation.ERROR, 100));
+        assertTrue(silent < mEvidence.failingProbability(TARGET, 100));
     }
 
     @Test
     public void fullTargetRestsForAMoment() {
         begin("first", 0);
         end("first", 0, Outcome.REFUSED_SHED, 10);
-        assertTrue(mEvidence.isResting(TARGET, 100));
-        assertFalse(mEvidence.isResting(TARGET, 300));
-        assertEquals(mEvidence.takeNews(), List.of());
+        assertTrue(mEvidence.isCoolingDown(TARGET, 100));
+        assertFalse(mEvidence.isCoolingDown(TARGET, 300));
+        assertEquals(mEvidence.drainObservations(), List.of());
     }
 
     /** A hedge that came first says nothing against a target whose answer was not late yet. */
@@ -159,11 +159,11 @@
     public void cancelledWorkSpeaksAgainstATargetOnlyIfItWasLate() {
         begin("early", 0);
         end("early", 0, Outcome.CANCELLED, 10);
-        double unknown = mEvidence.shareInBout();
-        assertEquals(mEvidence.chanceOfBout(TARGET, 10), unknown, CLOSE);
+        double unknown = mEvidence.failingShare();
+        assertEquals(mEvidence.failingProbability(TARGET, 10), unknown, CLOSE);
         begin("late", 10);
         end("late", 10, Outcome.CANCELLED, 60_000);
-        assertTrue(mEvidence.chanceOfBout(TARGET, 10) > unknown);
+        assertTrue(mEvidence.failingProbability(TARGET, 10) > unknown);
     }
 
     @Test
@@ -171,28 +171,28 @@
         begin("first", 0);
         end("first", 0, Outcome.SUCCESS, 100);
         mEvidence.retain(Set.of());
-        assertEquals(mEvidence.takeReport(100), List.of());
+        assertEquals(mEvidence.drainReport(100), List.of());
         begin("second", 200);
         end("second", 200, Outcome.SUCCESS, 300);
         mEvidence.forget(Set.of(TARGET));
-        assertEquals(mEvidence.takeReport(300), List.of());
+        assertEquals(mEvidence.drainReport(300), List.of());
     }
 
     private void begin(String name, long now) {
-        mSlots.onStarted(TARGET, false);
+        mSlots.acquire(TARGET, false);
         mEvidence.onStarted(Kinds.LOOKUP, TARGET, name, now);
     }
 
     private void end(String name, long started, Outcome outcome, long now) {
-        mSlots.onEnded(TARGET, false);
+        mSlots.release(TARGET, false);
         mEvidence.onEnded(Kinds.LOOKUP, TARGET, name, started, outcome, now);
     }
 
-    private static TargetWork proof(long sentMillis) {
-        return new TargetWork(TARGET, 0, 1, OptionalLong.of(sentMillis));
+    private static TargetReport proof(long sentMillis) {
+        return new TargetReport(TARGET, 0, 1, OptionalLong.of(sentMillis));
     }
 
-    private static TargetWork silent(double silence) {
-        return new TargetWork(TARGET, 1, silence, OptionalLong.empty());
+    private static TargetReport silent(double silence) {
+        return new TargetReport(TARGET, 1, silence, OptionalLong.empty());
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueRun.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueSimulation.java
@@ -18,7 +18,7 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Drives a queue by random events and checks each answer against a simple record of the past. */
-final class QueueRun {
+final class QueueSimulation {
     /** A fault planted in the driver, to show that the checks find it. */
     enum Fault {
         NONE,
@@ -38,23 +38,23 @@
     private final Fault mFault;
     private final SlotTable mSlots = new SlotTable(SLOTS, 1_000);
     private final AdmissionQueue<Set<Endpoint>> mQueue;
-    private final Balancer mBalancer;
+    private final LoadBalancer mBalancer;
     private final Map<QueueEntry<Set<Endpoint>>, String> mEnds = new HashMap<>();
     private final Set<QueueEntry<Set<Endpoint>>> mOffered = new HashSet<>();
     private final List<InFlight> mInFlight = new ArrayList<>();
     private List<WeightedTarget> mTargets = List.of();
     private long mNow = 10_000;
 
-    QueueRun(long seed, Fault fault) {
+    QueueSimulation(long seed, Fault fault) {
         mRandom = new SplittableRandom(seed);
         mFault = fault;
-        mBalancer = new Balancer(mSlots, 0.5, mRandom.split());
+        mBalancer = new LoadBalancer(mSlots, 0.5, mRandom.split());
         mQueue =
                 new AdmissionQueue<>(
                         new QueueLimits(20, 12, 2),
                         mSlots,
                         mBalancer,
-                        new ServiceTimes(),
+                        new ServiceTimeEstimator(),
                         mRandom.split());
         mSlots.onCell(new VmIdentity("a", 1), List.of(PEER));
         changeTargets();
@@ -72,7 +72,7 @@
         takeExpired(mQueue.expire(mNow));
         assertEquals(mQueue.size(), 0, "entries left in the queue");
         assertEquals(mEnds.keySet(), mOffered, "entries that ended");
-        assertEquals(mSlots.ownTotal(), 0, "slots still taken");
+        assertEquals(mSlots.ownInFlightTotal(), 0, "slots still taken");
     }
 
     private void act(int choice) {
@@ -130,7 +130,7 @@
         }
         InFlight ended = mInFlight.remove(mRandom.nextInt(mInFlight.size()));
         takeStep(
-                mQueue.onTryEnded(
+                mQueue.onAttemptEnded(
                         ended.entry(), ended.target(), ended.startedMillis(), true, queueTime()));
     }
 
@@ -145,15 +145,15 @@
         }
     }
 
-    private void takeStep(QueueStep<Set<Endpoint>> step) {
+    private void takeStep(DispatchResult<Set<Endpoint>> step) {
         takeExpired(step.expired());
-        for (Dispatched<Set<Endpoint>> next : step.dispatched()) {
+        for (DispatchedEntry<Set<Endpoint>> next : step.dispatched()) {
             assertTrue(mNow < next.entry().latestStartMillis(), "dispatched too late");
             dispatched(next.entry(), next.target());
         }
     }
 
-    private void takeExpired(List<Expired<Set<Endpoint>>> expired) {
+    private void takeExpired(List<ExpiredEntry<Set<Endpoint>>> expired) {
         if (mFault != Fault.EXPIRED_FORGOTTEN) {
             expired.forEach(each -> end(each.entry(), "expired"));
         }
@@ -167,10 +167,10 @@
                 mTargets.stream()
                         .filter(each -> each.endpoint().equals(target))
                         .anyMatch(
-                                each -> each.weight() > 0 && (each.mayCarryGuarded() || !guarded)),
+                                each -> each.weight() > 0 && (each.acceptsGuarded() || !guarded)),
                 "dispatched to a target that may take it");
         assertTrue(!entry.request().contains(target), "dispatched to an excluded target");
-        assertTrue(mSlots.own(target) <= SLOTS, "more in flight than slots");
+        assertTrue(mSlots.ownInFlight(target) <= SLOTS, "more in flight than slots");
     }
 
     private void end(QueueEntry<Set<Endpoint>> entry, String how) {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RateLimiterTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RateLimiterTest.java
@@ -26,11 +26,11 @@
     public void refusalSaysWhenThereIsTokenAgain() {
         RateLimiter limiter = new RateLimiter(2);
         for (int count = 0; count < 10; count++) {
-            assertTrue(limiter.refusal("a", SERVICE, Kinds.LOOKUP, 0).isEmpty());
+            assertTrue(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 0).isEmpty());
         }
-        assertEquals(limiter.refusal("a", SERVICE, Kinds.LOOKUP, 0).orElseThrow(), 100);
-        assertTrue(limiter.refusal("a", SERVICE, Kinds.LOOKUP, 99).isPresent());
-        assertTrue(limiter.refusal("a", SERVICE, Kinds.LOOKUP, 100).isEmpty());
+        assertEquals(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 0).orElseThrow(), 100);
+        assertTrue(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 99).isPresent());
+        assertTrue(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 100).isEmpty());
     }
 
     // A customer sends as much as it likes: it fills the table with other names, so that its spent
@@ -38,13 +38,13 @@
     @Test
     public void spentBucketIsNotDroppedForRoom() {
         RateLimiter limiter = new RateLimiter(1);
-        limiter.refusal("a", SERVICE, Kinds.LOOKUP, 0);
-        assertTrue(limiter.refusal("b", SERVICE, Kinds.LOOKUP, 0).isPresent());
-        assertTrue(limiter.refusal("b", SERVICE, Kinds.LOOKUP, 1_000).isEmpty());
+        limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 0);
+        assertTrue(limiter.tryAcquire("b", SERVICE, Kinds.LOOKUP, 0).isPresent());
+        assertTrue(limiter.tryAcquire("b", SERVICE, Kinds.LOOKUP, 1_000).isEmpty());
         assertEquals(limiter.size(), 1);
     }
 
     private boolean passes(String customer, long now) {
-        return mLimiter.refusal(customer, SERVICE, Kinds.LOOKUP, now).isEmpty();
+        return mLimiter.tryAcquire(customer, SERVICE, Kinds.LOOKUP, now).isEmpty();
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryBudgetTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryBudgetTest.java
@@ -22,7 +22,7 @@
 
     @Test
     public void smallServiceMayTryAgainAtAll() {
-        assertTrue(mBudget.hasLeft(Kinds.LOOKUP, 0));
+        assertTrue(mBudget.hasRemaining(Kinds.LOOKUP, 0));
     }
 
     /**
@@ -34,8 +34,8 @@
     public void lookupsLeaveAPartOfTheBudgetToSignOffs() {
         firstTries();
         int ofLookups = spendAll(Kinds.LOOKUP);
-        assertFalse(mBudget.hasLeft(Kinds.LOOKUP, 0));
-        assertTrue(mBudget.hasLeft(Kinds.SIGN_OFF, 0));
+        assertFalse(mBudget.hasRemaining(Kinds.LOOKUP, 0));
+        assertTrue(mBudget.hasRemaining(Kinds.SIGN_OFF, 0));
         int ofSignOffs = spendAll(Kinds.SIGN_OFF);
         assertTrue(ofSignOffs > ofLookups / 3, ofLookups + " and " + ofSignOffs);
     }
@@ -51,19 +51,19 @@
     public void whatWasSpentIsForgottenAfterTheWindow() {
         firstTries();
         spendAll(Kinds.SIGN_OFF);
-        assertTrue(mBudget.hasLeft(Kinds.SIGN_OFF, WINDOW_MILLIS));
+        assertTrue(mBudget.hasRemaining(Kinds.SIGN_OFF, WINDOW_MILLIS));
     }
 
     private void firstTries() {
         for (int number = 0; number < FIRST_TRIES; number++) {
-            mBudget.onFirstTry(Kinds.LOOKUP, 0);
+            mBudget.onFirstAttempt(Kinds.LOOKUP, 0);
         }
     }
 
     private int spendAll(RequestKind kind) {
         int spent = 0;
-        while (mBudget.hasLeft(kind, 0)) {
-            mBudget.onFurtherTry(0);
+        while (mBudget.hasRemaining(kind, 0)) {
+            mBudget.onExtraAttempt(0);
             spent++;
         }
         return spent;
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.dahliapass.decisions.traffic.RetryDecision.Go;
+import org.dahliapass.decisions.traffic.RetryDecision.Retry;
 import org.dahliapass.decisions.traffic.RetryDecision.Stop;
 import org.dahliapass.decisions.traffic.RetryDecision.StopReason;
 import org.dahliapass.model.Endpoint;
@@ -24,8 +24,8 @@
     private static final long DEADLINE = 1_000_000;
 
     private SlotTable mSlots;
-    private WorkEvidence mEvidence;
-    private ServiceTimes mTimes;
+    private PassiveFailureDetector mEvidence;
+    private ServiceTimeEstimator mTimes;
     private RetryPolicy mRetries;
     private HedgePolicy mHedges;
 
@@ -39,9 +39,9 @@
     public void retryGoesToAnotherTarget() {
         for (int count = 0; count < 2; count++) {
             RetryDecision decision = decide(Kinds.LOOKUP, FailureKind.TIMED_OUT);
-            assertNotEquals(((Go) decision).target(), Kinds.endpoint(0));
+            assertNotEquals(((Retry) decision).target(), Kinds.endpoint(0));
         }
-        assertStopped(decide(Kinds.LOOKUP, FailureKind.TIMED_OUT), StopReason.BUDGET_SPENT);
+        assertStopped(decide(Kinds.LOOKUP, FailureKind.TIMED_OUT), StopReason.BUDGET_EXHAUSTED);
     }
 
     // A sign-off stands twice in a file: the first target ran it, its answer was lost, and the
@@ -50,43 +50,43 @@
     public void guardedRequestIsRetriedOnlyAfterProof() {
         for (FailureKind failure : FailureKind.values()) {
             startFresh();
-            boolean goes = decide(Kinds.SIGN_OFF, failure) instanceof Go;
+            boolean goes = decide(Kinds.SIGN_OFF, failure) instanceof Retry;
             assertEquals(goes, !failure.mayHaveRun(), "retry after " + failure);
         }
-        FailedTry earlierMayHaveRun =
-                new FailedTry(Kinds.SIGN_OFF, FailureKind.CONNECT_FAILED, true, TRIED, 2, DEADLINE);
+        FailedAttempt earlierMayHaveRun =
+                new FailedAttempt(Kinds.SIGN_OFF, FailureKind.CONNECT_FAILED, true, TRIED, 2, DEADLINE);
         assertStopped(mRetries.decide(earlierMayHaveRun, false, 0), StopReason.MAY_HAVE_RUN);
     }
 
     @Test
     public void noRetryWhenNobodyWaits() {
         RetryDecision decision = decide(Kinds.LOOKUP, FailureKind.CANCELLED_BY_CALLER);
-        assertStopped(decision, StopReason.NOT_WANTED);
+        assertStopped(decision, StopReason.CALLER_GONE);
     }
 
     @Test
     public void noRetryWhenTheAnswerWouldBeTooLate() {
-        mTimes.onTryEnded(Kinds.LOOKUP, 100, true, 0);
-        FailedTry failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
+        mTimes.onAttemptEnded(Kinds.LOOKUP, 100, true, 0);
+        FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
         assertStopped(mRetries.decide(failed, false, DEADLINE - 99), StopReason.TOO_LATE);
-        assertTrue(mRetries.decide(failed, false, DEADLINE - 100) instanceof Go);
+        assertTrue(mRetries.decide(failed, false, DEADLINE - 100) instanceof Retry);
     }
 
     @Test
     public void neitherRetryNorHedgeInOverload() {
-        FailedTry failed = failed(Kinds.LOOKUP, FailureKind.SERVER_ERROR);
+        FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.SERVER_ERROR);
         assertStopped(mRetries.decide(failed, true, 0), StopReason.OVERLOADED);
-        assertTrue(mHedges.start(Kinds.LOOKUP, TRIED, DEADLINE, true, 0).isEmpty());
+        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, true, 0).isEmpty());
     }
 
     @Test
     public void oneHedgeForIdempotentRequestAndNoneForGuarded() {
-        assertTrue(mHedges.start(Kinds.SIGN_OFF, TRIED, DEADLINE, false, 0).isEmpty());
+        assertTrue(mHedges.tryStart(Kinds.SIGN_OFF, TRIED, DEADLINE, false, 0).isEmpty());
         doubtFirstTarget(0);
-        Optional<Endpoint> hedge = mHedges.start(Kinds.LOOKUP, TRIED, DEADLINE, false, 0);
+        Optional<Endpoint> hedge = mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0);
         Set<Endpoint> tried = Set.of(Kinds.endpoint(0), hedge.orElseThrow());
         assertEquals(tried.size(), 2);
-        assertTrue(mHedges.start(Kinds.LOOKUP, tried, DEADLINE, false, 0).isEmpty());
+        assertTrue(mHedges.tryStart(Kinds.LOOKUP, tried, DEADLINE, false, 0).isEmpty());
     }
 
     /**
@@ -96,15 +96,15 @@
     @Test
     public void slowAnswerOfASoundTargetGetsNoHedge() {
         start(new RetryBudget(), new RetryBudget());
-        mEvidence.onPeerNews(new WorkNews(Kinds.endpoint(0), WorkSign.ANSWERED, 0));
-        assertTrue(mHedges.start(Kinds.LOOKUP, TRIED, DEADLINE, false, 0).isEmpty());
+        mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(0), Observation.ANSWERED, 0));
+        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0).isEmpty());
         doubtFirstTarget(1);
-        assertTrue(mHedges.start(Kinds.LOOKUP, TRIED, DEADLINE, false, 1).isPresent());
+        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 1).isPresent());
     }
 
     private void doubtFirstTarget(long nowMillis) {
         for (int number = 0; number < 3; number++) {
-            mEvidence.onPeerNews(new WorkNews(Kinds.endpoint(0), WorkSign.ERROR, nowMillis));
+            mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(0), Observation.ERROR, nowMillis));
         }
     }
 
@@ -134,17 +134,17 @@
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(200)) {
             int second = (int) (now / 1_000);
             firstTries[second]++;
-            budget.onFirstTry(Kinds.LOOKUP, now);
+            budget.onFirstAttempt(Kinds.LOOKUP, now);
             if (!shared) {
-                other.onFirstTry(Kinds.LOOKUP, now);
+                other.onFirstAttempt(Kinds.LOOKUP, now);
             }
-            FailedTry failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
-            if (random.nextBoolean() && mRetries.decide(failed, false, now) instanceof Go) {
+            FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
+            if (random.nextBoolean() && mRetries.decide(failed, false, now) instanceof Retry) {
                 furtherTries[second]++;
                 checkWindow(firstTries, furtherTries, second);
             }
             doubtFirstTarget(now);
-            if (mHedges.start(Kinds.LOOKUP, TRIED, DEADLINE, false, now).isPresent()) {
+            if (mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, now).isPresent()) {
                 furtherTries[second]++;
                 checkWindow(firstTries, furtherTries, second);
             }
@@ -171,9 +171,9 @@
 
     private void start(RetryBudget retryBudget, RetryBudget hedgeBudget) {
         mSlots = new SlotTable(10_000, 1_000);
-        mTimes = new ServiceTimes();
-        mEvidence = new WorkEvidence(mTimes, mSlots);
-        Balancer balancer = new Balancer("", 0, mSlots, 0.5, new SplittableRandom(1), mEvidence);
+        mTimes = new ServiceTimeEstimator();
+        mEvidence = new PassiveFailureDetector(mTimes, mSlots);
+        LoadBalancer balancer = new LoadBalancer("", 0, mSlots, 0.5, new SplittableRandom(1), mEvidence);
         balancer.onTargets(Kinds.targets(3));
         mRetries = new RetryPolicy(retryBudget, balancer, mSlots, mTimes);
         mHedges = new HedgePolicy(hedgeBudget, balancer, mSlots, mTimes, mEvidence);
@@ -183,8 +183,8 @@
         return mRetries.decide(failed(kind, failure), false, 0);
     }
 
-    private static FailedTry failed(RequestKind kind, FailureKind failure) {
-        return new FailedTry(kind, failure, failure.mayHaveRun(), TRIED, 1, DEADLINE);
+    private static FailedAttempt failed(RequestKind kind, FailureKind failure) {
+        return new FailedAttempt(kind, failure, failure.mayHaveRun(), TRIED, 1, DEADLINE);
     }
 
     private static void assertStopped(RetryDecision decision, StopReason reason) {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/SlotTableTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/SlotTableTest.java
@@ -19,28 +19,28 @@
     @Test
     public void ownRequestsTakeSlots() {
         SlotTable slots = new SlotTable(3, 100);
-        slots.onStarted(TARGET, false);
-        slots.onStarted(TARGET, true);
-        assertEquals(slots.unused(TARGET, 3, 0), 1);
-        slots.onEnded(TARGET, true);
-        assertEquals(slots.unused(TARGET, 3, 0), 2);
+        slots.acquire(TARGET, false);
+        slots.acquire(TARGET, true);
+        assertEquals(slots.unusedSlots(TARGET, 3, 0), 1);
+        slots.release(TARGET, true);
+        assertEquals(slots.unusedSlots(TARGET, 3, 0), 2);
     }
 
     @Test
     public void slotGivenBackTwiceIsAnError() {
         SlotTable slots = new SlotTable(3, 100);
-        slots.onStarted(TARGET, false);
-        slots.onEnded(TARGET, false);
-        assertThrows(IllegalStateException.class, () -> slots.onEnded(TARGET, false));
+        slots.acquire(TARGET, false);
+        slots.release(TARGET, false);
+        assertThrows(IllegalStateException.class, () -> slots.release(TARGET, false));
     }
 
     @Test
     public void freshReportTakesSlotsAndOldOneFades() {
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 2, 0);
-        assertEquals(slots.others(TARGET, 0), 2.0);
-        assertEquals(slots.others(TARGET, 100), 1.0);
-        assertEquals(slots.others(TARGET, 1_000), 0.0);
+        assertEquals(slots.peersInFlight(TARGET, 0), 2.0);
+        assertEquals(slots.peersInFlight(TARGET, 100), 1.0);
+        assertEquals(slots.peersInFlight(TARGET, 1_000), 0.0);
     }
 
     @Test
@@ -48,7 +48,7 @@
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 2, 0);
         slots.onCell(SELF, List.of(THIRD));
-        assertEquals(slots.others(TARGET, 0), 0.0);
+        assertEquals(slots.peersInFlight(TARGET, 0), 0.0);
     }
 
     // A VM's slots stay unused and its callers are refused, although targets are idle: the peers'
@@ -58,10 +58,10 @@
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 3, 0);
         slots.onPeerInFlight(THIRD, TARGET, 3, 0);
-        assertEquals(slots.unused(TARGET, 3, 0), 0);
-        assertEquals(slots.ownFree(TARGET, 3), 1);
-        slots.onStarted(TARGET, false);
-        assertEquals(slots.ownFree(TARGET, 3), 0);
+        assertEquals(slots.unusedSlots(TARGET, 3, 0), 0);
+        assertEquals(slots.ownFreeSlots(TARGET, 3), 1);
+        slots.acquire(TARGET, false);
+        assertEquals(slots.ownFreeSlots(TARGET, 3), 0);
     }
 
     @Test
@@ -73,7 +73,7 @@
             for (VmIdentity member : cell) {
                 SlotTable slots = new SlotTable(3, 100);
                 slots.onCell(member, cell);
-                sum += slots.share(Kinds.endpoint(number), 3);
+                sum += slots.ownShare(Kinds.endpoint(number), 3);
             }
             assertEquals(sum, 3, "shares of target " + number);
         }
@@ -94,9 +94,9 @@
         SlotTable slots = new SlotTable(3, 1_000);
         Endpoint other = Kinds.endpoint(7);
         slots.onPeerReport(PEER, Map.of(TARGET, 2), 0);
-        assertEquals(slots.others(TARGET, 0), 2.0);
+        assertEquals(slots.peersInFlight(TARGET, 0), 2.0);
         slots.onPeerReport(PEER, Map.of(other, 1), 100);
-        assertEquals(slots.others(TARGET, 100), 0.0);
-        assertEquals(slots.others(other, 100), 1.0);
+        assertEquals(slots.peersInFlight(TARGET, 100), 0.0);
+        assertEquals(slots.peersInFlight(other, 100), 1.0);
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/PlacementTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetSelectorTest.java
@@ -14,8 +14,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Placement}. */
-public final class PlacementTest {
+/** Tests of {@link TargetSelector}. */
+public final class TargetSelectorTest {
     private static final int TARGETS = 10;
     private static final int SLOTS = 3;
     private static final int DRAWS = 300;
@@ -24,14 +24,14 @@
 
     private final List<WeightedTarget> mTargets = Kinds.targets(TARGETS);
     private SlotTable mSlots;
-    private WorkEvidence mEvidence;
-    private Placement mPlacement;
+    private PassiveFailureDetector mEvidence;
+    private TargetSelector mPlacement;
 
     @BeforeMethod
     public void start() {
         mSlots = new SlotTable(SLOTS, 1_000);
-        mEvidence = new WorkEvidence(new ServiceTimes(), mSlots);
-        mPlacement = new Placement(ZONE, 0.7, mSlots, mEvidence, new SplittableRandom(3));
+        mEvidence = new PassiveFailureDetector(new ServiceTimeEstimator(), mSlots);
+        mPlacement = new TargetSelector(ZONE, 0.7, mSlots, mEvidence, new SplittableRandom(3));
         for (int number = 0; number < TARGETS; number++) {
             for (int proof = 0; proof < 5; proof++) {
                 answered(number, NOW - 100 - 10L * proof);
@@ -65,15 +65,15 @@
     public void readsLookAfterNothingWhereThereAreNoLocks() {
         proveAllBut(0, NOW + 2_900);
         for (int number = 0; number < DRAWS; number++) {
-            mEvidence.onFirstTry(Kinds.LOOKUP);
+            mEvidence.onFirstAttempt(Kinds.LOOKUP);
         }
         assertTrue(picksOf(Kinds.LOOKUP, 0, NOW + 3_000) < DRAWS / 100);
     }
 
     @Test
     public void targetThatIsLookedAtGetsNoSecondLook() {
-        mSlots.onStarted(Kinds.endpoint(0), false);
-        mSlots.onStarted(Kinds.endpoint(0), false);
+        mSlots.acquire(Kinds.endpoint(0), false);
+        mSlots.acquire(Kinds.endpoint(0), false);
         proveAllBut(0, NOW + 900);
         sendLocks();
         assertTrue(picksOf(Kinds.LOOKUP, 0, NOW + 1_000) < DRAWS / 2);
@@ -94,7 +94,7 @@
     public void waitsForABusySoundTargetRatherThanTakeAFreeFailingOne() {
         failed(0);
         List<WeightedTarget> free = List.of(mTargets.get(0));
-        assertEquals(mPlacement.choose(Kinds.SIGN_OFF, free, mTargets, NOW + 1), Optional.empty());
+        assertEquals(mPlacement.select(Kinds.SIGN_OFF, free, mTargets, NOW + 1), Optional.empty());
     }
 
     /**
@@ -106,7 +106,7 @@
         failed(0);
         List<WeightedTarget> free = List.of(mTargets.get(0));
         assertEquals(
-                mPlacement.chooseAgain(Kinds.LOOKUP, free, mTargets, NOW + 1),
+                mPlacement.selectForRetry(Kinds.LOOKUP, free, mTargets, NOW + 1),
                 Optional.of(Kinds.endpoint(0)));
     }
 
@@ -118,7 +118,7 @@
         }
         assertTrue(
                 mPlacement
-                        .choose(Kinds.SIGN_OFF, mTargets.subList(0, 1), mTargets, NOW + 1)
+                        .select(Kinds.SIGN_OFF, mTargets.subList(0, 1), mTargets, NOW + 1)
                         .isPresent());
     }
 
@@ -138,13 +138,13 @@
         for (int number = 0; number < TARGETS; number++) {
             shed(number);
         }
-        assertTrue(mPlacement.choose(Kinds.SIGN_OFF, mTargets, mTargets, NOW + 100).isPresent());
+        assertTrue(mPlacement.select(Kinds.SIGN_OFF, mTargets, mTargets, NOW + 100).isPresent());
     }
 
     @Test
     public void amongEqualsTheLessLoadedIsTaken() {
         for (int number = 1; number < TARGETS; number++) {
-            mSlots.onStarted(Kinds.endpoint(number), false);
+            mSlots.acquire(Kinds.endpoint(number), false);
         }
         assertTrue(picksOf(Kinds.SIGN_OFF, 0, NOW) > DRAWS / TARGETS);
     }
@@ -154,7 +154,7 @@
         failed(0);
         for (int draw = 0; draw < DRAWS; draw++) {
             Endpoint chosen =
-                    mPlacement.chooseAgain(Kinds.LOOKUP, mTargets, mTargets, NOW + 1).orElseThrow();
+                    mPlacement.selectForRetry(Kinds.LOOKUP, mTargets, mTargets, NOW + 1).orElseThrow();
             assertFalse(chosen.equals(Kinds.endpoint(0)));
         }
     }
@@ -169,11 +169,11 @@
         List<WeightedTarget> both = List.of(near, far);
         for (int draw = 0; draw < DRAWS; draw++) {
             assertEquals(
-                    mPlacement.choose(Kinds.EXTRACT, both, both, NOW).orElseThrow(),
+                    mPlacement.select(Kinds.EXTRACT, both, both, NOW).orElseThrow(),
                     near.endpoint());
         }
         assertEquals(
-                mPlacement.choose(Kinds.EXTRACT, List.of(far), both, NOW).orElseThrow(),
+                mPlacement.select(Kinds.EXTRACT, List.of(far), both, NOW).orElseThrow(),
                 far.endpoint());
     }
 
@@ -187,18 +187,18 @@
 
     private void sendLocks() {
         for (int number = 0; number < DRAWS; number++) {
-            mEvidence.onFirstTry(Kinds.SIGN_OFF);
+            mEvidence.onFirstAttempt(Kinds.SIGN_OFF);
         }
     }
 
     private void answered(int target, long sentMillis) {
-        mEvidence.onPeerNews(new WorkNews(Kinds.endpoint(target), WorkSign.ANSWERED, sentMillis));
+        mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(target), Observation.ANSWERED, sentMillis));
     }
 
     private void failed(int target) {
         for (int number = 0; number < 2; number++) {
-            mEvidence.onPeerNews(
-                    new WorkNews(Kinds.endpoint(target), WorkSign.ERROR, NOW + number));
+            mEvidence.onPeerObservation(
+                    new TargetObservation(Kinds.endpoint(target), Observation.ERROR, NOW + number));
         }
     }
 
@@ -210,7 +210,7 @@
     private int picksOf(RequestKind kind, int target, long now) {
         int picks = 0;
         for (int draw = 0; draw < DRAWS; draw++) {
-            Endpoint chosen = mPlacement.choose(kind, mTargets, mTargets, now).orElseThrow();
+            Endpoint chosen = mPlacement.select(kind, mTargets, mTargets, now).orElseThrow();
             picks += chosen.equals(Kinds.endpoint(target)) ? 1 : 0;
         }
         return picks;
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/ThreadLatenessTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/ThreadOverloadDetectorTest.java
@@ -6,11 +6,11 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of {@link ThreadLateness}. */
-public final class ThreadLatenessTest {
+/** Tests of {@link ThreadOverloadDetector}. */
+public final class ThreadOverloadDetectorTest {
     private static final long CHECK = 100;
 
-    private final ThreadLateness mLateness = new ThreadLateness();
+    private final ThreadOverloadDetector mLateness = new ThreadOverloadDetector();
 
     /**
      * Callers give up on most of their requests, and next to none is refused. A VM gets more than
@@ -22,43 +22,43 @@
         long[] late = {71, 101, 289, 431, 502, 723};
         long now = 0;
         for (long millis : late) {
-            mLateness.onPlanned(now + CHECK, now);
+            mLateness.onScheduled(now + CHECK, now);
             now += CHECK + millis;
             mLateness.onRun(now);
         }
-        mLateness.onPlanned(now + CHECK, now);
-        assertTrue(mLateness.isBehind(now));
+        mLateness.onScheduled(now + CHECK, now);
+        assertTrue(mLateness.isOverloaded(now));
     }
 
     /** A request that waits beside a pause would be served if nobody refused it. */
     @Test
     public void shortStallRefusesNobody() {
-        mLateness.onPlanned(CHECK, 0);
-        assertFalse(mLateness.isBehind(CHECK + 250));
+        mLateness.onScheduled(CHECK, 0);
+        assertFalse(mLateness.isOverloaded(CHECK + 250));
         assertEquals(mLateness.onRun(CHECK + 250), 250);
-        mLateness.onPlanned(2 * CHECK + 250, CHECK + 250);
+        mLateness.onScheduled(2 * CHECK + 250, CHECK + 250);
         assertEquals(mLateness.onRun(2 * CHECK + 255), 5);
-        assertFalse(mLateness.isBehind(2 * CHECK + 255));
+        assertFalse(mLateness.isOverloaded(2 * CHECK + 255));
     }
 
     @Test
     public void threadThatHasCaughtUpTakesRequestsAgain() {
-        mLateness.onPlanned(CHECK, 0);
+        mLateness.onScheduled(CHECK, 0);
         mLateness.onRun(1_000);
-        mLateness.onPlanned(1_000 + CHECK, 1_000);
-        assertTrue(mLateness.isBehind(1_050));
+        mLateness.onScheduled(1_000 + CHECK, 1_000);
+        assertTrue(mLateness.isOverloaded(1_050));
         mLateness.onRun(1_000 + CHECK);
-        assertFalse(mLateness.isBehind(1_000 + CHECK));
+        assertFalse(mLateness.isOverloaded(1_000 + CHECK));
     }
 
     /** Time in which nothing was in flight says nothing of the thread. */
     @Test
     public void idleThreadIsNotBehind() {
-        mLateness.onPlanned(CHECK, 0);
+        mLateness.onScheduled(CHECK, 0);
         mLateness.onRun(CHECK);
         mLateness.onIdle();
-        assertFalse(mLateness.isBehind(60_000));
-        mLateness.onPlanned(60_000 + CHECK, 60_000);
-        assertFalse(mLateness.isBehind(60_050));
+        assertFalse(mLateness.isOverloaded(60_000));
+        mLateness.onScheduled(60_000 + CHECK, 60_000);
+        assertFalse(mLateness.isOverloaded(60_050));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -269,7 +269,7 @@
         mNumber = mFollower.headNumber();
         mDirectory = mFollower.cellSizes();
         mFleet.setHeadNumber(mNumber);
-        mMetrics.onConfiguration(mNumber);
+        mMetrics.onConfigurationNumber(mNumber);
         if (mFollower.isReady()
                 && mWatch.hasAsked()
                 && mReadiness.move(Readiness.State.STARTING, serving())) {
--- a/entry/src/main/java/org/dahliapass/entry/FleetService.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetService.java
@@ -276,7 +276,7 @@
         mView = new FleetView(mMembership.self().vm(), usable, all);
         for (MemberState state : MemberState.values()) {
             String name = state.name().toLowerCase(Locale.ROOT);
-            mMetrics.onMembers(name, counts.getOrDefault(state, 0));
+            mMetrics.onMemberCount(name, counts.getOrDefault(state, 0));
         }
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
@@ -135,8 +135,8 @@
 
     private boolean retry(Endpoint target, FailureKind kind) {
         mTried = TryResult.join(mTried, target);
-        FailedTry failed =
-                new FailedTry(
+        FailedAttempt failed =
+                new FailedAttempt(
                         mRequest.kind(), kind, true, mTried, mTries, mRequest.deadlineMillis());
         Optional<Slot> slot = mOpen > 0 ? Optional.empty() : mRuntime.retry(mRequest, failed);
         slot.ifPresent(found -> startTry(CompletableFuture.completedFuture(found)));
@@ -148,7 +148,7 @@
         if (kind.mayHaveRun() || mTries >= MOST_TRIES) {
             return false;
         }
-        startTry(mRuntime.acquireAgain(mRequest, mTried));
+        startTry(mRuntime.reacquire(mRequest, mTried));
         return true;
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
@@ -75,7 +75,7 @@
                             for (ServiceRuntime runtime : mServices.runtimes()) {
                                 ObjectNode service = services.addObject();
                                 service.put("service", runtime.id().toString());
-                                service.put("waiting", runtime.waiting());
+                                service.put("waiting", runtime.queueLength());
                             }
                             return root.toString();
                         });
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -29,7 +29,7 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 import org.dahliapass.traffic.EntryMetrics;
-import org.dahliapass.traffic.EvidenceSink;
+import org.dahliapass.traffic.TargetEventListener;
 import org.dahliapass.traffic.ServiceRuntime;
 
 /**
@@ -37,7 +37,7 @@
  *
  * <p>Health belongs to the control thread; traffic threads find the runtimes in a published map.
  */
-public final class ServiceTable implements KernelService, EvidenceSink {
+public final class ServiceTable implements KernelService, TargetEventListener {
     /** The name under which the kernel holds the table. */
     public static final String NAME = "services";
 
@@ -184,7 +184,7 @@
     private ServiceRuntime keep(ServiceTemplate template, VmIdentity self, List<VmIdentity> cell) {
         ServiceTemplate before = mTemplates.put(template.id(), template);
         ServiceRuntime runtime = mRuntimes.get(template.id());
-        if (runtime == null || !runtime.fits(template)) {
+        if (runtime == null || !runtime.isCompatibleWith(template)) {
             runtime =
                     new ServiceRuntime(
                             mSettings.availabilityZone(),
@@ -213,7 +213,7 @@
         for (ServiceId id : mRuntimes.keySet()) {
             withHealth(id, health -> health.onTick(mClock.millis()));
             publish(id);
-            mRuntimes.get(id).upkeep();
+            mRuntimes.get(id).runMaintenance();
         }
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
+++ b/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
@@ -13,7 +13,7 @@
     /** Returns the caller's answer for a slot that was not given. */
     static Refusal of(Throwable failure) {
         if (Exceptions.peel(failure) instanceof RefusedException refused) {
-            return Refusal.of(codeOf(refused), refused.problem(), refused.retryAfterMillis());
+            return Refusal.of(codeOf(refused), refused.detail(), refused.retryAfterMillis());
         }
         return Refusal.of(
                 RefusalCode.OVERLOADED, "The request was withdrawn.", WITHDRAWN_WAIT_MILLIS);
--- a/entry/src/main/java/org/dahliapass/entry/TargetTry.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetTry.java
@@ -126,7 +126,7 @@
 
     private void onHeaders(Slot slot, ResponseHeaders headers, SplitHttpResponse split) {
         mHeadMillis = mClock.millis();
-        mRuntime.onHead(mRequest.kind(), mHeadMillis - mSentMillis);
+        mRuntime.onResponseHead(mRequest.kind(), mHeadMillis - mSentMillis);
         if (isRefusedByTarget(headers)) {
             if (headers.contains(CallerHeaders.DRAINING)) {
                 mRuntime.onDraining(slot.target());
--- a/gateway/src/main/java/org/dahliapass/gateway/LoadReporter.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/LoadReporter.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.dahliapass.decisions.traffic.ThreadLateness;
+import org.dahliapass.decisions.traffic.ThreadOverloadDetector;
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
@@ -41,7 +41,7 @@
     private final Clock mClock;
     private final EntryMetrics mMetrics;
     private final EventLog mLog;
-    private final ThreadLateness mTrafficLateness = new ThreadLateness();
+    private final ThreadOverloadDetector mTrafficLateness = new ThreadOverloadDetector();
     private final AtomicLong mRequests = new AtomicLong();
     private final AtomicLong mInFlight = new AtomicLong();
     private final AtomicLong mCallerBytes = new AtomicLong();
@@ -91,12 +91,12 @@
      * thread only.
      */
     boolean isFallingBehind() {
-        return mTrafficLateness.isBehind(mClock.millis());
+        return mTrafficLateness.isOverloaded(mClock.millis());
     }
 
     private void planCheck(EventLoop traffic) {
         long now = mClock.millis();
-        mTrafficLateness.onPlanned(now + CHECK_MILLIS, now);
+        mTrafficLateness.onScheduled(now + CHECK_MILLIS, now);
         ScheduledFuture<?> unused =
                 traffic.schedule(() -> check(traffic), CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -126,7 +126,7 @@
     void onMirrorSent(long bytes) {
         mFollowerBytes.addAndGet(bytes);
         mTelling.wake();
-        mMetrics.onCopied(bytes);
+        mMetrics.onStoreCopyBytes(bytes);
     }
 
     private Optional<Duration> tell() {
@@ -138,8 +138,8 @@
         long callerBytes = mCallerBytes.getAndSet(0);
         long followerBytes = mFollowerBytes.getAndSet(0);
         long delivery = mSlowestDeliveryMillis.getAndSet(0);
-        mMetrics.onLate("control", control);
-        mMetrics.onLate("traffic", traffic);
+        mMetrics.onThreadDelay("control", control);
+        mMetrics.onThreadDelay("traffic", traffic);
         boolean isLate = Math.max(control, traffic) >= LATE_MILLIS;
         boolean isIdle = requests + mInFlight.get() + followerBytes == 0;
         if (isIdle && !isLate) {
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -20,10 +20,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.dahliapass.decisions.poison.SuspectNews;
-import org.dahliapass.decisions.traffic.TargetWork;
-import org.dahliapass.decisions.traffic.WorkNews;
-import org.dahliapass.decisions.traffic.WorkSign;
+import org.dahliapass.decisions.poison.SuspectReport;
+import org.dahliapass.decisions.traffic.TargetReport;
+import org.dahliapass.decisions.traffic.TargetObservation;
+import org.dahliapass.decisions.traffic.Observation;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
@@ -82,7 +82,7 @@
     private long mReportedMillis = Long.MIN_VALUE / 2;
     private volatile long mWorkMillis = Long.MIN_VALUE / 2;
     private volatile Channel mChannel;
-    private volatile Consumer<List<SuspectNews>> mSuspectListener = news -> {};
+    private volatile Consumer<List<SuspectReport>> mSuspectListener = news -> {};
 
     PeerExchange(GatewaySettings settings, EventLoopGroup loops, EventLog log) {
         mSettings = settings;
@@ -133,20 +133,20 @@
     }
 
     /** Tells the other VMs how a piece of work ended; any thread may call this. */
-    private void tell(ServiceId service, WorkNews ended) {
+    private void tell(ServiceId service, TargetObservation ended) {
         Optional<TargetRegistration> registration =
                 mPools.find(service.name()).flatMap(pool -> pool.registrationAt(ended.target()));
         if (registration.isEmpty()) {
             return;
         }
-        logEnd(service.name(), registration.get(), ended.sign(), mSettings.self().name());
+        logEnd(service.name(), registration.get(), ended.observation(), mSettings.self().name());
         byte[] news =
                 TrustNews.newBuilder()
                         .setVersion(VERSION)
                         .setSender(mSettings.self().name())
                         .setService(service.name())
                         .setInstance(registration.get().incarnation())
-                        .setEnd(WorkReportCodec.encode(ended.sign()))
+                        .setEnd(WorkReportCodec.encode(ended.observation()))
                         .setSentAgeMillis((int) Math.max(0, mLoop.nowMillis() - ended.sentMillis()))
                         .build()
                         .toByteArray();
@@ -154,12 +154,12 @@
     }
 
     /** Sets who takes what other VMs tell of suspected requests; before the start. */
-    void setSuspectListener(Consumer<List<SuspectNews>> listener) {
+    void setSuspectListener(Consumer<List<SuspectReport>> listener) {
         mSuspectListener = listener;
     }
 
     /** Tells the other VMs that take callers of suspected requests; any thread may call this. */
-    void sendSuspects(List<SuspectNews> news) {
+    void sendSuspects(List<SuspectReport> news) {
         long now = mLoop.nowMillis();
         sendToTakers(
                 TrustNews.newBuilder()
@@ -190,7 +190,7 @@
 
     /** Reports the work on one service; returns whether there was any. */
     private boolean report(String service, ServicePool pool) {
-        List<TargetWork> work = pool.runtime().takeWorkReport();
+        List<TargetReport> work = pool.runtime().drainReport();
         if (work.isEmpty()) {
             return false;
         }
@@ -240,7 +240,7 @@
         if (news.getInstance().isEmpty()) {
             return;
         }
-        Optional<WorkSign> sign = WorkReportCodec.decode(news.getEnd());
+        Optional<Observation> sign = WorkReportCodec.decode(news.getEnd());
         if (sign.isEmpty()) {
             return;
         }
@@ -249,17 +249,17 @@
             return;
         }
         long sentMillis = mLoop.nowMillis() - news.getSentAgeMillis();
-        pool.get().runtime().onPeerNews(new WorkNews(target.endpoint(), sign.get(), sentMillis));
+        pool.get().runtime().onPeerObservation(new TargetObservation(target.endpoint(), sign.get(), sentMillis));
         logEnd(news.getService(), target, sign.get(), news.getSender());
     }
 
     private void onReport(ServicePool pool, TrustNews news) {
-        List<TargetWork> report =
+        List<TargetReport> report =
                 WorkReportCodec.decode(news.getWorkList(), pool.byIncarnation(), mLoop.nowMillis());
         pool.runtime().onPeerReport(new VmIdentity(news.getSender(), 0), report);
     }
 
-    private void logEnd(String service, TargetRegistration target, WorkSign sign, String witness) {
+    private void logEnd(String service, TargetRegistration target, Observation sign, String witness) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "work_ended",
--- a/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Supplier;
-import org.dahliapass.decisions.poison.PoisonRegister;
-import org.dahliapass.decisions.poison.SuspectNews;
-import org.dahliapass.decisions.poison.TargetEnd;
+import org.dahliapass.decisions.poison.PoisonDetector;
+import org.dahliapass.decisions.poison.SuspectReport;
+import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.poison.Turns;
+import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.model.RequestDigest;
 import org.dahliapass.platform.KeyValueStore;
 import org.dahliapass.traffic.EntryMetrics;
@@ -33,8 +33,8 @@
     private final EventLoop mLoop;
     private final TargetLivenessCheck mCheck;
     private final QuarantineStore mStore;
-    private final PoisonRegister mRegister = new PoisonRegister();
-    private final Turns mTurns = new Turns();
+    private final PoisonDetector mRegister = new PoisonDetector();
+    private final DigestLocks mTurns = new DigestLocks();
     private final SuspectBroadcaster mNews;
 
     PoisonGuard(
@@ -58,7 +58,7 @@
                         digests ->
                                 exchange.sendSuspects(
                                         digests.stream()
-                                                .map(one -> mRegister.news(one, mClock.millis()))
+                                                .map(one -> mRegister.report(one, mClock.millis()))
                                                 .toList()));
         exchange.setSuspectListener(news -> mLoop.execute(() -> onNews(news)));
         follower.setQuarantineListener(digest -> mLoop.execute(() -> onEntry(digest)));
@@ -76,16 +76,16 @@
     }
 
     /** Returns whose turn it is among suspected requests that are alike. */
-    Turns turns() {
+    DigestLocks turns() {
         return mTurns;
     }
 
     /** Takes that a quarantined request was refused; returns when it may come back. */
     long onRefused(RequestDigest digest) {
-        mMetrics.onPoison("refused");
+        mMetrics.onPoisonEvent("refused");
         long now = mClock.millis();
-        long left = mRegister.quarantineLeftMillis(digest, now);
-        if (left < PoisonRegister.MEMORY.toMillis() - LATE_ENTRY_MILLIS) {
+        long left = mRegister.quarantineRemainingMillis(digest, now);
+        if (left < PoisonDetector.RETENTION.toMillis() - LATE_ENTRY_MILLIS) {
             writeEntry(digest);
         }
         return left;
@@ -99,8 +99,8 @@
      * @param whenChecked runs once it is known whether the target has ended
      */
     void onConnectionBroken(TargetAttempt offer, RequestDigest digest, Runnable whenChecked) {
-        TargetEnd end =
-                new TargetEnd(offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
+        TargetCrash end =
+                new TargetCrash(offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
         mCheck.check(
                 offer.target(),
                 ended -> {
@@ -109,7 +109,7 @@
                 });
     }
 
-    private void onChecked(TargetAttempt offer, RequestDigest digest, TargetEnd end, boolean ended) {
+    private void onChecked(TargetAttempt offer, RequestDigest digest, TargetCrash end, boolean ended) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "connection_broken",
@@ -123,10 +123,10 @@
         if (!ended || offer.isTargetDraining()) {
             return;
         }
-        mMetrics.onPoison("target_ended");
+        mMetrics.onPoisonEvent("target_ended");
         long now = mClock.millis();
         Treatment before = mRegister.treatment(digest, now);
-        if (!mRegister.onEnd(digest, end, now)) {
+        if (!mRegister.onCrash(digest, end, now)) {
             return;
         }
         mNews.broadcast(digest);
@@ -137,7 +137,7 @@
     }
 
     private void writeEntry(RequestDigest digest) {
-        mStore.ensureEntry(digest, mRegister.news(digest, mClock.millis()).ends().size());
+        mStore.ensureEntry(digest, mRegister.report(digest, mClock.millis()).crashes().size());
     }
 
     /**
@@ -157,11 +157,11 @@
         }
     }
 
-    private void onNews(List<SuspectNews> news) {
+    private void onNews(List<SuspectReport> news) {
         long now = mClock.millis();
-        for (SuspectNews one : news) {
+        for (SuspectReport one : news) {
             Treatment before = mRegister.treatment(one.digest(), now);
-            if (mRegister.onNews(one, now)) {
+            if (mRegister.onPeerReport(one, now)) {
                 mNews.resend(one.digest());
             }
             if (one.answered()) {
@@ -185,7 +185,7 @@
         if (after == before) {
             return;
         }
-        mMetrics.onPoison(after.name().toLowerCase(Locale.ROOT));
+        mMetrics.onPoisonEvent(after.name().toLowerCase(Locale.ROOT));
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "request_treatment",
@@ -196,8 +196,8 @@
                                 .put("known_by", source)
                                 .putList(
                                         "targets_ended",
-                                        mRegister.news(digest, now).ends().stream()
-                                                .map(TargetEnd::incarnation)
+                                        mRegister.report(digest, now).crashes().stream()
+                                                .map(TargetCrash::incarnation)
                                                 .toList()));
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.kernel.Futures;
@@ -120,10 +120,10 @@
             refuseQuarantined();
             return true;
         }
-        if (treatment == Treatment.USUAL || !mGuard.turns().isTaken(digest())) {
+        if (treatment == Treatment.USUAL || !mGuard.turns().isHeld(digest())) {
             return false;
         }
-        if (mOffers > 0 || !mGuard.turns().await(digest(), this::admit)) {
+        if (mOffers > 0 || !mGuard.turns().addWaiter(digest(), this::admit)) {
             finishUnlessRunning();
         }
         return true;
@@ -181,7 +181,7 @@
     private void offer(TargetAttempt offer) {
         planHedge();
         if (treatment() == Treatment.ALONE) {
-            mGuard.turns().take(digest());
+            mGuard.turns().acquire(digest());
             mHasTurn = true;
         }
         mOffers++;
@@ -236,7 +236,7 @@
     private void giveTurnBack() {
         if (mHasTurn) {
             mHasTurn = false;
-            mGuard.turns().giveBack(digest());
+            mGuard.turns().release(digest());
         }
     }
 
@@ -282,7 +282,7 @@
             return;
         }
         if (!reached && mOffers < MOST_OFFERS && mRequest.remainingMillis(mClock.millis()) > 0) {
-            await(mPool.runtime().acquireAgain(mRequest, Set.copyOf(mTried)));
+            await(mPool.runtime().reacquire(mRequest, Set.copyOf(mTried)));
             return;
         }
         if (retry(failed.target(), failed.kind())) {
@@ -299,8 +299,8 @@
         if (kind.brokeConnection() && !treatment().mayRunAgain()) {
             return false;
         }
-        FailedTry failed =
-                new FailedTry(
+        FailedAttempt failed =
+                new FailedAttempt(
                         mRequest.kind(),
                         kind,
                         mMayHaveRun,
--- a/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.decisions.poison.PoisonRegister;
+import org.dahliapass.decisions.poison.PoisonDetector;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.RequestDigest;
 import org.dahliapass.platform.KeyValueStore;
@@ -66,7 +66,7 @@
         }
         mWrittenMillis = now;
         CompletableFuture<Long> written =
-                mStore.grantLease(PoisonRegister.MEMORY)
+                mStore.grantLease(PoisonDetector.RETENTION)
                         .thenCompose(
                                 lease ->
                                         mStore.put(
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -18,7 +18,7 @@
 import org.dahliapass.decisions.health.TargetHealth;
 import org.dahliapass.decisions.health.TargetStatus;
 import org.dahliapass.decisions.traffic.WeightedTarget;
-import org.dahliapass.decisions.traffic.WorkNews;
+import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
@@ -34,7 +34,7 @@
 import org.dahliapass.model.routing.RoutingConfiguration;
 import org.dahliapass.model.routing.TargetRegistration;
 import org.dahliapass.traffic.EntryMetrics;
-import org.dahliapass.traffic.EvidenceSink;
+import org.dahliapass.traffic.TargetEventListener;
 import org.dahliapass.traffic.ServiceRuntime;
 
 /**
@@ -42,7 +42,7 @@
  *
  * <p>Health belongs to the control thread; traffic threads find the pools in a published map.
  */
-public final class ServicePools implements KernelService, EvidenceSink {
+public final class ServicePools implements KernelService, TargetEventListener {
     /** The name under which the kernel holds the pools. */
     public static final String NAME = "service-pools";
 
@@ -89,7 +89,7 @@
     private volatile boolean mStale;
 
     private StoreFollower mFollower;
-    private volatile BiConsumer<ServiceId, WorkNews> mNewsListener = (service, news) -> {};
+    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener = (service, news) -> {};
     private volatile Map<String, ServicePool> mPools = Map.of();
 
     ServicePools(
@@ -116,7 +116,7 @@
     }
 
     /** Sets who tells the other VMs of work that ended; while the kernel starts. */
-    void setOutcomeListener(BiConsumer<ServiceId, WorkNews> listener) {
+    void setOutcomeListener(BiConsumer<ServiceId, TargetObservation> listener) {
         mNewsListener = listener;
     }
 
@@ -268,7 +268,7 @@
                         mRandom,
                         this,
                         mMetrics);
-        runtime.setNewsListener((service, news) -> mNewsListener.accept(service, news));
+        runtime.setObservationListener((service, news) -> mNewsListener.accept(service, news));
         return runtime;
     }
 
@@ -339,7 +339,7 @@
         for (String service : mPools.keySet()) {
             mHealth.get(service).onTick(now);
             publishTargets(service);
-            mPools.get(service).runtime().upkeep();
+            mPools.get(service).runtime().runMaintenance();
         }
         boolean worked = now - mWorkMillis <= WEIGHED_AFTER_NEWS_MILLIS;
         return Optional.of(worked ? TICK : TICK_WITHOUT_WORK);
--- a/gateway/src/main/java/org/dahliapass/gateway/SuspectCodec.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SuspectCodec.java
@@ -1,7 +1,7 @@
 package org.dahliapass.gateway;
 
-import org.dahliapass.decisions.poison.SuspectNews;
-import org.dahliapass.decisions.poison.TargetEnd;
+import org.dahliapass.decisions.poison.SuspectReport;
+import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.model.RequestDigest;
 import org.dahliapass.wire.message.SuspectRequest;
 
@@ -14,19 +14,19 @@
     private SuspectCodec() {}
 
     /** Encodes what this VM knows. */
-    static SuspectRequest encode(SuspectNews news, long nowMillis) {
+    static SuspectRequest encode(SuspectReport news, long nowMillis) {
         SuspectRequest.Builder encoded =
                 SuspectRequest.newBuilder()
                         .setDigestHigh(news.digest().high())
                         .setDigestLow(news.digest().low())
                         .setQuarantined(news.quarantined())
                         .setAnswered(news.answered());
-        for (TargetEnd end : news.ends()) {
+        for (TargetCrash end : news.crashes()) {
             encoded.addEnds(
                     org.dahliapass.wire.message.TargetEnd.newBuilder()
                             .setInstance(end.incarnation())
                             .setSentAgeMillis(age(end.sentMillis(), nowMillis))
-                            .setEndedAgeMillis(age(end.endedMillis(), nowMillis)));
+                            .setEndedAgeMillis(age(end.crashedMillis(), nowMillis)));
         }
         return encoded.build();
     }
@@ -36,13 +36,13 @@
     }
 
     /** Decodes what another VM knows. */
-    static SuspectNews decode(SuspectRequest encoded, long nowMillis) {
-        return new SuspectNews(
+    static SuspectReport decode(SuspectRequest encoded, long nowMillis) {
+        return new SuspectReport(
                 new RequestDigest(encoded.getDigestHigh(), encoded.getDigestLow()),
                 encoded.getEndsList().stream()
                         .map(
                                 end ->
-                                        new TargetEnd(
+                                        new TargetCrash(
                                                 end.getInstance(),
                                                 nowMillis - end.getSentAgeMillis(),
                                                 nowMillis - end.getEndedAgeMillis()))
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
@@ -70,7 +70,7 @@
         mRequest = request;
         mSlot = slot;
         mPool = pool;
-        mChanceOfBout = pool.runtime().chanceOfBout(slot.target());
+        mChanceOfBout = pool.runtime().failingProbability(slot.target());
         mConnections = connections;
         mClock = clock;
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.dahliapass.decisions.traffic.TargetWork;
-import org.dahliapass.decisions.traffic.WorkSign;
+import org.dahliapass.decisions.traffic.TargetReport;
+import org.dahliapass.decisions.traffic.Observation;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.routing.TargetRegistration;
 import org.dahliapass.wire.message.WorkAtTarget;
@@ -25,7 +25,7 @@
     private WorkReportCodec() {}
 
     /** Encodes how a piece of work ended. */
-    static WorkEnd encode(WorkSign sign) {
+    static WorkEnd encode(Observation sign) {
         return switch (sign) {
             case ANSWERED -> WorkEnd.WORK_END_ANSWERED;
             case ERROR -> WorkEnd.WORK_END_ERROR;
@@ -36,22 +36,22 @@
     }
 
     /** Decodes how a piece of work ended; empty for an end that only a newer release knows. */
-    static Optional<WorkSign> decode(WorkEnd end) {
+    static Optional<Observation> decode(WorkEnd end) {
         return switch (end) {
-            case WORK_END_ANSWERED -> Optional.of(WorkSign.ANSWERED);
-            case WORK_END_ERROR -> Optional.of(WorkSign.ERROR);
-            case WORK_END_BROKEN -> Optional.of(WorkSign.BROKEN);
-            case WORK_END_SILENT -> Optional.of(WorkSign.SILENT);
-            case WORK_END_LATE -> Optional.of(WorkSign.LATE);
+            case WORK_END_ANSWERED -> Optional.of(Observation.ANSWERED);
+            case WORK_END_ERROR -> Optional.of(Observation.ERROR);
+            case WORK_END_BROKEN -> Optional.of(Observation.BROKEN);
+            case WORK_END_SILENT -> Optional.of(Observation.SILENT);
+            case WORK_END_LATE -> Optional.of(Observation.LATE);
             case WORK_END_UNKNOWN, UNRECOGNIZED -> Optional.empty();
         };
     }
 
     /** Encodes the work at targets that are registered; work at others is left out. */
     static List<WorkAtTarget> encode(
-            List<TargetWork> report, Map<Endpoint, TargetRegistration> targets, long nowMillis) {
+            List<TargetReport> report, Map<Endpoint, TargetRegistration> targets, long nowMillis) {
         List<WorkAtTarget> encoded = new ArrayList<>();
-        for (TargetWork work : report) {
+        for (TargetReport work : report) {
             TargetRegistration target = targets.get(work.target());
             if (target != null) {
                 encoded.add(encode(target.incarnation(), work, nowMillis));
@@ -60,13 +60,13 @@
         return encoded;
     }
 
-    private static WorkAtTarget encode(String instance, TargetWork work, long nowMillis) {
+    private static WorkAtTarget encode(String instance, TargetReport work, long nowMillis) {
         WorkAtTarget.Builder encoded =
                 WorkAtTarget.newBuilder()
                         .setInstance(instance)
                         .setInFlight(work.inFlight())
-                        .setSilence((float) work.silence());
-        work.provenMillis()
+                        .setSilence((float) work.silenceRatio());
+        work.lastAnsweredMillis()
                 .ifPresent(
                         proven ->
                                 encoded.setProvenAgeMillis((int) Math.max(0, nowMillis - proven)));
@@ -74,11 +74,11 @@
     }
 
     /** Decodes the work at instances that are registered here; what is unknown is left out. */
-    static List<TargetWork> decode(
+    static List<TargetReport> decode(
             List<WorkAtTarget> report,
             Map<String, TargetRegistration> byIncarnation,
             long nowMillis) {
-        List<TargetWork> decoded = new ArrayList<>();
+        List<TargetReport> decoded = new ArrayList<>();
         for (WorkAtTarget work : report) {
             TargetRegistration target = byIncarnation.get(work.getInstance());
             if (target != null) {
@@ -88,13 +88,13 @@
         return decoded;
     }
 
-    private static TargetWork decode(Endpoint target, WorkAtTarget work, long nowMillis) {
+    private static TargetReport decode(Endpoint target, WorkAtTarget work, long nowMillis) {
         OptionalLong proven =
                 work.hasProvenAgeMillis()
                         ? OptionalLong.of(nowMillis - work.getProvenAgeMillis())
                         : OptionalLong.empty();
         // No silence speaks for a target by much: a broken report must not hide one that is silent.
         double silence = Math.max(LEAST_SILENCE, work.getSilence());
-        return new TargetWork(target, work.getInFlight(), silence, proven);
+        return new TargetReport(target, work.getInFlight(), silence, proven);
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/SuspectCodecTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/SuspectCodecTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
-import org.dahliapass.decisions.poison.SuspectNews;
-import org.dahliapass.decisions.poison.TargetEnd;
+import org.dahliapass.decisions.poison.SuspectReport;
+import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.model.RequestDigest;
 import org.testng.annotations.Test;
 
@@ -13,18 +13,18 @@
     /** Guards against ends that change their order between VMs whose clocks differ. */
     @Test
     public void endsKeepTheirAgeOnAnotherClock() {
-        SuspectNews news =
-                new SuspectNews(
+        SuspectReport news =
+                new SuspectReport(
                         new RequestDigest(-1, Long.MAX_VALUE),
-                        List.of(new TargetEnd("i-1@7", 1_000, 1_080)),
+                        List.of(new TargetCrash("i-1@7", 1_000, 1_080)),
                         true,
                         false);
-        SuspectNews decoded = SuspectCodec.decode(SuspectCodec.encode(news, 1_100), 50_100);
+        SuspectReport decoded = SuspectCodec.decode(SuspectCodec.encode(news, 1_100), 50_100);
         assertEquals(
                 decoded,
-                new SuspectNews(
+                new SuspectReport(
                         news.digest(),
-                        List.of(new TargetEnd("i-1@7", 50_000, 50_080)),
+                        List.of(new TargetCrash("i-1@7", 50_000, 50_080)),
                         true,
                         false));
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/WorkReportCodecTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/WorkReportCodecTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.OptionalLong;
-import org.dahliapass.decisions.traffic.TargetWork;
+import org.dahliapass.decisions.traffic.TargetReport;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.routing.TargetRegistration;
 import org.dahliapass.wire.message.WorkAtTarget;
@@ -25,7 +25,7 @@
         List<WorkAtTarget> message = WorkReportCodec.encode(report(HERE), at(HERE, "i-1"), SENT);
         assertEquals(
                 WorkReportCodec.decode(message, named(HERE, "i-1"), RECEIVED),
-                List.of(new TargetWork(HERE, 2, 11, OptionalLong.of(RECEIVED - 400))));
+                List.of(new TargetReport(HERE, 2, 11, OptionalLong.of(RECEIVED - 400))));
     }
 
     /** A target ended and another one took its address: the report must not speak of that one. */
@@ -45,15 +45,15 @@
 
     @Test
     public void workWithoutAProofHasNone() {
-        TargetWork unproven = new TargetWork(HERE, 1, 1, OptionalLong.empty());
+        TargetReport unproven = new TargetReport(HERE, 1, 1, OptionalLong.empty());
         List<WorkAtTarget> message =
                 WorkReportCodec.encode(List.of(unproven), at(HERE, "i-1"), SENT);
         assertEquals(
                 WorkReportCodec.decode(message, named(HERE, "i-1"), RECEIVED), List.of(unproven));
     }
 
-    private static List<TargetWork> report(Endpoint target) {
-        return List.of(new TargetWork(target, 2, 11, OptionalLong.of(SENT - 400)));
+    private static List<TargetReport> report(Endpoint target) {
+        return List.of(new TargetReport(target, 2, 11, OptionalLong.of(SENT - 400)));
     }
 
     private static Map<Endpoint, TargetRegistration> at(Endpoint address, String instance) {
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Attempt.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Attempt.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.dahliapass.decisions.health.Outcome;
-import org.dahliapass.decisions.poison.TargetEnd;
+import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.Endpoint;
@@ -113,10 +113,10 @@
             refuseQuarantined();
             return true;
         }
-        if (treatment == Treatment.USUAL || !mGuard.turns().isTaken(mDigest)) {
+        if (treatment == Treatment.USUAL || !mGuard.turns().isHeld(mDigest)) {
             return false;
         }
-        if (!mGuard.turns().await(mDigest, this::admit)) {
+        if (!mGuard.turns().addWaiter(mDigest, this::admit)) {
             refuseQuarantined();
         }
         return true;
@@ -134,7 +134,7 @@
     private void giveTurnBack() {
         if (mHasTurn) {
             mHasTurn = false;
-            mGuard.turns().giveBack(mDigest);
+            mGuard.turns().release(mDigest);
         }
     }
 
@@ -158,7 +158,7 @@
         Endpoint target = mPlacer.target(place);
         mTries++;
         if (mGuard.treatment(mDigest) == Treatment.ALONE) {
-            mGuard.turns().take(mDigest);
+            mGuard.turns().acquire(mDigest);
             mHasTurn = true;
         }
         mTally.onTry(mLoad);
@@ -197,7 +197,7 @@
         }
         if (failure != null && failure.brokeConnection()) {
             FleetTarget target = mPaths.at(mPlacer.target(place));
-            TargetEnd end = new TargetEnd(target.incarnation(), sent, mTimeline.nowMillis());
+            TargetCrash end = new TargetCrash(target.incarnation(), sent, mTimeline.nowMillis());
             mGuard.onBroken(target, end, mDigest, this::giveTurnBack);
         } else {
             giveTurnBack();
@@ -232,8 +232,8 @@
         if (failure.brokeConnection() && !mGuard.treatment(mDigest).mayRunAgain()) {
             return false;
         }
-        FailedTry failed =
-                new FailedTry(
+        FailedAttempt failed =
+                new FailedAttempt(
                         kind(), failure, mMayHaveRun, Set.copyOf(mTried), mTries, deadlineMillis());
         Optional<S> place = mPlacer.again(this, failed);
         place.ifPresent(this::send);
--- a/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.decisions.health.Outcome;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.model.Endpoint;
 
 /**
@@ -53,9 +53,9 @@
     }
 
     @Override
-    public Optional<FleetTarget> again(Attempt<FleetTarget> attempt, FailedTry failed) {
+    public Optional<FleetTarget> again(Attempt<FleetTarget> attempt, FailedAttempt failed) {
         boolean allowed = failed.kind().idempotency().isRepeatable() || !failed.mayHaveRun();
-        return allowed && failed.tries() < 2
+        return allowed && failed.attempts() < 2
                 ? Optional.of(choose(failed.tried()))
                 : Optional.empty();
     }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetGuard.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetGuard.java
@@ -1,11 +1,11 @@
 package org.dahliapass.lab.fleet;
 
 import java.util.function.Consumer;
-import org.dahliapass.decisions.poison.PoisonRegister;
-import org.dahliapass.decisions.poison.SuspectNews;
-import org.dahliapass.decisions.poison.TargetEnd;
+import org.dahliapass.decisions.poison.PoisonDetector;
+import org.dahliapass.decisions.poison.SuspectReport;
+import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.poison.Turns;
+import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.model.RequestDigest;
 
 /** What one VM does about requests that end their targets; by default it knows of none. */
@@ -19,12 +19,12 @@
     }
 
     /** Returns whose turn it is among suspected requests that are alike. */
-    Turns turns() {
+    DigestLocks turns() {
         throw new IllegalStateException("No request is suspected.");
     }
 
     /** Takes that the connection to a target broke while it had a request. */
-    void onBroken(FleetTarget target, TargetEnd end, RequestDigest digest, Runnable whenChecked) {
+    void onBroken(FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
         whenChecked.run();
     }
 
@@ -36,17 +36,17 @@
         private static final int TIMES_TOLD = 3;
         private static final long TOLD_AGAIN_MILLIS = 200;
 
-        private final PoisonRegister mRegister = new PoisonRegister();
-        private final Turns mTurns = new Turns();
+        private final PoisonDetector mRegister = new PoisonDetector();
+        private final DigestLocks mTurns = new DigestLocks();
         private final Timeline mTimeline;
-        private Consumer<SuspectNews> mTeller;
+        private Consumer<SuspectReport> mTeller;
 
         Production(Timeline timeline) {
             mTimeline = timeline;
         }
 
         /** Sets who tells all other VMs. */
-        void setTeller(Consumer<SuspectNews> teller) {
+        void setTeller(Consumer<SuspectReport> teller) {
             mTeller = teller;
         }
 
@@ -56,17 +56,17 @@
         }
 
         @Override
-        Turns turns() {
+        DigestLocks turns() {
             return mTurns;
         }
 
         @Override
         void onBroken(
-                FleetTarget target, TargetEnd end, RequestDigest digest, Runnable whenChecked) {
+                FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
             mTimeline.after(
                     CHECK_MILLIS,
                     () -> {
-                        if (target.isDown() && mRegister.onEnd(digest, end, now())) {
+                        if (target.isDown() && mRegister.onCrash(digest, end, now())) {
                             tell(digest, TIMES_TOLD);
                         }
                         whenChecked.run();
@@ -81,14 +81,14 @@
         }
 
         /** Takes what another VM tells. */
-        void onNews(SuspectNews news) {
-            if (mRegister.onNews(news, now())) {
+        void onNews(SuspectReport news) {
+            if (mRegister.onPeerReport(news, now())) {
                 tell(news.digest(), 1);
             }
         }
 
         private void tell(RequestDigest digest, int times) {
-            mTeller.accept(mRegister.news(digest, now()));
+            mTeller.accept(mRegister.report(digest, now()));
             if (times > 1) {
                 mTimeline.after(TOLD_AGAIN_MILLIS, () -> tell(digest, times - 1));
             }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetRun.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.dahliapass.decisions.poison.SuspectNews;
+import org.dahliapass.decisions.poison.SuspectReport;
 import org.dahliapass.decisions.traffic.FailureKind;
-import org.dahliapass.decisions.traffic.TargetWork;
+import org.dahliapass.decisions.traffic.TargetReport;
 import org.dahliapass.decisions.traffic.WeightedTarget;
-import org.dahliapass.decisions.traffic.WorkNews;
+import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.model.DetectionPolicy;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.RequestDigest;
@@ -95,11 +95,11 @@
         for (int number = 0; number < runtimes.size(); number++) {
             int self = number;
             ServiceRuntime runtime = runtimes.get(number);
-            runtime.setNewsListener((service, news) -> tell(runtimes, self, news));
+            runtime.setObservationListener((service, news) -> tell(runtimes, self, news));
             mTimeline.after(
                     mRandom.nextLong(REPORT_MILLIS),
                     () -> mTimeline.every(REPORT_MILLIS, () -> report(runtimes, self)));
-            mTimeline.every(UPKEEP_MILLIS, runtime::upkeep);
+            mTimeline.every(UPKEEP_MILLIS, runtime::runMaintenance);
             placers.add(new RuntimePlacer(runtime));
         }
         startLoads(placers, productionGuards());
@@ -146,12 +146,12 @@
         return runtime;
     }
 
-    private void tell(List<ServiceRuntime> runtimes, int self, WorkNews news) {
-        sendToOthers(runtimes, self, other -> other.onPeerNews(news));
+    private void tell(List<ServiceRuntime> runtimes, int self, TargetObservation news) {
+        sendToOthers(runtimes, self, other -> other.onPeerObservation(news));
     }
 
     private void report(List<ServiceRuntime> runtimes, int self) {
-        List<TargetWork> work = runtimes.get(self).takeWorkReport();
+        List<TargetReport> work = runtimes.get(self).drainReport();
         if (!work.isEmpty()) {
             VmIdentity vm = new VmIdentity("vm-" + self, 0);
             sendToOthers(runtimes, self, other -> other.onPeerReport(vm, work));
@@ -181,7 +181,7 @@
     }
 
     private void tellOthers(
-            List<FleetGuard.Production> guards, FleetGuard.Production self, SuspectNews news) {
+            List<FleetGuard.Production> guards, FleetGuard.Production self, SuspectReport news) {
         for (FleetGuard.Production other : guards) {
             if (other != self && mNewsRandom.nextDouble() >= mScenario.newsLoss()) {
                 mTimeline.after(mScenario.newsDelayMillis(), () -> other.onNews(news));
--- a/lab/src/main/java/org/dahliapass/lab/fleet/NoSink.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/NoSink.java
@@ -3,10 +3,10 @@
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceId;
-import org.dahliapass.traffic.EvidenceSink;
+import org.dahliapass.traffic.TargetEventListener;
 
 /** Takes outcomes that the health part would weigh, which these runs leave out. */
-final class NoSink implements EvidenceSink {
+final class NoSink implements TargetEventListener {
     @Override
     public void onOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latency) {}
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.decisions.health.Outcome;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.model.Endpoint;
 
 /**
@@ -17,7 +17,7 @@
     CompletableFuture<S> first(Attempt<S> attempt);
 
     /** Gets a place for a try after one that failed; empty for none. */
-    Optional<S> again(Attempt<S> attempt, FailedTry failed);
+    Optional<S> again(Attempt<S> attempt, FailedAttempt failed);
 
     /** Returns after which time a second try beside a slow one is asked for; negative for never. */
     long hedgeDelayMillis(RequestLoad load);
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.decisions.health.Outcome;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.traffic.ServiceRuntime;
 import org.dahliapass.traffic.Slot;
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public Optional<Slot> again(Attempt<Slot> attempt, FailedTry failed) {
+    public Optional<Slot> again(Attempt<Slot> attempt, FailedAttempt failed) {
         return runtime.retry(attempt, failed);
     }
 
--- a/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.dahliapass.decisions.health.Outcome;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.decisions.traffic.WeightedTarget;
 import org.dahliapass.kernel.Futures;
@@ -177,8 +177,8 @@
                     return;
                 }
                 mRuntime.release(slot, Outcome.REFUSED_SHED, 1);
-                FailedTry failed =
-                        new FailedTry(
+                FailedAttempt failed =
+                        new FailedAttempt(
                                 kind(),
                                 FailureKind.REFUSED_NOT_PROCESSED,
                                 false,
--- a/traffic/src/main/java/org/dahliapass/traffic/EntryMetrics.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/EntryMetrics.java
@@ -105,17 +105,17 @@
     }
 
     /** Counts the end of a try at a target. */
-    public void onTry(String service, String end) {
+    public void onAttempt(String service, String end) {
         mTries.labelValues(service, end).inc();
     }
 
     /** Counts what became of requests that end their targets. */
-    public void onPoison(String event) {
+    public void onPoisonEvent(String event) {
         mPoison.labelValues(event).inc();
     }
 
     /** Observes the time to the head of a target's answer. */
-    public void onHead(String service, String kind, long latencyMillis) {
+    public void onResponseHead(String service, String kind, long latencyMillis) {
         mHeadSeconds.labelValues(service, kind).observe(latencyMillis / MILLIS_PER_SECOND);
     }
 
@@ -125,12 +125,12 @@
     }
 
     /** Sets how late a thread ran its tasks at most, in the last second. */
-    public void onLate(String thread, long millis) {
+    public void onThreadDelay(String thread, long millis) {
         mLateSeconds.labelValues(thread).set(millis / MILLIS_PER_SECOND);
     }
 
     /** Counts bytes of the copy of the store that were handed to another VM. */
-    public void onCopied(long bytes) {
+    public void onStoreCopyBytes(long bytes) {
         mCopiedBytes.inc((double) bytes);
     }
 
@@ -145,12 +145,12 @@
     }
 
     /** Sets the number of the newest configuration change. */
-    public void onConfiguration(long number) {
+    public void onConfigurationNumber(long number) {
         mRevision.set((double) number);
     }
 
     /** Sets the number of VMs in a state. */
-    public void onMembers(String state, int count) {
+    public void onMemberCount(String state, int count) {
         mMembers.labelValues(state).set(count);
     }
 
--- a/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
@@ -38,7 +38,7 @@
                     case NO_TARGET -> "No target of the service takes work of this kind now.";
                     case QUEUE_FULL -> "The queue, or this customer's part of it, is full.";
                     case TOO_LATE -> "No slot comes free in time, by the rate measured now.";
-                    case WAITED_OUT -> "No slot came free within the kind's patience.";
+                    case WAIT_TIMED_OUT -> "No slot came free within the kind's patience.";
                 };
         return new RefusedException(reason, message, refused.retryAfterMillis());
     }
@@ -57,7 +57,7 @@
     }
 
     /** Returns what is wrong, without the step and the peer. */
-    public String problem() {
+    public String detail() {
         return mProblem;
     }
 
