--- a/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
@@ -17,24 +17,24 @@
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.decisions.traffic.Admission;
 import org.dahliapass.decisions.traffic.AdmissionQueue;
-import org.dahliapass.decisions.traffic.Balancer;
-import org.dahliapass.decisions.traffic.Expired;
-import org.dahliapass.decisions.traffic.FailedTry;
+import org.dahliapass.decisions.traffic.LoadBalancer;
+import org.dahliapass.decisions.traffic.ExpiredEntry;
+import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.HedgePolicy;
 import org.dahliapass.decisions.traffic.QueueEntry;
 import org.dahliapass.decisions.traffic.QueueLimits;
-import org.dahliapass.decisions.traffic.QueueStep;
+import org.dahliapass.decisions.traffic.DispatchResult;
 import org.dahliapass.decisions.traffic.RateLimiter;
 import org.dahliapass.decisions.traffic.RetryBudget;
 import org.dahliapass.decisions.traffic.RetryDecision;
 import org.dahliapass.decisions.traffic.RetryPolicy;
-import org.dahliapass.decisions.traffic.ServiceTimes;
+import org.dahliapass.decisions.traffic.ServiceTimeEstimator;
 import org.dahliapass.decisions.traffic.SlotTable;
 import org.dahliapass.decisions.traffic.TargetInFlight;
-import org.dahliapass.decisions.traffic.TargetWork;
+import org.dahliapass.decisions.traffic.TargetReport;
 import org.dahliapass.decisions.traffic.WeightedTarget;
-import org.dahliapass.decisions.traffic.WorkEvidence;
-import org.dahliapass.decisions.traffic.WorkNews;
+import org.dahliapass.decisions.traffic.PassiveFailureDetector;
+import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.RequestKind;
@@ -54,17 +54,17 @@
     private final ServiceId mId;
     private final int mSlotsPerTarget;
     private final Clock mClock;
-    private final EvidenceSink mOutcomes;
+    private final TargetEventListener mOutcomes;
     private final EntryMetrics mMetrics;
     private final SlotTable mSlots;
-    private final ServiceTimes mTimes = new ServiceTimes();
-    private final WorkEvidence mEvidence;
-    private final Balancer mBalancer;
+    private final ServiceTimeEstimator mTimes = new ServiceTimeEstimator();
+    private final PassiveFailureDetector mEvidence;
+    private final LoadBalancer mBalancer;
     private final RetryBudget mBudget = new RetryBudget();
     private final AdmissionQueue<SlotWaiter> mQueue;
     private final RetryPolicy mRetries;
     private final HedgePolicy mHedges;
-    private volatile BiConsumer<ServiceId, WorkNews> mNewsListener = (service, change) -> {};
+    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener = (service, change) -> {};
 
     /** Who is at each target's address, as the newest view of the targets has it. */
     private Map<Endpoint, TargetInstance> mInstances = Map.of();
@@ -81,7 +81,7 @@
             ServiceTemplate template,
             Clock clock,
             RandomGenerator random,
-            EvidenceSink evidence,
+            TargetEventListener evidence,
             EntryMetrics metrics) {
         mId = template.id();
         mSlotsPerTarget = template.slotsPerTarget();
@@ -89,13 +89,13 @@
         mOutcomes = evidence;
         mMetrics = metrics;
         mSlots = new SlotTable(template.slotsPerTarget(), REPORT_HALF_LIFE_MILLIS);
-        mEvidence = new WorkEvidence(mTimes, mSlots);
+        mEvidence = new PassiveFailureDetector(mTimes, mSlots);
         mBalancer =
-                new Balancer(
+                new LoadBalancer(
                         zone,
                         template.floorShare(),
                         mSlots,
-                        Balancer.bulkyShare(template.kinds()),
+                        LoadBalancer.bulkyShare(template.kinds()),
                         random,
                         mEvidence);
         mQueue =
@@ -111,7 +111,7 @@
     }
 
     /** Returns whether these decisions still fit a new revision of the service. */
-    public boolean fits(ServiceTemplate template) {
+    public boolean isCompatibleWith(ServiceTemplate template) {
         return template.slotsPerTarget() == mSlotsPerTarget;
     }
 
@@ -142,7 +142,7 @@
      *     better than none
      * @return fails with a {@link RefusedException}; cancel it if the caller goes away
      */
-    public CompletableFuture<Slot> acquireAgain(SlotRequest request, Set<Endpoint> tried) {
+    public CompletableFuture<Slot> reacquire(SlotRequest request, Set<Endpoint> tried) {
         boolean hasOther;
         synchronized (this) {
             hasOther = mBalancer.hasTargetFor(request.kind(), tried);
@@ -175,7 +175,7 @@
     }
 
     private synchronized OptionalLong rateWait(SlotRequest request) {
-        return mRates.refusal(request.customer(), mId, request.kind(), mClock.millis());
+        return mRates.tryAcquire(request.customer(), mId, request.kind(), mClock.millis());
     }
 
     private void offer(QueueEntry<SlotWaiter> entry, boolean firstTry) {
@@ -185,8 +185,8 @@
         synchronized (this) {
             admission = mQueue.offer(entry, now);
             if (firstTry) {
-                mEvidence.onFirstTry(entry.kind());
-                mBudget.onFirstTry(entry.kind(), now);
+                mEvidence.onFirstAttempt(entry.kind());
+                mBudget.onFirstAttempt(entry.kind(), now);
             }
             if (admission instanceof Admission.Dispatch dispatch) {
                 slot = Optional.of(take(entry, dispatch.target(), now, false));
@@ -199,16 +199,16 @@
     }
 
     /** Gets a slot for a retry if policy and budget allow one. */
-    public Optional<Slot> retry(SlotRequest request, FailedTry failed) {
+    public Optional<Slot> retry(SlotRequest request, FailedAttempt failed) {
         long now = mClock.millis();
         Optional<Slot> slot = Optional.empty();
         synchronized (this) {
             if (mRetries.decide(failed, mQueue.isOverloaded(), now)
-                    instanceof RetryDecision.Go go) {
+                    instanceof RetryDecision.Retry go) {
                 slot = Optional.of(take(newEntry(request, Set.of()), go.target(), now, true));
             }
         }
-        slot.ifPresent(ignored -> mMetrics.onTry(mId.name(), "retry"));
+        slot.ifPresent(ignored -> mMetrics.onAttempt(mId.name(), "retry"));
         return slot;
     }
 
@@ -223,7 +223,7 @@
         Optional<Slot> slot;
         synchronized (this) {
             slot =
-                    mHedges.start(
+                    mHedges.tryStart(
                                     request.kind(),
                                     tried,
                                     request.deadlineMillis(),
@@ -231,7 +231,7 @@
                                     now)
                             .map(target -> take(newEntry(request, Set.of()), target, now, true));
         }
-        slot.ifPresent(ignored -> mMetrics.onTry(mId.name(), "hedge"));
+        slot.ifPresent(ignored -> mMetrics.onAttempt(mId.name(), "hedge"));
         return slot;
     }
 
@@ -258,22 +258,22 @@
     }
 
     /** Sets who tells the other VMs of work that ended; before the first request. */
-    public void setNewsListener(BiConsumer<ServiceId, WorkNews> listener) {
+    public void setObservationListener(BiConsumer<ServiceId, TargetObservation> listener) {
         mNewsListener = listener;
     }
 
     /** Takes what another VM's work showed of a target. */
-    public synchronized void onPeerNews(WorkNews news) {
-        mEvidence.onPeerNews(news);
+    public synchronized void onPeerObservation(TargetObservation news) {
+        mEvidence.onPeerObservation(news);
     }
 
     /** Returns what is new in this VM's work for the other VMs; empty if nothing is. */
-    public synchronized List<TargetWork> takeWorkReport() {
-        return mEvidence.takeReport(mClock.millis());
+    public synchronized List<TargetReport> drainReport() {
+        return mEvidence.drainReport(mClock.millis());
     }
 
     /** Takes another VM's report, and gives the slots that it frees to those who wait. */
-    public void onPeerReport(VmIdentity vm, List<TargetWork> report) {
+    public void onPeerReport(VmIdentity vm, List<TargetReport> report) {
         long now = mClock.millis();
         Handout handout;
         synchronized (this) {
@@ -287,13 +287,13 @@
     }
 
     /** Returns the chance that a target is in a bout of failure, by the newest work. */
-    public synchronized double chanceOfBout(Endpoint target) {
-        return mEvidence.chanceOfBout(target, mClock.millis());
+    public synchronized double failingProbability(Endpoint target) {
+        return mEvidence.failingProbability(target, mClock.millis());
     }
 
     /** Observes the head of an answer. */
-    public void onHead(RequestKind kind, long latencyMillis) {
-        mMetrics.onHead(mId.name(), kind.name(), latencyMillis);
+    public void onResponseHead(RequestKind kind, long latencyMillis) {
+        mMetrics.onResponseHead(mId.name(), kind.name(), latencyMillis);
     }
 
     /**
@@ -308,7 +308,7 @@
         long now = mClock.millis();
         boolean answered = outcome == Outcome.SUCCESS;
         Handout handout;
-        List<WorkNews> news;
+        List<TargetObservation> news;
         boolean replaced;
         synchronized (this) {
             replaced = !slot.instance().equals(mInstances.get(slot.target()));
@@ -319,16 +319,16 @@
                     slot.startedMillis(),
                     replaced ? Outcome.CANCELLED : outcome,
                     now);
-            news = mEvidence.takeNews();
-            QueueStep<SlotWaiter> step =
+            news = mEvidence.drainObservations();
+            DispatchResult<SlotWaiter> step =
                     slot.extra()
-                            ? mQueue.onExtraTryEnded(
+                            ? mQueue.onExtraAttemptEnded(
                                     slot.entry(),
                                     slot.target(),
                                     slot.startedMillis(),
                                     answered,
                                     now)
-                            : mQueue.onTryEnded(
+                            : mQueue.onAttemptEnded(
                                     slot.entry(),
                                     slot.target(),
                                     slot.startedMillis(),
@@ -337,7 +337,7 @@
             handout = handOut(step, now);
         }
         news.forEach(one -> mNewsListener.accept(mId, one));
-        mMetrics.onTry(mId.name(), outcome.name().toLowerCase(Locale.ROOT));
+        mMetrics.onAttempt(mId.name(), outcome.name().toLowerCase(Locale.ROOT));
         if (!replaced) {
             mOutcomes.onOutcome(
                     mId, slot.target(), slot.entry().kind().name(), outcome, latencyMillis);
@@ -395,13 +395,13 @@
     }
 
     /** Refuses those who waited as long as they may; called often by the control thread. */
-    public void upkeep() {
+    public void runMaintenance() {
         long now = mClock.millis();
         Handout handout;
-        List<WorkNews> news;
+        List<TargetObservation> news;
         synchronized (this) {
-            mEvidence.giveUpOnLost(now);
-            news = mEvidence.takeNews();
+            mEvidence.expireOverdue(now);
+            news = mEvidence.drainObservations();
             handout = handOut(mQueue.onSlotFreed(now), now);
         }
         news.forEach(one -> mNewsListener.accept(mId, one));
@@ -409,7 +409,7 @@
     }
 
     /** Returns how many requests wait for slots. */
-    public synchronized int waiting() {
+    public synchronized int queueLength() {
         return mQueue.size();
     }
 
@@ -420,9 +420,9 @@
     }
 
     /** What a step of the queue comes to, to be told once the lock is given back. */
-    private record Handout(List<Expired<SlotWaiter>> expired, List<Slot> slots) {}
+    private record Handout(List<ExpiredEntry<SlotWaiter>> expired, List<Slot> slots) {}
 
-    private Handout handOut(QueueStep<SlotWaiter> step, long now) {
+    private Handout handOut(DispatchResult<SlotWaiter> step, long now) {
         List<Slot> slots =
                 step.dispatched().stream()
                         .map(given -> take(given.entry(), given.target(), now, false))
@@ -431,7 +431,7 @@
     }
 
     private void carryOut(Handout handout) {
-        for (Expired<SlotWaiter> expired : handout.expired()) {
+        for (ExpiredEntry<SlotWaiter> expired : handout.expired()) {
             expired.entry()
                     .request()
                     .slot()
--- a/traffic/src/main/java/org/dahliapass/traffic/EvidenceSink.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/TargetEventListener.java
@@ -5,7 +5,7 @@
 import org.dahliapass.model.ServiceId;
 
 /** Takes what real work showed of targets; called on traffic threads. */
-public interface EvidenceSink {
+public interface TargetEventListener {
     /** Takes the end of a try. */
     void onOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latencyMillis);
