--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
@@ -364,7 +364,8 @@
             mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
             mActions.add(
                     new FollowerAction.FetchRecords(
-                            peer.get(), new RecordsRequest(mWindow.through(), mGroups.incomplete())));
+                            peer.get(),
+                            new RecordsRequest(mWindow.through(), mGroups.incomplete())));
         }
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
@@ -12,7 +12,8 @@
      * @param members the receivers
      * @param records the changes
      */
-    record SendRumor(List<VmIdentity> members, List<ChangeRecord> records) implements FollowerAction {}
+    record SendRumor(List<VmIdentity> members, List<ChangeRecord> records)
+            implements FollowerAction {}
 
     /**
      * Ask a peer for changes.
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Head.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Head.java
@@ -41,7 +41,8 @@
     public List<ChangeRecord> evictedBy(ChangeRecord record, int capacity) {
         int first = 0;
         int uses = record.services().size() + usesOf(ring);
-        while (first < ring.size() && (ring.size() - first >= capacity || uses > MAX_SERVICE_USES)) {
+        while (first < ring.size()
+                && (ring.size() - first >= capacity || uses > MAX_SERVICE_USES)) {
             uses -= ring.get(first).services().size();
             first++;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
@@ -60,6 +60,7 @@
                         .sorted(Comparator.comparingLong(PastOperation::number))
                         .toList();
         ChangeRecord higher = newest.number() > other.newest.number() ? newest : other.newest;
-        return new Pointer(higher, all.subList(Math.max(0, all.size() - MAX_OPERATIONS), all.size()));
+        return new Pointer(
+                higher, all.subList(Math.max(0, all.size() - MAX_OPERATIONS), all.size()));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EjectionController.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EjectionController.java
@@ -41,7 +41,8 @@
     private final List<Explanation> mExplanations = new ArrayList<>();
     private ServiceTemplate mTemplate;
 
-    EjectionController(ServiceTemplate template, FloorPolicy floorRule, EvidenceTable table, long nowMillis) {
+    EjectionController(
+            ServiceTemplate template, FloorPolicy floorRule, EvidenceTable table, long nowMillis) {
         mTemplate = template;
         mFloorRule = floorRule;
         mTable = table;
@@ -177,7 +178,8 @@
         }
     }
 
-    private static boolean isAgainst(TargetRecord record, TargetAssessment verdict, long nowMillis) {
+    private static boolean isAgainst(
+            TargetRecord record, TargetAssessment verdict, long nowMillis) {
         boolean straggler = record.isStraggler(verdict.slow(), nowMillis);
         return switch (record.state()) {
             case ACTIVE -> verdict.failing() || straggler || verdict.failingLocally();
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
@@ -21,7 +21,8 @@
     /** The kind under which failed probes are kept. */
     static final String PROBE_KIND = "#probe";
 
-    private final Map<Endpoint, Map<String, Map<String, WindowedCounts>>> mHistories = new HashMap<>();
+    private final Map<Endpoint, Map<String, Map<String, WindowedCounts>>> mHistories =
+            new HashMap<>();
 
     void add(String place, TargetEvidence evidence, long nowMillis) {
         mHistories
--- a/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
@@ -148,7 +148,9 @@
 
     /** Returns the ratio in the shortest window that has enough work to tell. */
     private double presentLatencyRatio(Endpoint target) {
-        for (int window = WindowedCounts.ONE_SECOND; window < WindowedCounts.EIGHT_SECONDS; window++) {
+        for (int window = WindowedCounts.ONE_SECOND;
+                window < WindowedCounts.EIGHT_SECONDS;
+                window++) {
             if (work(target, window).mSuccesses >= LEAST_WORK_FOR_RATIO) {
                 return latencyRatio(target, window);
             }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
@@ -46,6 +46,9 @@
 
     /** Returns how many targets may get new work. */
     public int activeTargets() {
-        return (int) targets.values().stream().filter(status -> status.state().receivesRequests()).count();
+        return (int)
+                targets.values().stream()
+                        .filter(status -> status.state().receivesRequests())
+                        .count();
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
@@ -105,7 +105,10 @@
         if (record == null || !(outcome.isSuccess() || outcome.isFailure())) {
             return;
         }
-        addOwn(record, UnreportedEvidence.evidence(target, kind, outcome, latencyMillis), nowMillis);
+        addOwn(
+                record,
+                UnreportedEvidence.evidence(target, kind, outcome, latencyMillis),
+                nowMillis);
         weighIfUrgent(nowMillis);
     }
 
@@ -175,7 +178,10 @@
             record.recordFailedProbe(nowMillis);
         }
         Outcome outcome = answered ? Outcome.SUCCESS : Outcome.FAILURE;
-        addOwn(record, UnreportedEvidence.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1), nowMillis);
+        addOwn(
+                record,
+                UnreportedEvidence.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1),
+                nowMillis);
     }
 
     /** Returns what this VM saw since the last call, for the other VMs of the cell. */
@@ -281,7 +287,8 @@
             return;
         }
         record.becomeCold(nowMillis);
-        mLifecycle.recordExplanation(nowMillis, Action.COLD, record, "it says that it is starting", "", "");
+        mLifecycle.recordExplanation(
+                nowMillis, Action.COLD, record, "it says that it is starting", "", "");
         publish(nowMillis);
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/health/VantagePointScores.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/VantagePointScores.java
@@ -68,7 +68,8 @@
         for (Counts[] windows : seen) {
             for (int window = 0; windows != null && window < WindowedCounts.ONE_SECOND; window++) {
                 double expected =
-                        windows[WindowedCounts.ONE_SECOND].total() * WindowedCounts.fractionOfSecond(window);
+                        windows[WindowedCounts.ONE_SECOND].total()
+                                * WindowedCounts.fractionOfSecond(window);
                 windows[window].assumeSuccesses((int) Math.round(expected));
             }
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
@@ -185,7 +185,9 @@
             actions.add(new Replaced(update.identity()));
             return;
         }
-        if (order == 0 && !update.state().isSelfReported() && update.refutation() >= self.refutation()) {
+        if (order == 0
+                && !update.state().isSelfReported()
+                && update.refutation() >= self.refutation()) {
             mComposer.setSelf(self.withState(self.state(), update.refutation() + 1));
             mUrgentNews = true;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
@@ -213,7 +213,10 @@
         long heard =
                 vms.stream()
                         .map(identity -> mTable.find(identity.name()))
-                        .filter(member -> MemberStateMachine.heardWithin(member, nowMillis, windowMillis))
+                        .filter(
+                                member ->
+                                        MemberStateMachine.heardWithin(
+                                                member, nowMillis, windowMillis))
                         .count();
         return (double) heard / vms.size();
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
@@ -140,7 +140,8 @@
             mLanes.get(QueueLane.of(waiting.entry().kind())).remove(waiting);
             forget(waiting);
             expired.add(
-                    new ExpiredEntry<>(waiting.entry(), refuse(RefusalReason.WAIT_TIMED_OUT, drainMillis)));
+                    new ExpiredEntry<>(
+                            waiting.entry(), refuse(RefusalReason.WAIT_TIMED_OUT, drainMillis)));
         }
         return expired;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchResult.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchResult.java
@@ -9,7 +9,8 @@
  * @param expired requests to be refused now
  * @param <T> what the caller needs to go on with a request
  */
-public record DispatchResult<T>(List<DispatchedEntry<T>> dispatched, List<ExpiredEntry<T>> expired) {
+public record DispatchResult<T>(
+        List<DispatchedEntry<T>> dispatched, List<ExpiredEntry<T>> expired) {
     /** Copies the lists. */
     public DispatchResult {
         dispatched = List.copyOf(dispatched);
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
@@ -56,7 +56,13 @@
      * @param random draws the targets
      */
     public LoadBalancer(SlotTable slots, double bulkyShare, RandomGenerator random) {
-        this("", 0, slots, bulkyShare, random, new PassiveFailureDetector(new ServiceTimeEstimator(), slots));
+        this(
+                "",
+                0,
+                slots,
+                bulkyShare,
+                random,
+                new PassiveFailureDetector(new ServiceTimeEstimator(), slots));
     }
 
     /**
@@ -117,7 +123,8 @@
     }
 
     /** Picks a target as {@link #pick}, for a further try after one that failed. */
-    public Optional<Endpoint> pickForRetry(RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
+    public Optional<Endpoint> pickForRetry(
+            RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
         List<WeightedTarget> drawn = drawn();
         Optional<Endpoint> picked = pickAmong(drawn, kind, excluded, nowMillis);
         if (picked.isPresent()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
@@ -122,7 +122,10 @@
             default -> {
                 if (unjudged) {
                     boolean silent = outcome == Outcome.TIMEOUT;
-                    onFailed(target, silent ? Observation.SILENT : Observation.BROKEN, startedMillis);
+                    onFailed(
+                            target,
+                            silent ? Observation.SILENT : Observation.BROKEN,
+                            startedMillis);
                 }
             }
         }
@@ -177,7 +180,8 @@
      */
     private void onPeerEnd(Endpoint target, Observation sign, long sentMillis) {
         double ratio = sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates);
-        mBeliefs.onObservation(target, sign, sign.hasResponse() ? ratio : Math.sqrt(ratio), sentMillis);
+        mBeliefs.onObservation(
+                target, sign, sign.hasResponse() ? ratio : Math.sqrt(ratio), sentMillis);
     }
 
     /**
@@ -247,7 +251,9 @@
     /** Returns the chance that a target fails a piece of work that it is sent now. */
     public double lossProbability(Endpoint target, long nowMillis) {
         double bout = failingProbability(target, nowMillis);
-        double byTarget = bout * mRates.failureRateWhenFailing() + (1 - bout) * mRates.failureRateWhenHealthy();
+        double byTarget =
+                bout * mRates.failureRateWhenFailing()
+                        + (1 - bout) * mRates.failureRateWhenHealthy();
         return 1 - (1 - byTarget) * (1 - mPaths.partitionProbability(target, nowMillis));
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
@@ -28,7 +28,11 @@
      * @param slots the slots of the service
      * @param times how long answers take
      */
-    public RetryPolicy(RetryBudget budget, LoadBalancer balancer, SlotTable slots, ServiceTimeEstimator times) {
+    public RetryPolicy(
+            RetryBudget budget,
+            LoadBalancer balancer,
+            SlotTable slots,
+            ServiceTimeEstimator times) {
         mBudget = budget;
         mBalancer = balancer;
         mSlots = slots;
@@ -57,7 +61,8 @@
         if (!mBudget.hasRemaining(failed.kind(), nowMillis)) {
             return new Stop(StopReason.BUDGET_EXHAUSTED);
         }
-        Optional<Endpoint> target = mBalancer.pickForRetry(failed.kind(), failed.tried(), nowMillis);
+        Optional<Endpoint> target =
+                mBalancer.pickForRetry(failed.kind(), failed.tried(), nowMillis);
         if (target.isEmpty()) {
             return new Stop(StopReason.NO_TARGET);
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimeEstimator.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimeEstimator.java
@@ -43,7 +43,8 @@
      * @param answered whether a whole answer came; else it says nothing of the kind's latency
      * @param nowMillis the time, in milliseconds
      */
-    public void onAttemptEnded(RequestKind kind, long tookMillis, boolean answered, long nowMillis) {
+    public void onAttemptEnded(
+            RequestKind kind, long tookMillis, boolean answered, long nowMillis) {
         mLastChangeMillis = nowMillis;
         mHoldByLane.computeIfAbsent(holdLane(kind), unused -> new MovingMean()).add(tookMillis);
         if (answered) {
@@ -84,7 +85,8 @@
     double slotReleasesPerMilli(SlotTable slots, long nowMillis) {
         int bulky = slots.ownBulkyInFlightTotal();
         double rate =
-                rate(bulky, QueueLane.BULKY) + rate(slots.ownInFlightTotal() - bulky, QueueLane.SHORT);
+                rate(bulky, QueueLane.BULKY)
+                        + rate(slots.ownInFlightTotal() - bulky, QueueLane.SHORT);
         return Math.min(rate, stallRate(nowMillis));
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/AddressSelectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/AddressSelectorTest.java
@@ -33,7 +33,8 @@
     @Test
     public void callersZoneComesFirst() {
         for (int i = 0; i < 20; i++) {
-            SelectedAddresses answer = mPolicy.select(CellPlannerTest.fleet(6), Optional.of("zone-2"));
+            SelectedAddresses answer =
+                    mPolicy.select(CellPlannerTest.fleet(6), Optional.of("zone-2"));
             assertEquals(answer.vms().get(0).availabilityZone(), "zone-2");
         }
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
@@ -13,10 +13,10 @@
 import org.dahliapass.decisions.configuration.FollowerAction.Apply;
 import org.dahliapass.decisions.configuration.FollowerAction.FetchRecords;
 import org.dahliapass.decisions.configuration.FollowerAction.FetchText;
-import org.dahliapass.decisions.configuration.FollowerAction.SendRumor;
 import org.dahliapass.decisions.configuration.FollowerAction.ReadStore;
 import org.dahliapass.decisions.configuration.FollowerAction.Reject;
 import org.dahliapass.decisions.configuration.FollowerAction.Release;
+import org.dahliapass.decisions.configuration.FollowerAction.SendRumor;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.BeforeMethod;
@@ -161,7 +161,8 @@
             reads += due.size();
         }
         assertTrue(reads > 100, "" + reads);
-        assertTrue(reads <= 10_000 / FollowerSettings.DEFAULTS.storeReadIntervalMillis(), "" + reads);
+        assertTrue(
+                reads <= 10_000 / FollowerSettings.DEFAULTS.storeReadIntervalMillis(), "" + reads);
     }
 
     // A read of the providers' index is slow, so it is sent again. Meanwhile a first provider was
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
@@ -234,7 +234,8 @@
             mOperators.remove(operator);
             mOrder.onOutcome(operator.mOperationId, finish.outcome());
             if (finish.outcome() instanceof AcceptOutcome.Unknown unknown) {
-                mOperators.add(new Operator(operator.mOperationId, new ResolveProtocol(unknown.handle())));
+                mOperators.add(
+                        new Operator(operator.mOperationId, new ResolveProtocol(unknown.handle())));
             }
         }
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/health/LikelihoodRatioTestTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/LikelihoodRatioTestTest.java
@@ -27,7 +27,8 @@
     @Test
     public void stricterToleranceAndMoreWorkRaiseTheBound() {
         assertTrue(LikelihoodRatioTest.bound(1e-4, 1_000) > LikelihoodRatioTest.bound(1e-2, 1_000));
-        assertTrue(LikelihoodRatioTest.bound(1e-2, 100_000) > LikelihoodRatioTest.bound(1e-2, 1_000));
+        assertTrue(
+                LikelihoodRatioTest.bound(1e-2, 100_000) > LikelihoodRatioTest.bound(1e-2, 1_000));
     }
 
     @Test
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import org.dahliapass.decisions.membership.SimulatedFleet.Node;
 import org.dahliapass.decisions.membership.MembershipAction.MemberChanged;
+import org.dahliapass.decisions.membership.SimulatedFleet.Node;
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
@@ -299,7 +299,12 @@
             Set<VmIdentity> running = mLoop.running();
             for (Node node : mLoop.mNodes) {
                 if (node.isRunning() && !SimulatedFleet.view(node).equals(running)) {
-                    fail(node.identity() + " sees " + SimulatedFleet.view(node) + ", not " + running);
+                    fail(
+                            node.identity()
+                                    + " sees "
+                                    + SimulatedFleet.view(node)
+                                    + ", not "
+                                    + running);
                 }
             }
         }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
@@ -1,8 +1,8 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
 import static org.dahliapass.decisions.once.OnceFixtures.OPERATION;
 import static org.dahliapass.decisions.once.OnceFixtures.RESULT;
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
@@ -60,7 +60,8 @@
             return new HomeLedger(self, MAX_ATTEMPTS, table) {
                 @Override
                 Optional<HomeRecord> openAttempt(Operation operation, int attempt) {
-                    return table.find(operation).filter(known -> known.isOpenAttempt(known.attempt()));
+                    return table.find(operation)
+                            .filter(known -> known.isOpenAttempt(known.attempt()));
                 }
             };
         }
@@ -135,7 +136,8 @@
             return new OperationTable<>(WINDOW, LIMITS) {
                 @Override
                 boolean canEvict(Operation operation, long nowMillis) {
-                    return nowMillis - operation.key().issuedMillis() > WINDOW.retentionMillis() / 2;
+                    return nowMillis - operation.key().issuedMillis()
+                            > WINDOW.retentionMillis() / 2;
                 }
             };
         }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
@@ -68,6 +68,8 @@
                 IllegalArgumentException.class,
                 () ->
                         new OperationToken(
-                                OnceFixtures.HOME, OnceFixtures.HOME_RESTARTED, OnceFixtures.ISSUED));
+                                OnceFixtures.HOME,
+                                OnceFixtures.HOME_RESTARTED,
+                                OnceFixtures.ISSUED));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
@@ -63,7 +63,8 @@
     @Test
     public void refusalAllowsTheMargin() {
         assertEquals(WINDOW.refusal(ISSUED, ISSUED - 1_000), Optional.empty());
-        assertEquals(WINDOW.refusal(ISSUED, ISSUED - 1_001), Optional.of(UnknownReason.NOT_YET_VALID));
+        assertEquals(
+                WINDOW.refusal(ISSUED, ISSUED - 1_001), Optional.of(UnknownReason.NOT_YET_VALID));
     }
 
     /** A body too long, or more bytes than are left, costs the body but never the status. */
--- a/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
@@ -1,8 +1,8 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
 import static org.dahliapass.decisions.once.OnceFixtures.OPERATION;
 import static org.dahliapass.decisions.once.OnceFixtures.OTHER;
@@ -34,7 +34,8 @@
     @Test
     public void homeWithoutWordLeadsToTheWitness() {
         Resolver resolver = resolverOf(OTHER);
-        assertEquals(resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, ISSUED), ASK_WITNESS);
+        assertEquals(
+                resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, ISSUED), ASK_WITNESS);
         assertEquals(resolver.homeUnavailable(OPERATION, ISSUED), ASK_WITNESS);
         assertEquals(resolverOf(HOME_RESTARTED).start(OPERATION, ISSUED), ASK_WITNESS);
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
@@ -1,8 +1,8 @@
 package org.dahliapass.decisions.once;
 
-import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME;
 import static org.dahliapass.decisions.once.OnceFixtures.HOME_RESTARTED;
+import static org.dahliapass.decisions.once.OnceFixtures.ISSUED;
 import static org.dahliapass.decisions.once.OnceFixtures.LIMITS;
 import static org.dahliapass.decisions.once.OnceFixtures.OPERATION;
 import static org.dahliapass.decisions.once.OnceFixtures.RESULT;
@@ -73,7 +73,8 @@
     @Test
     public void restartedWitnessKnowsNothingOfItsFormerLife() {
         WitnessRegister restarted = new WitnessRegister(WITNESS_RESTARTED, WINDOW, LIMITS);
-        assertEquals(restarted.resolve(OPERATION, ISSUED), unknown(UnknownReason.WITNESS_RESTARTED));
+        assertEquals(
+                restarted.resolve(OPERATION, ISSUED), unknown(UnknownReason.WITNESS_RESTARTED));
         assertEquals(intent(restarted), IntentReply.WRONG_INCARNATION);
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/poison/PoisonDetectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/poison/PoisonDetectorTest.java
@@ -86,7 +86,9 @@
     private static PoisonDetector told(List<TargetCrash> ends) {
         PoisonDetector register = new PoisonDetector();
         ends.forEach(
-                end -> register.onPeerReport(new SuspectReport(DIGEST, List.of(end), false, false), NOW));
+                end ->
+                        register.onPeerReport(
+                                new SuspectReport(DIGEST, List.of(end), false, false), NOW));
         return register;
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/DemandEstimatorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/DemandEstimatorTest.java
@@ -38,7 +38,8 @@
 
     @Test
     public void targetsWithoutARouteCountForNothing() {
-        assertEquals(DemandEstimator.requestsPerSecond(configuration(800, "other"), targets(10)), 0.0);
+        assertEquals(
+                DemandEstimator.requestsPerSecond(configuration(800, "other"), targets(10)), 0.0);
     }
 
     /** Callers would change VMs, and open connections anew, with each target that restarts. */
@@ -52,7 +53,8 @@
     }
 
     private static double estimate(int slots, long objectiveMillis) {
-        return DemandEstimator.requestsPerSecond(configuration(objectiveMillis, "x"), targets(slots));
+        return DemandEstimator.requestsPerSecond(
+                configuration(objectiveMillis, "x"), targets(slots));
     }
 
     private static RoutingConfiguration configuration(long objectiveMillis, String service) {
--- a/decisions/src/test/java/org/dahliapass/decisions/routing/WeightedRoundRobinTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/routing/WeightedRoundRobinTest.java
@@ -41,7 +41,9 @@
         int firstToA = 0;
         for (int seed = 0; seed < 100; seed++) {
             firstToA +=
-                    new WeightedRoundRobin(new SplittableRandom(seed)).next(route).equals("a") ? 1 : 0;
+                    new WeightedRoundRobin(new SplittableRandom(seed)).next(route).equals("a")
+                            ? 1
+                            : 0;
         }
         assertTrue(firstToA > 25 && firstToA < 75, firstToA + " of 100 began with a");
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/FailureModelTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/FailureModelTest.java
@@ -39,11 +39,15 @@
     @Test
     public void learnsWhetherFailuresShowAsSilence() {
         mRates.onFailurePeriod(5_000, 40, 40, 50);
-        assertTrue(mRates.silentShareWhenFailing() > 0.9, "all silent: " + mRates.silentShareWhenFailing());
+        assertTrue(
+                mRates.silentShareWhenFailing() > 0.9,
+                "all silent: " + mRates.silentShareWhenFailing());
         for (int number = 0; number < MANY; number++) {
             mRates.onFailurePeriod(5_000, 40, 0, 50);
         }
-        assertTrue(mRates.silentShareWhenFailing() < 0.1, "none silent: " + mRates.silentShareWhenFailing());
+        assertTrue(
+                mRates.silentShareWhenFailing() < 0.1,
+                "none silent: " + mRates.silentShareWhenFailing());
     }
 
     /** A release that makes bouts shorter must show within minutes, not hours. */
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/Kinds.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/Kinds.java
@@ -13,7 +13,8 @@
     static final RequestKind LOOKUP = kind("lookup", Idempotency.IDEMPOTENT, 2_000, 1_000, false);
     static final RequestKind LISTING =
             kind("listing", Idempotency.IDEMPOTENT, 60_000, 30_000, false);
-    static final RequestKind SIGN_OFF = kind("sign-off", Idempotency.AT_MOST_ONCE, 10_000, 5_000, false);
+    static final RequestKind SIGN_OFF =
+            kind("sign-off", Idempotency.AT_MOST_ONCE, 10_000, 5_000, false);
     static final RequestKind EXTRACT =
             kind("extract", Idempotency.IDEMPOTENT, 60_000, 30_000, true);
 
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/PassiveFailureDetectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/PassiveFailureDetectorTest.java
@@ -100,7 +100,9 @@
         mEvidence.expireOverdue(4_399);
         assertEquals(mEvidence.drainObservations(), List.of());
         mEvidence.expireOverdue(4_400);
-        assertEquals(mEvidence.drainObservations(), List.of(new TargetObservation(TARGET, Observation.SILENT, 0)));
+        assertEquals(
+                mEvidence.drainObservations(),
+                List.of(new TargetObservation(TARGET, Observation.SILENT, 0)));
         mEvidence.expireOverdue(4_500);
         end("work", 0, Outcome.TIMEOUT, 10_000);
         assertEquals(mEvidence.drainObservations(), List.of());
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
@@ -54,7 +54,8 @@
             assertEquals(goes, !failure.mayHaveRun(), "retry after " + failure);
         }
         FailedAttempt earlierMayHaveRun =
-                new FailedAttempt(Kinds.SIGN_OFF, FailureKind.CONNECT_FAILED, true, TRIED, 2, DEADLINE);
+                new FailedAttempt(
+                        Kinds.SIGN_OFF, FailureKind.CONNECT_FAILED, true, TRIED, 2, DEADLINE);
         assertStopped(mRetries.decide(earlierMayHaveRun, false, 0), StopReason.MAY_HAVE_RUN);
     }
 
@@ -96,7 +97,8 @@
     @Test
     public void slowAnswerOfASoundTargetGetsNoHedge() {
         start(new RetryBudget(), new RetryBudget());
-        mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(0), Observation.ANSWERED, 0));
+        mEvidence.onPeerObservation(
+                new TargetObservation(Kinds.endpoint(0), Observation.ANSWERED, 0));
         assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0).isEmpty());
         doubtFirstTarget(1);
         assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 1).isPresent());
@@ -104,7 +106,8 @@
 
     private void doubtFirstTarget(long nowMillis) {
         for (int number = 0; number < 3; number++) {
-            mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(0), Observation.ERROR, nowMillis));
+            mEvidence.onPeerObservation(
+                    new TargetObservation(Kinds.endpoint(0), Observation.ERROR, nowMillis));
         }
     }
 
@@ -173,7 +176,8 @@
         mSlots = new SlotTable(10_000, 1_000);
         mTimes = new ServiceTimeEstimator();
         mEvidence = new PassiveFailureDetector(mTimes, mSlots);
-        LoadBalancer balancer = new LoadBalancer("", 0, mSlots, 0.5, new SplittableRandom(1), mEvidence);
+        LoadBalancer balancer =
+                new LoadBalancer("", 0, mSlots, 0.5, new SplittableRandom(1), mEvidence);
         balancer.onTargets(Kinds.targets(3));
         mRetries = new RetryPolicy(retryBudget, balancer, mSlots, mTimes);
         mHedges = new HedgePolicy(hedgeBudget, balancer, mSlots, mTimes, mEvidence);
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetSelectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetSelectorTest.java
@@ -154,7 +154,9 @@
         failed(0);
         for (int draw = 0; draw < DRAWS; draw++) {
             Endpoint chosen =
-                    mPlacement.selectForRetry(Kinds.LOOKUP, mTargets, mTargets, NOW + 1).orElseThrow();
+                    mPlacement
+                            .selectForRetry(Kinds.LOOKUP, mTargets, mTargets, NOW + 1)
+                            .orElseThrow();
             assertFalse(chosen.equals(Kinds.endpoint(0)));
         }
     }
@@ -192,7 +194,8 @@
     }
 
     private void answered(int target, long sentMillis) {
-        mEvidence.onPeerObservation(new TargetObservation(Kinds.endpoint(target), Observation.ANSWERED, sentMillis));
+        mEvidence.onPeerObservation(
+                new TargetObservation(Kinds.endpoint(target), Observation.ANSWERED, sentMillis));
     }
 
     private void failed(int target) {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetStateEstimatorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetStateEstimatorTest.java
@@ -110,6 +110,10 @@
     }
 
     private void end(Observation sign, long sentMillis) {
-        mBeliefs.onObservation(TARGET, sign, sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates), sentMillis);
+        mBeliefs.onObservation(
+                TARGET,
+                sign,
+                sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates),
+                sentMillis);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/AnswerObserver.java
+++ b/entry/src/main/java/org/dahliapass/entry/AnswerObserver.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.RequestKind;
-import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.Outcome;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.traffic.EntryMetrics;
 
 /** Gives callers their answers and accounts for each of them once. */
--- a/entry/src/main/java/org/dahliapass/entry/AskHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/AskHandler.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import org.dahliapass.decisions.assignment.SelectedAddresses;
 import org.dahliapass.decisions.assignment.AddressSelector;
+import org.dahliapass.decisions.assignment.SelectedAddresses;
 import org.dahliapass.decisions.membership.MemberState;
 import org.dahliapass.decisions.membership.MemberUpdate;
 import org.dahliapass.model.Vm;
@@ -45,7 +45,9 @@
         mConfiguration = configuration;
         mTokens = tokens;
         mReadiness = readiness;
-        mPolicy = new AddressSelector(MOST_ADDRESSES, settings.askTimeToLive(), new SplittableRandom());
+        mPolicy =
+                new AddressSelector(
+                        MOST_ADDRESSES, settings.askTimeToLive(), new SplittableRandom());
     }
 
     @Override
--- a/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
@@ -6,8 +6,8 @@
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.CustomerGroup;
 import org.dahliapass.decisions.configuration.GroupSnapshot;
-import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.RecordsRequest;
+import org.dahliapass.decisions.configuration.RecordsResponse;
 import org.dahliapass.decisions.configuration.ServiceUse;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.wire.message.FetchChanges;
@@ -93,7 +93,10 @@
     static RecordsResponse decode(FetchChangesReply message) {
         List<GroupSnapshot> fills =
                 message.getGroupsList().stream()
-                        .map(group -> new GroupSnapshot(groupOf(group), decode(group.getNewestList())))
+                        .map(
+                                group ->
+                                        new GroupSnapshot(
+                                                groupOf(group), decode(group.getNewestList())))
                         .toList();
         return new RecordsResponse(
                 message.getFirstNumber(),
--- a/entry/src/main/java/org/dahliapass/entry/EntryMain.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryMain.java
@@ -8,11 +8,11 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.kernel.ComponentLog;
-import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.Program;
 
 /** The binary {@code dahliapass-vm}: one entry VM. */
 public final class EntryMain extends Program {
--- a/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Predicate;
-import org.dahliapass.kernel.KernelService;
 import org.dahliapass.kernel.ComponentLog;
+import org.dahliapass.kernel.KernelService;
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.EntryMetrics;
 
--- a/entry/src/main/java/org/dahliapass/entry/OnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/OnceService.java
@@ -17,11 +17,11 @@
 import org.dahliapass.decisions.once.RetentionWindow;
 import org.dahliapass.decisions.once.TableLimits;
 import org.dahliapass.decisions.once.WitnessRegister;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.VmIdentity;
 
 /** Holds this VM's records of guarded operations on the control thread and talks to the peers. */
@@ -68,7 +68,8 @@
 
     /** Begins with a guarded request that has arrived. */
     CompletableFuture<BeginResult> begin(Operation operation, String digest, long deadlineMillis) {
-        return mLoop.submit(() -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
+        return mLoop.submit(
+                () -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
     }
 
     /** Asks the witness for its acknowledgement and returns what the home does on its reply. */
@@ -183,7 +184,10 @@
                                                         found.from(),
                                                         found.answer(),
                                                         mClock.millis()))
-                                .orElseGet(() -> mResolver.homeUnavailable(operation, mClock.millis())));
+                                .orElseGet(
+                                        () ->
+                                                mResolver.homeUnavailable(
+                                                        operation, mClock.millis())));
     }
 
     private ResolverStep onWitnessWord(
--- a/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
@@ -11,8 +11,8 @@
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.model.Vm;
-import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.ServiceRuntime;
 
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -29,8 +29,8 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 import org.dahliapass.traffic.EntryMetrics;
-import org.dahliapass.traffic.TargetEventListener;
 import org.dahliapass.traffic.ServiceRuntime;
+import org.dahliapass.traffic.TargetEventListener;
 
 /**
  * The services that this VM serves: for each its traffic decisions and the health of its targets.
--- a/entry/src/main/java/org/dahliapass/entry/StallGuard.java
+++ b/entry/src/main/java/org/dahliapass/entry/StallGuard.java
@@ -74,7 +74,8 @@
      * A cause of its own: a plain abort would look like the caller's doing, no fault of a target.
      */
     private static OperationException stalled() {
-        return new OperationException("receive body", "target", "It made no progress for too long.");
+        return new OperationException(
+                "receive body", "target", "It made no progress for too long.");
     }
 
     /** Returns how many answers are watched. */
--- a/entry/src/main/java/org/dahliapass/entry/TargetClients.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetClients.java
@@ -97,7 +97,8 @@
 
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
-        kernel.find(ControlLoop.NAME, ControlLoop.class).scheduleWithFixedDelay(SWEEP, mStalls::sweep);
+        kernel.find(ControlLoop.NAME, ControlLoop.class)
+                .scheduleWithFixedDelay(SWEEP, mStalls::sweep);
         return CompletableFuture.completedFuture(null);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/VmListReader.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmListReader.java
@@ -64,7 +64,8 @@
 
     private void onAnswer(VmList list, Throwable failure) {
         if (failure == null) {
-            mOnAddresses.accept(list.vms().stream().map(entry -> entry.vm().peerEndpoint()).toList());
+            mOnAddresses.accept(
+                    list.vms().stream().map(entry -> entry.vm().peerEndpoint()).toList());
         }
         Duration pause = pause();
         // Spread, so that VMs that started together don't call together for ever.
--- a/gateway/src/main/java/org/dahliapass/gateway/AttemptResult.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/AttemptResult.java
@@ -15,7 +15,8 @@
      * @param status its status
      * @param response the answer for the caller
      */
-    record Responded(Endpoint target, int status, CallerResponse response) implements AttemptResult {
+    record Responded(Endpoint target, int status, CallerResponse response)
+            implements AttemptResult {
         /** Returns whether the target has sent all of it. */
         boolean isComplete() {
             return response instanceof CallerResponse.Buffered;
--- a/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
@@ -1,7 +1,7 @@
 package org.dahliapass.gateway;
 
-import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.ServerCall;
+import org.dahliapass.http.ServerResponse;
 
 /** An answer that can be given to a caller once; used on the traffic thread only. */
 interface CallerResponse {
--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -10,9 +10,9 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.dahliapass.decisions.routing.AddressPlan;
-import org.dahliapass.decisions.routing.StoreBackoff;
 import org.dahliapass.decisions.routing.ChangeSource;
 import org.dahliapass.decisions.routing.ChangeSourceSelector;
+import org.dahliapass.decisions.routing.StoreBackoff;
 import org.dahliapass.http.HttpClient;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Futures;
@@ -143,7 +143,8 @@
      * in force anywhere; any thread may call this.
      */
     boolean isUpToDate() {
-        long heard = mCurrent ? Math.max(mHeardMillis, mFollower.lastResponseMillis()) : mHeardMillis;
+        long heard =
+                mCurrent ? Math.max(mHeardMillis, mFollower.lastResponseMillis()) : mHeardMillis;
         return mLoop.nowMillis() - heard <= NEWS_KEPT_MILLIS;
     }
 
@@ -279,7 +280,9 @@
 
     private void forgetOldPeers() {
         Set<Endpoint> known =
-                mFollower.view().vms().stream().map(FleetVm::peerEndpoint).collect(Collectors.toSet());
+                mFollower.view().vms().stream()
+                        .map(FleetVm::peerEndpoint)
+                        .collect(Collectors.toSet());
         known.addAll(mSeeds);
         mPeers.retain(known);
     }
@@ -327,7 +330,8 @@
         setNotCurrent();
         StoreReader.onControlThread(
                 mLoop,
-                mPeers.clientFor(peer.peerEndpoint()).watch(StoreReader.ALL_KEYS, revision, PEER_WATCH),
+                mPeers.clientFor(peer.peerEndpoint())
+                        .watch(StoreReader.ALL_KEYS, revision, PEER_WATCH),
                 answer -> {
                     if (number == mFollowNumber) {
                         take(revision, answer, () -> readPeer(peer, revision), Duration.ZERO);
@@ -356,7 +360,8 @@
     private void readPeer(FleetVm peer, long revision) {
         StoreReader.onControlThread(
                 mLoop,
-                mPeers.clientFor(peer.peerEndpoint()).range(StoreReader.ALL_KEYS, "", Consistency.STALE_ALLOWED),
+                mPeers.clientFor(peer.peerEndpoint())
+                        .range(StoreReader.ALL_KEYS, "", Consistency.STALE_ALLOWED),
                 page -> {
                     if (page.revision() >= revision) {
                         takeAll(page.items(), page.revision());
--- a/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
-import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.RequestHandler;
 import org.dahliapass.http.ServerCall;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.DiscoveryCalls;
 
@@ -29,7 +29,10 @@
                         .view()
                         .plan()
                         .addresses(
-                                named(query, DiscoveryCalls.ZONE, mSettings.self().availabilityZone()),
+                                named(
+                                        query,
+                                        DiscoveryCalls.ZONE,
+                                        mSettings.self().availabilityZone()),
                                 named(query, DiscoveryCalls.REGION, mSettings.self().region()));
         if (addresses.isEmpty() && mState.phase().isReady()) {
             addresses = List.of(mSettings.self().callerEndpoint());
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
@@ -13,9 +13,9 @@
 import joptsimple.OptionSpec;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.MonotonicClock;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.SettingsException;
-import org.dahliapass.kernel.OperationException;
 
 /** The binary {@code dahliapass-gateway}: one gateway VM. */
 public final class GatewayMain extends Program {
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -92,7 +92,8 @@
 
     private static CallerResponse answer(
             HttpResponseStatus status, long comeBackMillis, String message) {
-        ServerResponse answer = ServerResponse.json(status, new JsonObject().put("message", message).toString());
+        ServerResponse answer =
+                ServerResponse.json(status, new JsonObject().put("message", message).toString());
         if (comeBackMillis > 0) {
             answer.headers()
                     .set(
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.HttpServer;
 import org.dahliapass.http.PathRouter;
 import org.dahliapass.http.RequestHandler;
+import org.dahliapass.http.ServerResponse;
 import org.dahliapass.http.ServerTimeouts;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
@@ -32,7 +32,8 @@
      * nothing. A head comes in one piece mostly; an idle connection costs little.
      */
     private static final ServerTimeouts LIMITS =
-            new ServerTimeouts(Duration.ofSeconds(10), Duration.ofSeconds(30), Duration.ofMinutes(2));
+            new ServerTimeouts(
+                    Duration.ofSeconds(10), Duration.ofSeconds(30), Duration.ofMinutes(2));
 
     private final GatewaySettings mSettings;
     private final GatewayState mState;
@@ -108,7 +109,8 @@
     }
 
     private static ServerTimeouts serverLimits(RequestLimits limits) {
-        return new ServerTimeouts(limits.headerTimeout(), limits.idleTimeout(), limits.idleTimeout());
+        return new ServerTimeouts(
+                limits.headerTimeout(), limits.idleTimeout(), limits.idleTimeout());
     }
 
     private HttpResponseStatus readiness() {
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -21,14 +21,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.dahliapass.decisions.poison.SuspectReport;
-import org.dahliapass.decisions.traffic.TargetReport;
-import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.decisions.traffic.Observation;
+import org.dahliapass.decisions.traffic.TargetObservation;
+import org.dahliapass.decisions.traffic.TargetReport;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.PeriodicTask;
 import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.PeriodicTask;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
@@ -249,7 +249,10 @@
             return;
         }
         long sentMillis = mLoop.nowMillis() - news.getSentAgeMillis();
-        pool.get().runtime().onPeerObservation(new TargetObservation(target.endpoint(), sign.get(), sentMillis));
+        pool.get()
+                .runtime()
+                .onPeerObservation(
+                        new TargetObservation(target.endpoint(), sign.get(), sentMillis));
         logEnd(news.getService(), target, sign.get(), news.getSender());
     }
 
@@ -259,7 +262,8 @@
         pool.runtime().onPeerReport(new VmIdentity(news.getSender(), 0), report);
     }
 
-    private void logEnd(String service, TargetRegistration target, Observation sign, String witness) {
+    private void logEnd(
+            String service, TargetRegistration target, Observation sign, String witness) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "work_ended",
--- a/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Supplier;
+import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.decisions.poison.PoisonDetector;
 import org.dahliapass.decisions.poison.SuspectReport;
 import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.model.RequestDigest;
 import org.dahliapass.platform.KeyValueStore;
 import org.dahliapass.traffic.EntryMetrics;
@@ -100,7 +100,8 @@
      */
     void onConnectionBroken(TargetAttempt offer, RequestDigest digest, Runnable whenChecked) {
         TargetCrash end =
-                new TargetCrash(offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
+                new TargetCrash(
+                        offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
         mCheck.check(
                 offer.target(),
                 ended -> {
@@ -109,7 +110,8 @@
                 });
     }
 
-    private void onChecked(TargetAttempt offer, RequestDigest digest, TargetCrash end, boolean ended) {
+    private void onChecked(
+            TargetAttempt offer, RequestDigest digest, TargetCrash end, boolean ended) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "connection_broken",
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -203,7 +203,8 @@
             discard(result);
             return;
         }
-        boolean checked = result instanceof AttemptResult.Failed failed && noteBroken(offer, failed);
+        boolean checked =
+                result instanceof AttemptResult.Failed failed && noteBroken(offer, failed);
         if (!checked) {
             giveTurnBack();
         }
@@ -418,7 +419,8 @@
         if (mRunning.isEmpty()) {
             mDeadline.cancel(false);
         }
-        mError.filter(error -> error.response() != answer).ifPresent(error -> error.response().discard());
+        mError.filter(error -> error.response() != answer)
+                .ifPresent(error -> error.response().discard());
         log(status, outcome);
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -17,8 +17,8 @@
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.decisions.health.TargetHealth;
 import org.dahliapass.decisions.health.TargetStatus;
-import org.dahliapass.decisions.traffic.WeightedTarget;
 import org.dahliapass.decisions.traffic.TargetObservation;
+import org.dahliapass.decisions.traffic.WeightedTarget;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
@@ -34,8 +34,8 @@
 import org.dahliapass.model.routing.RoutingConfiguration;
 import org.dahliapass.model.routing.TargetRegistration;
 import org.dahliapass.traffic.EntryMetrics;
-import org.dahliapass.traffic.TargetEventListener;
 import org.dahliapass.traffic.ServiceRuntime;
+import org.dahliapass.traffic.TargetEventListener;
 
 /**
  * The services of the configuration: for each its traffic decisions and the health of its targets.
@@ -354,7 +354,8 @@
         health.takeExplanations().forEach(explanation -> explain(service, explanation));
         List<WeightedTarget> targets = new ArrayList<>();
         for (TargetStatus status : health.view().targets().values()) {
-            Optional<TargetRegistration> registered = pool.registrationAt(status.target().endpoint());
+            Optional<TargetRegistration> registered =
+                    pool.registrationAt(status.target().endpoint());
             if (registered.isEmpty()) {
                 continue;
             }
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.dahliapass.decisions.routing.AddressPlan;
-import org.dahliapass.decisions.routing.LeasedEntryCache;
 import org.dahliapass.decisions.routing.DemandEstimator;
+import org.dahliapass.decisions.routing.LeasedEntryCache;
 import org.dahliapass.decisions.routing.RouteTable;
 import org.dahliapass.kernel.ControlLoop;
 import org.dahliapass.kernel.Kernel;
@@ -52,7 +52,8 @@
 
     private final int mVmsPerZone;
     private final EventLog mLog;
-    private final LeasedEntryCache<TargetRegistration> mTargets = new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
+    private final LeasedEntryCache<TargetRegistration> mTargets =
+            new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
     private final LeasedEntryCache<FleetVm> mVms = new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
     private final List<Runnable> mListeners = new ArrayList<>();
 
@@ -376,7 +377,8 @@
 
     private void publish() {
         boolean servicesChanged =
-                mTargets.modificationCount() != mPublishedTargets || !mRoutes.equals(mView.routes());
+                mTargets.modificationCount() != mPublishedTargets
+                        || !mRoutes.equals(mView.routes());
         if (!servicesChanged && mVms.modificationCount() == mPublishedVms) {
             return;
         }
--- a/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
@@ -105,7 +105,8 @@
      */
     @Test
     public void firstReadMayBeOldAndTheWatchGoesOnFromItsOldestPage() {
-        assertEquals(mStore.mFreshness, List.of(Consistency.STALE_ALLOWED, Consistency.STALE_ALLOWED));
+        assertEquals(
+                mStore.mFreshness, List.of(Consistency.STALE_ALLOWED, Consistency.STALE_ALLOWED));
         assertEquals(mStore.mWatched, List.of(1L));
     }
 
@@ -187,7 +188,8 @@
     public void entryOfAnEarlierStartChangesNothing() {
         mStore.answerWatch(0, List.of(target("i-1", 2_000, 7, 2), target("i-1", 1_000, 6, 3)));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
-        assertEquals(mLoop.submit(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
+        assertEquals(
+                mLoop.submit(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
     }
 
     @Test
@@ -195,7 +197,8 @@
         mStore.answerWatch(0, List.of(target("i-1", 1_000, 6, 2), target("i-1", 2_000, 7, 3)));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
-                mLoop.submit(() -> mFollower.targets().get("i-1").incarnation()).join(), "i-1@2000");
+                mLoop.submit(() -> mFollower.targets().get("i-1").incarnation()).join(),
+                "i-1@2000");
     }
 
     /** A target whose entry can't be read any more gets no work; the others go on. */
@@ -209,7 +212,8 @@
                         new StoreEvent.Written(StoredItem.of("servers/i-1", "no JSON", 4))));
         GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
         assertEquals(
-                mLoop.submit(() -> List.copyOf(mFollower.targets().keySet())).join(), List.of("i-2"));
+                mLoop.submit(() -> List.copyOf(mFollower.targets().keySet())).join(),
+                List.of("i-2"));
     }
 
     private static StoreEvent target(String name, long startedMillis, int port, long revision) {
@@ -229,7 +233,8 @@
     /** A store whose watches wait until a test answers them, and never time out. */
     private static final class FakeStore implements KeyValueStore {
         private final AtomicInteger mWatches = new AtomicInteger();
-        private final List<CompletableFuture<WatchResponse>> mWaiting = new CopyOnWriteArrayList<>();
+        private final List<CompletableFuture<WatchResponse>> mWaiting =
+                new CopyOnWriteArrayList<>();
         private final List<Consistency> mFreshness = new CopyOnWriteArrayList<>();
         private final List<Long> mWatched = new CopyOnWriteArrayList<>();
         private final List<Duration> mWaits = new CopyOnWriteArrayList<>();
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
@@ -104,7 +104,8 @@
         GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").size() == 1);
         CompletableFuture<Void> drained = mPath.mVm.drain();
         assertEquals(CallerStandIn.status(mPath.get("/r/leaving")), 200);
-        String readiness = CallerStandIn.read(mPath.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
+        String readiness =
+                CallerStandIn.read(mPath.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
         assertEquals(CallerStandIn.status(readiness), 503);
         GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").equals(List.of()));
         drained.join();
@@ -116,7 +117,8 @@
                 () ->
                         CallerStandIn.read(
                                         mPath.mSettings.discovery(),
-                                        DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a")
+                                        DiscoveryCalls.DISCOVERY_PATH
+                                                + "?name=a.example&region=r&zone=zone-a")
                                 .contains(mPath.mSettings.self().callerEndpoint().toString()));
     }
 
--- a/gateway/src/test/java/org/dahliapass/gateway/ResponseCheckTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ResponseCheckTest.java
@@ -52,7 +52,8 @@
 
     @Test
     public void anotherInstanceAtTheAddressDidNotRunIt() {
-        assertEquals(ResponseCheck.of(421, new DefaultHttpHeaders(), ID), ResponseCheck.NOT_EXECUTED);
+        assertEquals(
+                ResponseCheck.of(421, new DefaultHttpHeaders(), ID), ResponseCheck.NOT_EXECUTED);
     }
 
     @Test
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
@@ -30,7 +30,8 @@
     public void followerGetsOnlyWhatIsNewer() {
         mMirror.apply(List.of(written("a", 11)), 11);
         mMirror.apply(List.of(new StoreEvent.Removed("b", 12)), 12);
-        WatchResponse.Changes changes = (WatchResponse.Changes) mMirror.changesAfter(11).orElseThrow();
+        WatchResponse.Changes changes =
+                (WatchResponse.Changes) mMirror.changesAfter(11).orElseThrow();
         assertEquals(changes.events(), List.of(new StoreEvent.Removed("b", 12)));
         assertEquals(changes.revision(), 12);
     }
@@ -57,7 +58,8 @@
     public void wholeCopyHoldsTheNewestValues() {
         mMirror.apply(List.of(written("c", 11), new StoreEvent.Removed("a", 12)), 12);
         assertEquals(
-                mMirror.snapshot().items().stream().map(StoredItem::key).toList(), List.of("b", "c"));
+                mMirror.snapshot().items().stream().map(StoredItem::key).toList(),
+                List.of("b", "c"));
         assertEquals(mMirror.snapshot().revision(), 12);
     }
 
--- a/http/src/main/java/org/dahliapass/http/HttpClient.java
+++ b/http/src/main/java/org/dahliapass/http/HttpClient.java
@@ -201,7 +201,8 @@
             ByteBuf body,
             Duration limit) {
         ResponseAggregator collector = new ResponseAggregator(mLoop, limit);
-        mLoop.execute(() -> collector.startTimeout(send(server, method, path, headers, body, collector)));
+        mLoop.execute(
+                () -> collector.startTimeout(send(server, method, path, headers, body, collector)));
         return collector.response();
     }
 
--- a/http/src/main/java/org/dahliapass/http/ServerResponse.java
+++ b/http/src/main/java/org/dahliapass/http/ServerResponse.java
@@ -40,6 +40,7 @@
 
     private static ServerResponse of(HttpResponseStatus status, String type, byte[] body) {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, type);
-        return new ServerResponse(status, headers, Unpooled.wrappedBuffer(body), EmptyHttpHeaders.INSTANCE);
+        return new ServerResponse(
+                status, headers, Unpooled.wrappedBuffer(body), EmptyHttpHeaders.INSTANCE);
     }
 }
--- a/http/src/test/java/org/dahliapass/http/AbortedResponseTest.java
+++ b/http/src/test/java/org/dahliapass/http/AbortedResponseTest.java
@@ -25,7 +25,8 @@
 /** Tests of what a client sees of an answer that was begun and broken off. */
 public final class AbortedResponseTest {
     private static final ServerTimeouts LIMITS =
-            new ServerTimeouts(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
+            new ServerTimeouts(
+                    Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
     private final EventLoopGroup mLoops = EventLoops.singleThreaded("test");
     private HttpServer mServer;
--- a/http/src/test/java/org/dahliapass/http/ServerFixture.java
+++ b/http/src/test/java/org/dahliapass/http/ServerFixture.java
@@ -13,7 +13,8 @@
 /** One connection of a server without a network; the test is its client and its handler. */
 final class ServerFixture {
     static final ServerTimeouts LIMITS =
-            new ServerTimeouts(Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
+            new ServerTimeouts(
+                    Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
     final ManualClock mClock = new ManualClock(Instant.ofEpochSecond(1_000));
     final List<ServerCall> mCalls = new ArrayList<>();
--- a/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
@@ -58,8 +58,8 @@
     /**
      * Runs a question on the control thread and completes with its answer.
      *
-     * @return fails with the question's own failure, or with a {@link OperationException} if the loop
-     *     has stopped
+     * @return fails with the question's own failure, or with a {@link OperationException} if the
+     *     loop has stopped
      */
     public <T> CompletableFuture<T> submit(Supplier<T> question) {
         try {
--- a/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
@@ -14,7 +14,8 @@
 /**
  * A settings file in INI, whose problems are collected and reported all at once.
  *
- * <p>Sections and keys that nobody asked for are problems too: {@link #throwIfInvalid()} reports them.
+ * <p>Sections and keys that nobody asked for are problems too: {@link #throwIfInvalid()} reports
+ * them.
  */
 public final class IniFile {
     private final String mName;
@@ -35,7 +36,9 @@
             return parse(path.toString(), Files.readString(path));
         } catch (IOException failure) {
             throw new SettingsException(
-                    List.of(new SettingsProblem(path.toString(), "", "", "no readable file", "INI text")));
+                    List.of(
+                            new SettingsProblem(
+                                    path.toString(), "", "", "no readable file", "INI text")));
         }
     }
 
--- a/kernel/src/main/java/org/dahliapass/kernel/SettingsProblem.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/SettingsProblem.java
@@ -9,7 +9,8 @@
  * @param actual what was found, for instance "'fast'" or "nothing"
  * @param expected what may stand there
  */
-public record SettingsProblem(String file, String section, String key, String actual, String expected) {
+public record SettingsProblem(
+        String file, String section, String key, String actual, String expected) {
 
     /** Returns the problem as one line that says what is wrong and how to mend it. */
     public String describe() {
@@ -20,6 +21,10 @@
         if (!key.isEmpty()) {
             line.append(' ').append(key);
         }
-        return line.append(": met ").append(actual).append("; allowed: ").append(expected).toString();
+        return line.append(": met ")
+                .append(actual)
+                .append("; allowed: ")
+                .append(expected)
+                .toString();
     }
 }
--- a/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
@@ -61,7 +61,8 @@
     public void sectionsOfKeepsTheFilesOrder() {
         IniFile file = IniFile.parse("t.ini", "[kind b]\n[service x]\n[kind a]\n[kinds c]\n");
 
-        List<String> names = file.sectionsWithPrefix("kind").stream().map(IniSection::name).toList();
+        List<String> names =
+                file.sectionsWithPrefix("kind").stream().map(IniSection::name).toList();
 
         assertEquals(names, List.of("kind b", "kind a"));
     }
--- a/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
@@ -32,7 +32,11 @@
             row(s -> s.duration("k", SECOND, HOUR), "2m", Duration.ofMinutes(2), DURATIONS),
             row(s -> s.size("k", 1, 1 << 20), "64KB", 65_536L, List.of("0B", "2MB", "64", "9kb")),
             row(s -> s.yesNo("k"), "yes", true, List.of("true", "YES", "1")),
-            row(s -> s.enumValue("k", Pace.class), "very-fast", Pace.VERY_FAST, List.of("VERY_FAST")),
+            row(
+                    s -> s.enumValue("k", Pace.class),
+                    "very-fast",
+                    Pace.VERY_FAST,
+                    List.of("VERY_FAST")),
             row(s -> s.list("k"), "a, b,,c", List.of("a", "b", "c"), List.of("")),
         };
     }
@@ -55,7 +59,8 @@
             IniFile wrong = IniFile.parse("f.ini", "[s]\nk = " + text + "\n");
             Object unused = getter.apply(wrong.section("s"));
 
-            List<SettingsProblem> problems = expectThrows(SettingsException.class, wrong::throwIfInvalid).problems();
+            List<SettingsProblem> problems =
+                    expectThrows(SettingsException.class, wrong::throwIfInvalid).problems();
 
             assertEquals(problems.size(), 1, text);
             assertEquals(problems.get(0).actual(), "'" + text + "'");
@@ -80,7 +85,8 @@
         IniFile file = IniFile.parse("f.ini", "[s]\nk = 1\nk = 2\n");
         long unused = file.section("s").number("k", 1, 5);
 
-        List<SettingsProblem> problems = expectThrows(SettingsException.class, file::throwIfInvalid).problems();
+        List<SettingsProblem> problems =
+                expectThrows(SettingsException.class, file::throwIfInvalid).problems();
 
         assertEquals(problems.get(0).actual(), "2 values");
     }
--- a/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
@@ -62,7 +62,9 @@
 
     @Test
     public void wrongSettingsAreAUsageError() {
-        mFailure = new SettingsException(List.of(new SettingsProblem("f.ini", "s", "k", "'x'", "a y")));
+        mFailure =
+                new SettingsException(
+                        List.of(new SettingsProblem("f.ini", "s", "k", "'x'", "a y")));
 
         assertEquals(run(), ExitCode.USAGE);
         assertEquals(
--- a/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
+++ b/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
@@ -12,8 +12,8 @@
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
-import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.ConfigurationDocument;
+import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.standins.CallerStandIn;
 import org.dahliapass.standins.GatewaySample;
 import org.dahliapass.standins.MetadataStoreStandIn;
@@ -60,9 +60,11 @@
         GatewaySettings settings = GatewaySettings.from(IniFile.parse("rehearsal", text));
         startGateway(text);
         awaitListening(settings.self().callerEndpoint());
-        boolean served = serves(new CallerStandIn(settings.self().callerEndpoint(), "a.example"), targets);
+        boolean served =
+                serves(new CallerStandIn(settings.self().callerEndpoint(), "a.example"), targets);
         CallerStandIn.read(
-                settings.discovery(), DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a");
+                settings.discovery(),
+                DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a");
         CallerStandIn.read(settings.readiness(), DiscoveryCalls.READINESS_PATH);
         store.put(ConfigurationDocument.KEY, GatewaySample.configuration(2, "/other/"));
         return served;
--- a/lab/src/main/java/org/dahliapass/lab/capacity/BurnMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/BurnMeasures.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
 import java.util.List;
-import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
+import org.dahliapass.model.burn.OutcomeHistory;
 
 /** Measures the counts for the burn report. */
 final class BurnMeasures implements Measures {
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetGuard.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetGuard.java
@@ -1,11 +1,11 @@
 package org.dahliapass.lab.fleet;
 
 import java.util.function.Consumer;
+import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.decisions.poison.PoisonDetector;
 import org.dahliapass.decisions.poison.SuspectReport;
 import org.dahliapass.decisions.poison.TargetCrash;
 import org.dahliapass.decisions.poison.Treatment;
-import org.dahliapass.decisions.poison.DigestLocks;
 import org.dahliapass.model.RequestDigest;
 
 /** What one VM does about requests that end their targets; by default it knows of none. */
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
@@ -65,7 +65,8 @@
         String path = "/scenarios/" + name + ".ini";
         try (InputStream file = Scenario.class.getResourceAsStream(path)) {
             if (file == null) {
-                throw new OperationException("read the scenario", name, "There is none of this name.");
+                throw new OperationException(
+                        "read the scenario", name, "There is none of this name.");
             }
             return read(name, new String(file.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException failure) {
--- a/lab/src/main/java/org/dahliapass/lab/latency/ResidentMemory.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/ResidentMemory.java
@@ -36,6 +36,7 @@
                 return Long.parseLong(matcher.group(1));
             }
         }
-        throw new OperationException("read", "status", "It has no VmRSS line; the process has ended.");
+        throw new OperationException(
+                "read", "status", "It has no VmRSS line; the process has ended.");
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
@@ -43,7 +43,8 @@
         double seconds = (mPacer.nowNanos() - start) / NANOS_PER_SECOND;
         sampler.cancel(false);
         if (arrived != bytes) {
-            throw new OperationException("stream", path, arrived + " of " + bytes + " bytes arrived.");
+            throw new OperationException(
+                    "stream", path, arrived + " of " + bytes + " bytes arrived.");
         }
         long after = mMemory.kibibytes();
         return new StreamResult(reader, bytes, seconds, before, Math.max(after, peak.get()), after);
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
@@ -12,8 +12,8 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.ExitCode;
-import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.Program;
 
 /** Prints how the decisions do against plainer ones, over a table of faults. */
 public final class PolicyMain extends Program {
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
@@ -42,7 +42,8 @@
         String path = "/ask?customer=" + customer + "&service=" + service;
         AggregatedHttpResponse answer = client(mAsked).get(path).aggregate().join();
         if (answer.status().code() != OK) {
-            throw new OperationException("ask", mAsked, answer.status() + " " + answer.contentUtf8());
+            throw new OperationException(
+                    "ask", mAsked, answer.status() + " " + answer.contentUtf8());
         }
         try {
             List<Address> addresses = new ArrayList<>();
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/FillTemplateMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/FillTemplateMain.java
@@ -13,8 +13,8 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 import org.dahliapass.kernel.ExitCode;
-import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.Program;
 import org.dahliapass.model.TemplateParser;
 
 /** Writes a template whose services have other targets, so that it fits this machine. */
--- a/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
-import org.dahliapass.kernel.SettingsException;
 import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.SettingsException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
@@ -86,7 +86,8 @@
     public void directoryThatIsAFileIsAnError() throws IOException {
         Path file = Files.createFile(mDirectory.resolve(PolicyPlots.CURVE_FILE));
         assertThrows(
-                OperationException.class, () -> PolicyPlots.write(file, List.of(), List.of(SETTING)));
+                OperationException.class,
+                () -> PolicyPlots.write(file, List.of(), List.of(SETTING)));
     }
 
     private Element curve(List<CurvePoint> points) throws Exception {
--- a/model/src/main/java/org/dahliapass/model/KindReader.java
+++ b/model/src/main/java/org/dahliapass/model/KindReader.java
@@ -86,7 +86,8 @@
                         mSection.size("maximum-body", 0, MOST_BODY_BYTES, DEFAULT_BODY_BYTES),
                         mSection.decimal("rate", 0, MOST_RATE, 0),
                         mSection.fraction(
-                                "retry-budget", idempotency.isRepeatable() ? DEFAULT_RETRY_SHARE : 0),
+                                "retry-budget",
+                                idempotency.isRepeatable() ? DEFAULT_RETRY_SHARE : 0),
                         upToDeadline("hedge-after", Duration.ZERO, Duration.ZERO, deadline),
                         mSection.yesNo("bulky", false),
                         mSection.fraction("objective", DEFAULT_OBJECTIVE),
--- a/model/src/main/java/org/dahliapass/model/Vm.java
+++ b/model/src/main/java/org/dahliapass/model/Vm.java
@@ -8,4 +8,8 @@
  * @param callerEndpoint where callers reach it (HTTP)
  * @param peerEndpoint where other VMs reach it (TCP and UDP, the same port)
  */
-public record Vm(VmIdentity identity, String availabilityZone, Endpoint callerEndpoint, Endpoint peerEndpoint) {}
+public record Vm(
+        VmIdentity identity,
+        String availabilityZone,
+        Endpoint callerEndpoint,
+        Endpoint peerEndpoint) {}
--- a/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetSnapshot.java
+++ b/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetSnapshot.java
@@ -12,7 +12,11 @@
  * @param buckets the spans in which requests ended
  */
 public record ErrorBudgetSnapshot(
-        String vm, long sinceMillis, long nowMillis, long uncounted, List<ErrorBudgetBucket> buckets) {
+        String vm,
+        long sinceMillis,
+        long nowMillis,
+        long uncounted,
+        List<ErrorBudgetBucket> buckets) {
 
     /** Copies the list; a missing one reads as empty. */
     public ErrorBudgetSnapshot {
--- a/model/src/main/java/org/dahliapass/model/burn/OutcomeHistory.java
+++ b/model/src/main/java/org/dahliapass/model/burn/OutcomeHistory.java
@@ -97,7 +97,8 @@
     }
 
     /** Returns the spans with requests of the customers that are asked for. */
-    public synchronized List<ErrorBudgetBucket> buckets(long nowMillis, Predicate<String> customers) {
+    public synchronized List<ErrorBudgetBucket> buckets(
+            long nowMillis, Predicate<String> customers) {
         long oldestFine = (nowMillis / FINE_MILLIS - FINE_SPANS + 1) * FINE_MILLIS;
         long boundary = -Math.floorDiv(-oldestFine, COARSE_MILLIS) * COARSE_MILLIS;
         long oldestCoarse = (nowMillis / COARSE_MILLIS - COARSE_SPANS + 1) * COARSE_MILLIS;
--- a/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
+++ b/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.kernel.SettingsException;
+import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.model.burn.Outcome;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -184,7 +184,8 @@
         assertTrue(
                 problems.stream().anyMatch(p -> p.section().equals(section) && p.key().equals(key)),
                 "met " + problems);
-        assertTrue(problems.stream().noneMatch(p -> p.actual().isEmpty() || p.expected().isEmpty()));
+        assertTrue(
+                problems.stream().noneMatch(p -> p.actual().isEmpty() || p.expected().isEmpty()));
     }
 
     /** Gives changes after which the template is as sound as before. */
--- a/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
@@ -1,8 +1,8 @@
 package org.dahliapass.operator;
 
 import java.util.Optional;
-import org.dahliapass.decisions.configuration.AcceptProtocol;
 import org.dahliapass.decisions.configuration.AcceptOutcome;
+import org.dahliapass.decisions.configuration.AcceptProtocol;
 import org.dahliapass.decisions.configuration.AcceptRequest;
 import org.dahliapass.decisions.configuration.ChangeRecord;
 import org.dahliapass.decisions.configuration.Head;
--- a/operator/src/main/java/org/dahliapass/operator/HttpVmOperations.java
+++ b/operator/src/main/java/org/dahliapass/operator/HttpVmOperations.java
@@ -96,7 +96,8 @@
         }
         HttpStatus status = response.status();
         if (!status.isSuccess() && !status.equals(HttpStatus.NOT_FOUND)) {
-            throw new OperationException(step, vm.toString(), "Answered with status " + status + ".");
+            throw new OperationException(
+                    step, vm.toString(), "Answered with status " + status + ".");
         }
         return response;
     }
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -48,7 +48,9 @@
             String text =
                     accepted.text(newest)
                             .orElseThrow(
-                                    () -> new OperationException("show", "store", "The text is gone."));
+                                    () ->
+                                            new OperationException(
+                                                    "show", "store", "The text is gone."));
             invocation.environment().output().print(text);
             return ExitCode.OK;
         }
@@ -90,7 +92,8 @@
                                                             + " one that accept printed."));
             return AcceptCommand.print(
                     invocation,
-                    Invocation.await(invocation.store().run(new ResolveProtocol(handle), action -> {})));
+                    Invocation.await(
+                            invocation.store().run(new ResolveProtocol(handle), action -> {})));
         }
     },
     /** Prints a VM's report. */
--- a/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
@@ -51,7 +51,8 @@
     public void decodeOfBrokenTextFailsWithTheKey() {
         OperationException failure =
                 expectThrows(
-                        OperationException.class, () -> ConfigurationCodec.decode(StoreKey.HEAD, "{"));
+                        OperationException.class,
+                        () -> ConfigurationCodec.decode(StoreKey.HEAD, "{"));
         assertEquals(failure.operation(), "decode head");
     }
 }
--- a/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
@@ -110,7 +110,9 @@
     @Test
     public void readNoAnswerFailsByTimeOut() {
         mHandler = request -> HttpResponse.streaming();
-        assertTrue(failureOf(client(Duration.ofMillis(200)).read("head")) instanceof OperationException);
+        assertTrue(
+                failureOf(client(Duration.ofMillis(200)).read("head"))
+                        instanceof OperationException);
     }
 
     @Test
--- a/report/src/main/java/org/dahliapass/report/JsonReport.java
+++ b/report/src/main/java/org/dahliapass/report/JsonReport.java
@@ -26,7 +26,8 @@
         try {
             return JSON.writeValueAsString(report) + "\n";
         } catch (JsonProcessingException failure) {
-            throw new OperationException("write JSON", "self", "This is a fault; report it.", failure);
+            throw new OperationException(
+                    "write JSON", "self", "This is a fault; report it.", failure);
         }
     }
 
--- a/report/src/main/java/org/dahliapass/report/ReportMain.java
+++ b/report/src/main/java/org/dahliapass/report/ReportMain.java
@@ -15,10 +15,10 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.MonotonicClock;
-import org.dahliapass.kernel.SettingsProblem;
+import org.dahliapass.kernel.OperationException;
 import org.dahliapass.kernel.Program;
 import org.dahliapass.kernel.SettingsException;
-import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.model.Endpoint;
 
 /** Prints the report on service-level burn, collected from all VMs of the fleet. */
--- a/report/src/test/java/org/dahliapass/report/FleetBurnTest.java
+++ b/report/src/test/java/org/dahliapass/report/FleetBurnTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.dahliapass.model.burn.ErrorBudgetBucket;
-import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
--- a/report/src/test/java/org/dahliapass/report/ReportMainTest.java
+++ b/report/src/test/java/org/dahliapass/report/ReportMainTest.java
@@ -21,9 +21,9 @@
 import java.util.List;
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.ManualClock;
-import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 import org.dahliapass.model.burn.Outcome;
+import org.dahliapass.model.burn.OutcomeHistory;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.BeforeMethod;
@@ -178,7 +178,8 @@
             ledger.record("himal", "desk", "lo<ck", 0.99, outcome, NOW);
         }
         ledger.record("vatulele", "rankings", "lookup", 0.99, Outcome.GOOD, NOW);
-        return JSON.valueToTree(new ErrorBudgetSnapshot("a~1", 0, NOW, 0, ledger.buckets(NOW))).toString();
+        return JSON.valueToTree(new ErrorBudgetSnapshot("a~1", 0, NOW, 0, ledger.buckets(NOW)))
+                .toString();
     }
 
     private static String member(String name, int incarnation, String operators, String state) {
--- a/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
@@ -17,13 +17,14 @@
 import org.dahliapass.decisions.health.Outcome;
 import org.dahliapass.decisions.traffic.Admission;
 import org.dahliapass.decisions.traffic.AdmissionQueue;
-import org.dahliapass.decisions.traffic.LoadBalancer;
+import org.dahliapass.decisions.traffic.DispatchResult;
 import org.dahliapass.decisions.traffic.ExpiredEntry;
 import org.dahliapass.decisions.traffic.FailedAttempt;
 import org.dahliapass.decisions.traffic.HedgePolicy;
+import org.dahliapass.decisions.traffic.LoadBalancer;
+import org.dahliapass.decisions.traffic.PassiveFailureDetector;
 import org.dahliapass.decisions.traffic.QueueEntry;
 import org.dahliapass.decisions.traffic.QueueLimits;
-import org.dahliapass.decisions.traffic.DispatchResult;
 import org.dahliapass.decisions.traffic.RateLimiter;
 import org.dahliapass.decisions.traffic.RetryBudget;
 import org.dahliapass.decisions.traffic.RetryDecision;
@@ -31,10 +32,9 @@
 import org.dahliapass.decisions.traffic.ServiceTimeEstimator;
 import org.dahliapass.decisions.traffic.SlotTable;
 import org.dahliapass.decisions.traffic.TargetInFlight;
+import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.decisions.traffic.TargetReport;
 import org.dahliapass.decisions.traffic.WeightedTarget;
-import org.dahliapass.decisions.traffic.PassiveFailureDetector;
-import org.dahliapass.decisions.traffic.TargetObservation;
 import org.dahliapass.kernel.Futures;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.RequestKind;
@@ -64,7 +64,8 @@
     private final AdmissionQueue<SlotWaiter> mQueue;
     private final RetryPolicy mRetries;
     private final HedgePolicy mHedges;
-    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener = (service, change) -> {};
+    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener =
+            (service, change) -> {};
 
     /** Who is at each target's address, as the newest view of the targets has it. */
     private Map<Endpoint, TargetInstance> mInstances = Map.of();
--- a/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
+++ b/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
@@ -20,7 +20,10 @@
     private final TrafficCounters mCounters;
 
     DatagramReceiver(
-            PeerMessageValidator guard, GossipHandler handler, LinkFilter filter, TrafficCounters counters) {
+            PeerMessageValidator guard,
+            GossipHandler handler,
+            LinkFilter filter,
+            TrafficCounters counters) {
         mGuard = guard;
         mHandler = handler;
         mFilter = filter;
--- a/wire/src/main/java/org/dahliapass/wire/MessageFraming.java
+++ b/wire/src/main/java/org/dahliapass/wire/MessageFraming.java
@@ -19,7 +19,8 @@
     /** Adds the codec for a stream whose incoming messages are of the prototype's type. */
     static void addTo(ChannelPipeline pipeline, MessageLite prototype) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                new LengthFieldBasedFrameDecoder(
+                        MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         pipeline.addLast(new ProtobufDecoder(prototype));
         pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
         pipeline.addLast(new ProtobufEncoder());
--- a/wire/src/main/java/org/dahliapass/wire/PeerConnectionPool.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerConnectionPool.java
@@ -91,7 +91,8 @@
                                     @Override
                                     protected void initChannel(Channel channel) {
                                         ChannelPipeline pipeline = channel.pipeline();
-                                        MessageFraming.addTo(pipeline, PeerReply.getDefaultInstance());
+                                        MessageFraming.addTo(
+                                                pipeline, PeerReply.getDefaultInstance());
                                         pipeline.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS));
                                         pipeline.addLast(connection);
                                     }
--- a/wire/src/main/java/org/dahliapass/wire/PeerRequestServer.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerRequestServer.java
@@ -27,7 +27,8 @@
     private final CompletableFuture<Void> mDrained = new CompletableFuture<>();
     private volatile boolean mStopping;
 
-    PeerRequestServer(PeerMessageValidator guard, RequestHandler handler, TrafficCounters counters) {
+    PeerRequestServer(
+            PeerMessageValidator guard, RequestHandler handler, TrafficCounters counters) {
         mGuard = guard;
         mHandler = handler;
         mCounters = counters;
--- a/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Predicate;
+import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.Kernel;
 import org.dahliapass.kernel.KernelService;
-import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
@@ -108,7 +108,8 @@
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         mGroup = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
-        PeerMessageValidator guard = new PeerMessageValidator(mSettings.fleet(), mSettings.self(), mMembers);
+        PeerMessageValidator guard =
+                new PeerMessageValidator(mSettings.fleet(), mSettings.self(), mMembers);
         mServer = new PeerRequestServer(guard, mRequestHandler, mCounters);
         mConnections = new PeerConnectionPool(mGroup, mFilter, mCounters);
         return bind(guard, BIND_TRIES)
@@ -229,7 +230,8 @@
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                MessageFraming.addTo(channel.pipeline(), PeerRequest.getDefaultInstance());
+                                MessageFraming.addTo(
+                                        channel.pipeline(), PeerRequest.getDefaultInstance());
                                 channel.pipeline().addLast(mServer);
                             }
                         })
@@ -239,7 +241,8 @@
     private void fail(CompletableFuture<Void> bound, String step, Throwable cause) {
         String where = mSettings.host() + ":" + mSettings.port();
         bound.completeExceptionally(
-                new OperationException(step, where, "The port can't be taken. Choose another.", cause));
+                new OperationException(
+                        step, where, "The port can't be taken. Choose another.", cause));
     }
 
     private static void forward(CompletableFuture<Void> from, CompletableFuture<Void> to) {
--- a/wire/src/test/java/org/dahliapass/wire/PeerMessageValidatorTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerMessageValidatorTest.java
@@ -19,7 +19,8 @@
     private static final VmIdentity MEMBER = new VmIdentity("vm-2", 3);
     private static final VmIdentity STRANGER = new VmIdentity("vm-3", 1);
 
-    private final PeerMessageValidator mGuard = new PeerMessageValidator(FLEET, SELF, MEMBER::equals);
+    private final PeerMessageValidator mGuard =
+            new PeerMessageValidator(FLEET, SELF, MEMBER::equals);
 
     @Test
     public void memberMaySpeak() {
--- a/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
@@ -149,7 +149,8 @@
         join(alice.request(where, fetch(1), LONG));
         join(bob.stop());
         mTransports.remove(bob);
-        OperationException failure = (OperationException) failure(alice.request(where, fetch(2), LONG));
+        OperationException failure =
+                (OperationException) failure(alice.request(where, fetch(2), LONG));
         assertEquals(failure.peer(), where.toString());
         start(BOB, where.port(), LinkFilter.ALLOW_ALL);
         assertEquals(
