--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/AdmissionQueue.java
@@ -12,14 +12,16 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Gives requests of one service a slot, lets them wait for one, or refuses them at once.
+ * An admission control queue for the requests of one service: dispatches each to a target with a
+ * free slot, queues it, or refuses it.
  *
- * <p>Each offered entry ends exactly once: dispatched, refused, expired or cancelled. Not safe for
- * use by several threads: the caller guards it, its slot table and its balancer by one lock. A call
- * costs O(targets + customers), and O(log n) in the entries that wait, but for an offer that must
- * wait: that one counts the customer's own entries ahead of it.
+ * <p>Each offered entry ends exactly once: dispatched, refused, expired or cancelled.
  *
- * @param <T> what the caller needs to go on with a request
+ * <p>Not thread-safe; guarded by the service's lock, together with the slot table and the load
+ * balancer. A call is O(targets + customers) and O(log n) in the queued entries; an offer that is
+ * queued is also O(queued entries of its customer).
+ *
+ * @param <T> the caller's handle for a request
  */
 public final class AdmissionQueue<T> {
     private final SlotTable mSlots;
@@ -27,7 +29,7 @@
     private final ServiceTimeEstimator mTimes;
     private final RetryAfterPolicy mRetryAfter;
     private final Map<QueueLane, LaneQueue<T>> mLanes = new EnumMap<>(QueueLane.class);
-    private final Map<QueueLane, Integer> mCredit = new EnumMap<>(QueueLane.class);
+    private final Map<QueueLane, Integer> mCreditByLane = new EnumMap<>(QueueLane.class);
     private final Map<QueueEntry<T>, QueuedEntry<T>> mWaiting = new HashMap<>();
     private final TreeSet<QueuedEntry<T>> mByLatestStart = new TreeSet<>();
     private final CustomerCounts mWaitingByCustomer = new CustomerCounts();
@@ -36,13 +38,13 @@
     private long mSequence;
 
     /**
-     * Starts empty.
+     * Creates an empty queue.
      *
-     * @param limits how much may wait
+     * @param limits the capacity of the queue
      * @param slots the slots of the service
      * @param balancer picks the targets
-     * @param times how fast slots come free
-     * @param random spreads the times at which refused callers come back
+     * @param times estimates how fast slots are released
+     * @param random adds jitter to Retry-After times
      */
     public AdmissionQueue(
             QueueLimits limits,
@@ -57,16 +59,16 @@
         mRetryAfter = new RetryAfterPolicy(random);
         for (QueueLane lane : QueueLane.values()) {
             mLanes.put(lane, new LaneQueue<>());
-            mCredit.put(lane, 0);
+            mCreditByLane.put(lane, 0);
         }
     }
 
-    /** Takes new limits, as targets come and go; what waits already stays. */
+    /** Replaces the limits; entries that are already queued stay. */
     public void setLimits(QueueLimits limits) {
         mLimits = limits;
     }
 
-    /** Decides on a new request. */
+    /** Dispatches, queues or refuses a new request. */
     public Admission offer(QueueEntry<T> entry, long nowMillis) {
         if (!mBalancer.hasTargetFor(entry.kind(), entry.excluded())) {
             return refuse(RefusalReason.NO_TARGET, 0);
@@ -76,20 +78,20 @@
         }
         Optional<Endpoint> target = targetFor(entry, nowMillis);
         if (target.isPresent() && !isOvertaking(entry, nowMillis)) {
-            take(entry, target.get(), nowMillis);
+            acquireSlot(entry, target.get(), nowMillis);
             return new Admission.Dispatch(target.get());
         }
         return queueOrRefuse(entry, nowMillis);
     }
 
     /**
-     * Gives back the slot of a dispatched entry and decides who is next.
+     * Releases the slot of a dispatched entry and dispatches the next entries.
      *
      * @param entry the entry
-     * @param target where it was dispatched to
+     * @param target the target it was dispatched to
      * @param startedMillis when it was dispatched, in milliseconds
-     * @param answered whether a whole answer came
-     * @param nowMillis the time, in milliseconds
+     * @param answered whether a complete response arrived
+     * @param nowMillis the current time, in milliseconds
      */
     public DispatchResult<T> onAttemptEnded(
             QueueEntry<T> entry,
@@ -103,7 +105,10 @@
         return onExtraAttemptEnded(entry, target, startedMillis, answered, nowMillis);
     }
 
-    /** Does as {@code onTryEnded} for a retry or a hedge, whose slot the retry policy took. */
+    /**
+     * Releases the slot of a retry or a hedge, which the retry or hedge policy acquired, and
+     * dispatches the next entries.
+     */
     public DispatchResult<T> onExtraAttemptEnded(
             QueueEntry<T> entry,
             Endpoint target,
@@ -116,8 +121,9 @@
     }
 
     /**
-     * Decides who is next: to be called whenever a slot may have come free, also by a new view of
-     * the targets or a peer's report, and after an offer that was queued.
+     * Dispatches as many entries as there are free slots and removes those that expired. Call it
+     * whenever a slot may have become free, also after a new view of the targets or a peer's
+     * report, and after an offer that was queued.
      */
     public DispatchResult<T> onSlotFreed(long nowMillis) {
         List<ExpiredEntry<T>> expired = expire(nowMillis);
@@ -130,7 +136,7 @@
         return new DispatchResult<>(dispatched, expired);
     }
 
-    /** Takes out the entries whose patience or deadline is over, to be refused at once. */
+    /** Removes and returns the entries whose patience or deadline has passed. */
     public List<ExpiredEntry<T>> expire(long nowMillis) {
         List<ExpiredEntry<T>> expired = new ArrayList<>();
         long drainMillis = drainMillis(nowMillis);
@@ -138,7 +144,7 @@
                 && mByLatestStart.first().entry().latestStartMillis() <= nowMillis) {
             QueuedEntry<T> waiting = mByLatestStart.first();
             mLanes.get(QueueLane.of(waiting.entry().kind())).remove(waiting);
-            forget(waiting);
+            removeFromIndexes(waiting);
             expired.add(
                     new ExpiredEntry<>(
                             waiting.entry(), refuse(RefusalReason.WAIT_TIMED_OUT, drainMillis)));
@@ -146,30 +152,33 @@
         return expired;
     }
 
-    /** Returns when {@code expire} has to be called next, in milliseconds; empty if none waits. */
+    /**
+     * Returns when {@code expire} must be called next, in milliseconds; empty if no entry is
+     * queued.
+     */
     public OptionalLong nextExpiryMillis() {
         return mByLatestStart.isEmpty()
                 ? OptionalLong.empty()
                 : OptionalLong.of(mByLatestStart.first().entry().latestStartMillis());
     }
 
-    /** Takes out an entry whose caller went away; false if it doesn't wait here any more. */
+    /** Removes an entry whose caller disconnected; returns false if it is no longer queued. */
     public boolean cancel(QueueEntry<T> entry) {
         QueuedEntry<T> waiting = mWaiting.get(entry);
         if (waiting == null) {
             return false;
         }
         mLanes.get(QueueLane.of(entry.kind())).remove(waiting);
-        forget(waiting);
+        removeFromIndexes(waiting);
         return true;
     }
 
-    /** Returns how many entries wait. */
+    /** Returns the number of queued entries. */
     public int size() {
         return mWaiting.size();
     }
 
-    /** Returns whether somebody waits, so that work beyond first tries would do harm. */
+    /** Returns whether entries are queued, so that retries and hedges would add to an overload. */
     public boolean isOverloaded() {
         return !mWaiting.isEmpty();
     }
@@ -191,11 +200,10 @@
     }
 
     /**
-     * Returns whether one more entry of a customer may wait.
+     * Returns whether another entry of a customer may be queued.
      *
-     * <p>Guards against floods of several customers that fill the queue together, so that all
-     * others are refused: a customer may have as many entries as there are free places, so however
-     * many flood it, about one flood's part stays free.
+     * <p>A customer may queue at most as many entries as there are free places, so several
+     * customers that flood the queue together can't fill it.
      */
     private boolean hasRoomFor(String customer) {
         int freePlaces = mLimits.capacity() - mWaiting.size();
@@ -211,13 +219,13 @@
         mLanes.get(QueueLane.of(entry.kind())).add(waiting);
     }
 
-    private void forget(QueuedEntry<T> waiting) {
+    private void removeFromIndexes(QueuedEntry<T> waiting) {
         mWaiting.remove(waiting.entry());
         mByLatestStart.remove(waiting);
         mWaitingByCustomer.decrement(waiting.entry().customer());
     }
 
-    private void take(QueueEntry<T> entry, Endpoint target, long nowMillis) {
+    private void acquireSlot(QueueEntry<T> entry, Endpoint target, long nowMillis) {
         mTimes.onAttemptStarted(nowMillis);
         mSlots.acquire(target, entry.kind().bulky());
         if (entry.kind().bulky()) {
@@ -229,11 +237,11 @@
         return new Admission.Refused(reason, mRetryAfter.delayMillis(waitMillis));
     }
 
-    /** Returns whether an entry that waits for its turn could take the free slot as well. */
+    /** Returns whether a queued entry of the same or a higher priority could use the free slot. */
     private boolean isOvertaking(QueueEntry<T> entry, long nowMillis) {
-        QueueLane own = QueueLane.of(entry.kind());
+        QueueLane ownLane = QueueLane.of(entry.kind());
         for (QueueLane lane : QueueLane.values()) {
-            if (lane.compareTo(own) <= 0 && candidate(lane, nowMillis).isPresent()) {
+            if (lane.compareTo(ownLane) <= 0 && candidate(lane, nowMillis).isPresent()) {
                 return true;
             }
         }
@@ -259,8 +267,8 @@
         QueueLane lane = nextLane(candidates);
         Candidate<T> chosen = candidates.get(lane);
         mLanes.get(lane).serve(chosen.waiting());
-        forget(chosen.waiting());
-        take(chosen.waiting().entry(), chosen.target(), nowMillis);
+        removeFromIndexes(chosen.waiting());
+        acquireSlot(chosen.waiting().entry(), chosen.target(), nowMillis);
         return Optional.of(new DispatchedEntry<>(chosen.waiting().entry(), chosen.target()));
     }
 
@@ -278,49 +286,55 @@
     }
 
     /**
-     * Chooses among the lanes that could go on, by smooth weighted round robin.
-     *
-     * <p>Guards against a lane that always has entries and so starves the lanes behind it: every
-     * lane that waits gains credit by its weight, and the one served pays for all.
+     * Selects a lane by smooth weighted round robin among those with an entry to dispatch, which
+     * prevents a busy lane from starving the others.
      */
     private QueueLane nextLane(Map<QueueLane, Candidate<T>> candidates) {
         QueueLane best = null;
         int total = 0;
         for (QueueLane lane : candidates.keySet()) {
-            mCredit.merge(lane, lane.weight(), Integer::sum);
+            mCreditByLane.merge(lane, lane.weight(), Integer::sum);
             total += lane.weight();
-            if (best == null || mCredit.get(lane) > mCredit.get(best)) {
+            if (best == null || mCreditByLane.get(lane) > mCreditByLane.get(best)) {
                 best = lane;
             }
         }
-        mCredit.merge(best, -total, Integer::sum);
+        mCreditByLane.merge(best, -total, Integer::sum);
         return best;
     }
 
-    /** Estimates how long a new entry of this kind and customer would wait, in milliseconds. */
+    /**
+     * Estimates how long a new entry of this kind and customer would be queued, in milliseconds.
+     */
     private long waitMillis(QueueEntry<T> entry, long nowMillis) {
-        QueueLane own = QueueLane.of(entry.kind());
-        int ahead = mLanes.get(own).entriesAhead(entry.customer(), entry.latestStartMillis());
-        double turns = ahead + 1.0;
-        if (own == QueueLane.BULKY && mSlots.ownBulkyInFlightTotal() > 0) {
-            return millis(turns / mTimes.bulkySlotReleasesPerMilli(mSlots, nowMillis));
+        QueueLane ownLane = QueueLane.of(entry.kind());
+        int ahead = mLanes.get(ownLane).entriesAhead(entry.customer(), entry.latestStartMillis());
+        double turnsAhead = ahead + 1.0;
+        if (ownLane == QueueLane.BULKY && mSlots.ownBulkyInFlightTotal() > 0) {
+            return toMillis(turnsAhead / mTimes.bulkySlotReleasesPerMilli(mSlots, nowMillis));
         }
-        double all = turns;
+        double requestsAhead = turnsAhead;
         for (QueueLane lane : QueueLane.values()) {
-            if (lane != own) {
-                all += Math.min(mLanes.get(lane).size(), turns * lane.weight() / own.weight());
+            if (lane != ownLane) {
+                requestsAhead +=
+                        Math.min(
+                                mLanes.get(lane).size(),
+                                turnsAhead * lane.weight() / ownLane.weight());
             }
         }
-        return millis(all / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
+        return toMillis(requestsAhead / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
     }
 
-    /** Estimates how long it takes until all that wait now are served, in milliseconds. */
+    /** Estimates how long it takes to dispatch all queued entries, in milliseconds. */
     private long drainMillis(long nowMillis) {
-        return millis(mWaiting.size() / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
+        return toMillis(mWaiting.size() / mTimes.slotReleasesPerMilli(mSlots, nowMillis));
     }
 
-    /** Nothing in flight means no rate: the wait is then unknown and patience bounds it. */
-    private static long millis(double estimate) {
+    /**
+     * Returns 0 for an unknown wait (nothing in flight, so no rate); the entry's patience then
+     * bounds it.
+     */
+    private static long toMillis(double estimate) {
         return Double.isInfinite(estimate) || Double.isNaN(estimate) ? 0 : (long) estimate;
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
@@ -1,18 +1,18 @@
 package org.dahliapass.decisions.traffic;
 
 /**
- * Plans the connections of this VM to each target of a service.
+ * Limits and plans the connections of this VM to each target of a service.
  *
- * <p>Not safe for use by several threads: the caller guards it by a lock. A call costs O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 public final class ConnectionPlan {
     /**
-     * The part of a target's connections that the cell plans to use. The rest is for the time when
-     * a VM has joined the cell and those that leave it, or don't know of it yet, still hold theirs.
+     * The share of a target's connections that the cell uses. The rest covers membership changes,
+     * while VMs that leave or don't know of a new member yet still hold connections.
      */
-    private static final double PLANNED_SHARE = 0.8;
+    private static final double CONNECTION_SHARE = 0.8;
 
-    /** Connections held beyond the recent peak, so that a rise finds one open. */
+    /** Connections kept beyond the recent peak, so that a rise finds one open. */
     private static final int HEADROOM = 1;
 
     private final int mConnectionsPerTarget;
@@ -20,27 +20,27 @@
     private int mCellSize = 1;
 
     /**
-     * Starts with this VM alone in the cell.
+     * Creates a plan for a cell of this VM alone.
      *
      * @param connectionsPerTarget connections that a target accepts from the whole fleet
-     * @param slotsPerTarget requests that a target works on at once
+     * @param slotsPerTarget requests that a target processes concurrently
      */
     public ConnectionPlan(int connectionsPerTarget, int slotsPerTarget) {
         mConnectionsPerTarget = connectionsPerTarget;
         mSlotsPerTarget = slotsPerTarget;
     }
 
-    /** Takes the number of VMs in the cell, this one among them. */
+    /** Sets the number of VMs in the cell, including this one. */
     public void onCellSize(int cellSize) {
         mCellSize = Math.max(1, cellSize);
     }
 
-    /** Returns the most connections that this VM may have to one target, in whatever state. */
+    /** Returns the maximum number of connections from this VM to one target, in any state. */
     public int limit() {
-        return Math.max(1, (int) (mConnectionsPerTarget * PLANNED_SHARE) / mCellSize);
+        return Math.max(1, (int) (mConnectionsPerTarget * CONNECTION_SHARE) / mCellSize);
     }
 
-    /** Returns how a request gets its connection. */
+    /** Returns whether a request reuses a connection, opens one or waits. */
     public ConnectionChoice choose(ConnectionCounts use) {
         if (use.idle() > 0) {
             return ConnectionChoice.REUSE;
@@ -49,38 +49,38 @@
     }
 
     /**
-     * Returns how many connections to open now ahead of need.
+     * Returns how many connections to open before they are needed.
      *
      * @param use the connections to the target
-     * @param peakInFlight the most requests that this VM had in flight there of late
+     * @param peakInFlight the recent maximum of this VM's requests in flight to the target
      */
     public int connectionsToPrewarm(ConnectionCounts use, int peakInFlight) {
-        int wanted = Math.min(mSlotsPerTarget, peakInFlight + HEADROOM);
+        int desired = Math.min(mSlotsPerTarget, peakInFlight + HEADROOM);
         int usable = use.idle() + use.busy() + use.opening();
-        int room = limit() - use.total();
-        return Math.max(0, Math.min(wanted - usable, room));
+        int remaining = limit() - use.total();
+        return Math.max(0, Math.min(desired - usable, remaining));
     }
 
     /** How a request gets its connection. */
     public enum ConnectionChoice {
-        /** An idle connection is there. */
+        /** An idle connection exists. */
         REUSE,
-        /** A new one may be opened. */
+        /** A new connection may be opened. */
         OPEN,
-        /** All that this VM may have are in use. */
+        /** All connections that this VM may have are in use. */
         WAIT
     }
 
     /**
-     * This VM's connections to one target.
+     * The number of this VM's connections to one target, by state.
      *
-     * @param idle open, with no exchange
+     * @param idle open, without an exchange
      * @param busy open, with an exchange
      * @param opening not open yet
-     * @param closing not closed yet, no longer usable
+     * @param closing no longer usable, not closed yet
      */
     public record ConnectionCounts(int idle, int busy, int opening, int closing) {
-        /** Returns how many there are in all. */
+        /** Returns the number of connections in all states. */
         public int total() {
             return idle + busy + opening + closing;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/CustomerCounts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/CustomerCounts.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A count for each customer that has one above zero. */
+/** A counter per customer; customers at zero are not stored. */
 final class CustomerCounts {
     private final Map<String, Integer> mCounts = new HashMap<>();
 
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchResult.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchResult.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What becomes of waiting requests after a slot came free.
+ * The queued entries that leave the queue after slots became free.
  *
- * @param dispatched requests that go to a target now
- * @param expired requests to be refused now
- * @param <T> what the caller needs to go on with a request
+ * @param dispatched entries sent to a target now
+ * @param expired entries refused now
+ * @param <T> the caller's handle for a request
  */
 public record DispatchResult<T>(
         List<DispatchedEntry<T>> dispatched, List<ExpiredEntry<T>> expired) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchedEntry.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/DispatchedEntry.java
@@ -3,10 +3,10 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * A request that waited and now goes to a target; its slot is taken.
+ * A queued request that is sent to a target now; its slot is acquired.
  *
  * @param entry the request
  * @param target the target
- * @param <T> what the caller needs to go on with the request
+ * @param <T> the caller's handle for the request
  */
 public record DispatchedEntry<T>(QueueEntry<T> entry, Endpoint target) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ExpiredEntry.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ExpiredEntry.java
@@ -1,10 +1,10 @@
 package org.dahliapass.decisions.traffic;
 
 /**
- * A request that waited in vain, to be refused at once; it was not run.
+ * A queued request that expired and is refused; it was not run.
  *
  * @param entry the request
- * @param refusal the answer
- * @param <T> what the caller needs to go on with the request
+ * @param refusal the response
+ * @param <T> the caller's handle for the request
  */
 public record ExpiredEntry<T>(QueueEntry<T> entry, Admission.Refused refusal) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FailedAttempt.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailedAttempt.java
@@ -5,14 +5,14 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * A try that failed, and what was tried before it.
+ * A failed attempt of a request and the attempts before it.
  *
  * @param kind the request's kind
- * @param failure how the last try failed
- * @param mayHaveRun whether any try of this request may have run, the last one included
- * @param tried all targets tried so far, the last one included
- * @param attempts how many tries there were, the last one included
- * @param deadlineMillis when the answer is of no more use, in milliseconds
+ * @param failure how the last attempt failed
+ * @param mayHaveRun whether any attempt, including the last one, may have run
+ * @param tried the targets of all attempts, including the last one
+ * @param attempts the number of attempts, including the last one
+ * @param deadlineMillis the request's deadline, in milliseconds
  */
 public record FailedAttempt(
         RequestKind kind,
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureKind.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureKind.java
@@ -1,20 +1,22 @@
 package org.dahliapass.decisions.traffic;
 
-/** How a try at a target failed, and what that proves. */
+/** How an attempt at a target failed, and what follows for retries and for the target's health. */
 public enum FailureKind {
-    /** No connection came about, so nothing was sent. */
+    /** The connection could not be opened, so nothing was sent. */
     CONNECT_FAILED(false, true),
-    /** The target refused the request unprocessed (GOAWAY, REFUSED_STREAM, shed load). */
+    /**
+     * The target refused the request without processing it (GOAWAY, REFUSED_STREAM, load shedding).
+     */
     REFUSED_NOT_PROCESSED(false, false),
-    /** The target answered with a server error; its effects are unknown. */
+    /** The target responded with a server error; its effects are unknown. */
     SERVER_ERROR(true, true),
-    /** No answer began in time; the target may still be working. */
+    /** The response did not begin in time; the target may still be processing the request. */
     TIMED_OUT(true, true),
-    /** The answer began and broke off. */
+    /** The response began and was cut off. */
     CUT_SHORT(true, true),
-    /** The connection broke after the request was sent, wholly or in part. */
+    /** The connection broke after all or a part of the request was sent. */
     RESET_AFTER_SEND(true, true),
-    /** The caller went away. */
+    /** The caller disconnected. */
     CANCELLED_BY_CALLER(true, false);
 
     private final boolean mMayHaveRun;
@@ -25,12 +27,12 @@
         mTargetFault = targetFault;
     }
 
-    /** Returns false only where it is proved that the target didn't run the request. */
+    /** Returns false only if the target is known not to have run the request. */
     public boolean mayHaveRun() {
         return mMayHaveRun;
     }
 
-    /** Returns whether the failure speaks against the target's health. */
+    /** Returns whether the failure counts against the target's health. */
     public boolean isTargetFault() {
         return mTargetFault;
     }
@@ -40,7 +42,7 @@
         return this == CUT_SHORT || this == RESET_AFTER_SEND;
     }
 
-    /** Returns whether somebody still waits for an answer, so that another try makes sense. */
+    /** Returns whether the caller still waits for a response, so that a retry is useful. */
     public boolean isCallerWaiting() {
         return this != CANCELLED_BY_CALLER;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureModel.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FailureModel.java
@@ -1,144 +1,146 @@
 package org.dahliapass.decisions.traffic;
 
 /**
- * Learns how often the targets of one service fall into bouts of failure, how long these last, and
- * what share of their work targets fail within and without.
+ * A two-state failure model (Gilbert-Elliott) of the targets of one service, whose parameters are
+ * estimated online: how often healthy targets start to fail, how long failure periods last, and the
+ * failure rate in each state.
  *
- * <p>Answers the load pattern of targets that fail a part of their work for some seconds while
- * their health report is good. How often and how much differs by service and changes, so nothing of
- * it is fixed here: each figure starts from a weak prior, which a few bouts outweigh, and older
- * evidence fades. Bouts are counted when they are over, by {@link TargetStateEstimator}.
+ * <p>The parameters differ by service and change over time. Each one starts from a weak prior, and
+ * older evidence is discounted. {@link TargetStateEstimator} reports failure periods when they end.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
- * call costs O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 final class FailureModel {
-    /** As if one onset had been seen in half a minute of sound work at one target. */
+    /** One onset in 30 seconds of healthy time. */
     private static final double PRIOR_ONSETS = 1;
 
-    private static final double PRIOR_SOUND_MILLIS = 30_000;
+    private static final double PRIOR_HEALTHY_MILLIS = 30_000;
 
-    /** As if two bouts of five seconds each had been seen: bouts take "several seconds". */
-    private static final double PRIOR_BOUTS = 2;
+    /** Two failure periods of 5 seconds each. */
+    private static final double PRIOR_FAILURE_PERIODS = 2;
 
-    private static final double PRIOR_BOUT_MILLIS = 10_000;
+    private static final double PRIOR_FAILING_MILLIS = 10_000;
 
-    /** As if a bout had been seen in which two of three pieces of work failed. */
-    private static final double PRIOR_FAILED_IN_BOUT = 2;
+    /** A failure rate of two thirds while failing. */
+    private static final double PRIOR_FAILED_WHEN_FAILING = 2;
 
-    private static final double PRIOR_WORK_IN_BOUT = 3;
+    private static final double PRIOR_ATTEMPTS_WHEN_FAILING = 3;
 
-    /** As if a sound target had failed one of a hundred pieces of work. */
-    private static final double PRIOR_FAILED_SOUND = 1;
+    /** A failure rate of 1% while healthy. */
+    private static final double PRIOR_FAILED_WHEN_HEALTHY = 1;
 
-    private static final double PRIOR_WORK_SOUND = 100;
+    private static final double PRIOR_ATTEMPTS_WHEN_HEALTHY = 100;
 
-    /** As if half of the failures in a bout had been such that no answer came. */
+    /** Half of the failures while failing are silent. */
     private static final double PRIOR_SILENT = 1;
 
     private static final double PRIOR_FAILURES = 2;
 
-    /**
-     * Evidence fades by half whenever this many bouts were seen: enough that a rate is known within
-     * a fifth, few enough that a service which changes is known anew within some minutes.
-     */
-    private static final double MOST_BOUTS = 40;
+    /** All failure period counts are halved beyond this number, so that old evidence fades. */
+    private static final double MAX_FAILURE_PERIODS = 40;
 
-    /** The same for work at sound targets: a share of 1% is then known within a fifth. */
-    private static final double MOST_SOUND_WORK = 4_000;
+    /** The healthy attempt counts are halved beyond this number. */
+    private static final double MAX_HEALTHY_ATTEMPTS = 4_000;
 
-    /** A target that fails less than every third piece of work is not told from a sound one. */
-    private static final double LEAST_FAILED_IN_BOUT = 0.3;
+    /** A target below this failure rate can't be distinguished from a healthy one. */
+    private static final double MIN_FAILURE_RATE_WHEN_FAILING = 0.3;
 
-    /** Beyond this share the failures of sound targets would hide their bouts. */
-    private static final double MOST_FAILED_SOUND = 0.1;
+    /** Keeps the two states distinguishable when healthy targets fail often. */
+    private static final double MAX_FAILURE_RATE_WHEN_HEALTHY = 0.1;
 
     private double mOnsets;
-    private double mSoundMillis;
-    private double mBouts;
-    private double mBoutMillis;
-    private double mFailedInBout;
-    private double mWorkInBout;
-    private double mSilentInBout;
-    private double mFailedSound;
-    private double mWorkSound;
-
-    /** Takes time in which a target was seen sound, in milliseconds. */
+    private double mHealthyMillis;
+    private double mFailurePeriods;
+    private double mFailingMillis;
+    private double mFailedWhenFailing;
+    private double mAttemptsWhenFailing;
+    private double mSilentWhenFailing;
+    private double mFailedWhenHealthy;
+    private double mAttemptsWhenHealthy;
+
+    /** Records time during which a target was healthy, in milliseconds. */
     void onHealthyTime(long millis) {
-        mSoundMillis += millis;
+        mHealthyMillis += millis;
     }
 
-    /** Takes the beginning of a bout. */
+    /** Records the start of a failure period. */
     void onOnset() {
         mOnsets++;
-        if (mOnsets > MOST_BOUTS) {
+        if (mOnsets > MAX_FAILURE_PERIODS) {
             mOnsets /= 2;
-            mSoundMillis /= 2;
+            mHealthyMillis /= 2;
         }
     }
 
     /**
-     * Takes a bout that is over.
+     * Records a failure period that has ended.
      *
-     * @param millis how long it lasted
-     * @param failed pieces of work that failed in it
-     * @param silent those of them that got no answer
-     * @param work all pieces of work that ended in it
+     * @param millis its duration in milliseconds
+     * @param failed the attempts that failed during it
+     * @param silent the failed attempts without a response
+     * @param attempts all attempts that ended during it
      */
-    void onFailurePeriod(long millis, int failed, int silent, int work) {
-        mBouts++;
-        mBoutMillis += millis;
-        mFailedInBout += failed;
-        mSilentInBout += silent;
-        mWorkInBout += work;
-        if (mBouts > MOST_BOUTS) {
-            mBouts /= 2;
-            mBoutMillis /= 2;
-            mFailedInBout /= 2;
-            mSilentInBout /= 2;
-            mWorkInBout /= 2;
+    void onFailurePeriod(long millis, int failed, int silent, int attempts) {
+        mFailurePeriods++;
+        mFailingMillis += millis;
+        mFailedWhenFailing += failed;
+        mSilentWhenFailing += silent;
+        mAttemptsWhenFailing += attempts;
+        if (mFailurePeriods > MAX_FAILURE_PERIODS) {
+            mFailurePeriods /= 2;
+            mFailingMillis /= 2;
+            mFailedWhenFailing /= 2;
+            mSilentWhenFailing /= 2;
+            mAttemptsWhenFailing /= 2;
         }
     }
 
-    /** Takes pieces of work that ended at a sound target. */
-    void onHealthyAttempts(int failed, int work) {
-        mFailedSound += failed;
-        mWorkSound += work;
-        if (mWorkSound > MOST_SOUND_WORK) {
-            mFailedSound /= 2;
-            mWorkSound /= 2;
+    /** Records attempts that ended at a healthy target. */
+    void onHealthyAttempts(int failed, int attempts) {
+        mFailedWhenHealthy += failed;
+        mAttemptsWhenHealthy += attempts;
+        if (mAttemptsWhenHealthy > MAX_HEALTHY_ATTEMPTS) {
+            mFailedWhenHealthy /= 2;
+            mAttemptsWhenHealthy /= 2;
         }
     }
 
-    /** Returns how often a sound target falls into a bout, per millisecond. */
+    /** Returns the rate at which a healthy target starts to fail, per millisecond. */
     double onsetPerMilli() {
-        return (PRIOR_ONSETS + mOnsets) / (PRIOR_SOUND_MILLIS + mSoundMillis);
+        return (PRIOR_ONSETS + mOnsets) / (PRIOR_HEALTHY_MILLIS + mHealthyMillis);
     }
 
-    /** Returns how often a bout ends, per millisecond. */
+    /** Returns the rate at which a failing target recovers, per millisecond. */
     double recoveryPerMilli() {
-        return (PRIOR_BOUTS + mBouts) / (PRIOR_BOUT_MILLIS + mBoutMillis);
+        return (PRIOR_FAILURE_PERIODS + mFailurePeriods) / (PRIOR_FAILING_MILLIS + mFailingMillis);
     }
 
-    /** Returns the share of targets that are in a bout: what is known of one never seen. */
+    /**
+     * Returns the stationary probability that a target is failing, which applies to an unobserved
+     * one.
+     */
     double failingShare() {
         return onsetPerMilli() / (onsetPerMilli() + recoveryPerMilli());
     }
 
-    /** Returns the share of its work that a target fails in a bout. */
+    /** Returns the share of attempts that fail at a failing target. */
     double failureRateWhenFailing() {
-        double share = (PRIOR_FAILED_IN_BOUT + mFailedInBout) / (PRIOR_WORK_IN_BOUT + mWorkInBout);
-        return Math.max(LEAST_FAILED_IN_BOUT, share);
+        double rate =
+                (PRIOR_FAILED_WHEN_FAILING + mFailedWhenFailing)
+                        / (PRIOR_ATTEMPTS_WHEN_FAILING + mAttemptsWhenFailing);
+        return Math.max(MIN_FAILURE_RATE_WHEN_FAILING, rate);
     }
 
-    /** Returns the share of the failures in a bout that show as no answer. */
+    /** Returns the share of failures at a failing target that have no response. */
     double silentShareWhenFailing() {
-        return (PRIOR_SILENT + mSilentInBout) / (PRIOR_FAILURES + mFailedInBout);
+        return (PRIOR_SILENT + mSilentWhenFailing) / (PRIOR_FAILURES + mFailedWhenFailing);
     }
 
-    /** Returns the share of its work that a sound target fails. */
+    /** Returns the share of attempts that fail at a healthy target. */
     double failureRateWhenHealthy() {
-        double share = (PRIOR_FAILED_SOUND + mFailedSound) / (PRIOR_WORK_SOUND + mWorkSound);
-        return Math.min(MOST_FAILED_SOUND, share);
+        double rate =
+                (PRIOR_FAILED_WHEN_HEALTHY + mFailedWhenHealthy)
+                        / (PRIOR_ATTEMPTS_WHEN_HEALTHY + mAttemptsWhenHealthy);
+        return Math.min(MAX_FAILURE_RATE_WHEN_HEALTHY, rate);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/FloorSharePolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/FloorSharePolicy.java
@@ -3,46 +3,44 @@
 import java.util.List;
 
 /**
- * Keeps the floor share of a service's sound targets in use.
+ * Keeps the floor share of a service's healthy targets in use.
  *
- * <p>Answers a load that a part of the targets can carry. A choice by the least chance of loss
- * stays with the targets that were proven last: the others are in more doubt the longer they get
- * nothing, although nothing speaks against them. While requests are lost for another reason, which
- * is when capacity is needed, half of the sound targets may so be out of use without any ejection.
+ * <p>Selection by the lowest loss probability prefers recently used targets, since the uncertainty
+ * about idle ones grows. Without this policy healthy targets could stay idle while capacity is
+ * needed.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. A
- * call costs O(targets).
+ * <p>Not thread-safe; guarded by the service's lock. A call is O(targets).
  */
 final class FloorSharePolicy {
-    /** A target that got nothing for this long is not in use, in milliseconds. */
+    /** A target without requests for this long is idle, in milliseconds. */
     private static final long IDLE_MILLIS = 1_400;
 
-    /** Targets in use beyond the floor share, since some of those in use may be unsound. */
-    private static final double RESERVE_SHARE = 0.1;
+    /** Additional share of targets kept in use, since some of those in use may be failing. */
+    private static final double RESERVE = 0.1;
 
     /**
-     * While a greater share of work is lost, all targets count as sound: lost answers that are not
-     * the targets' fault look like unsound targets.
+     * Above this loss rate all targets count as healthy, since lost responses make healthy targets
+     * look faulty.
      */
-    private static final double LOST_SHARE = 0.08;
+    private static final double MAX_LOSS_RATE = 0.08;
 
     private final double mFloorShare;
-    private final PassiveFailureDetector mEvidence;
+    private final PassiveFailureDetector mFailureDetector;
 
     /**
-     * Creates the floor.
+     * Creates a policy.
      *
-     * @param floorShare the share of the sound targets that must stay in use; 0 for none
+     * @param floorShare the share of the healthy targets that must stay in use; 0 for none
      */
-    FloorSharePolicy(double floorShare, PassiveFailureDetector evidence) {
+    FloorSharePolicy(double floorShare, PassiveFailureDetector failureDetector) {
         mFloorShare = floorShare;
-        mEvidence = evidence;
+        mFailureDetector = failureDetector;
     }
 
     /**
-     * Returns the targets to choose among: those not in use while too few are, else the best.
+     * Returns the targets to select from: idle ones while too few are in use, otherwise the best.
      *
-     * @param best the targets that a request would go to
+     * @param best the preferred targets for a request
      * @param free all targets with a free slot
      * @param all all targets that are compared
      */
@@ -52,7 +50,7 @@
             List<WeightedTarget> all,
             long nowMillis) {
         long inUse = all.stream().filter(target -> !isIdle(target, nowMillis)).count();
-        if (mFloorShare == 0 || inUse >= leastInUse(all.size())) {
+        if (mFloorShare == 0 || inUse >= minInUse(all.size())) {
             return best;
         }
         List<WeightedTarget> idle = idle(best, nowMillis);
@@ -62,10 +60,11 @@
         return idle.isEmpty() ? best : idle;
     }
 
-    private double leastInUse(int targets) {
-        boolean losesWork = mEvidence.lossRate() > LOST_SHARE;
-        double unsound = losesWork ? 0 : Math.min(1 - mFloorShare, mEvidence.failingShare());
-        return (mFloorShare + RESERVE_SHARE) * (1 - unsound) * targets;
+    private double minInUse(int targets) {
+        boolean isLossHigh = mFailureDetector.lossRate() > MAX_LOSS_RATE;
+        double failingShare =
+                isLossHigh ? 0 : Math.min(1 - mFloorShare, mFailureDetector.failingShare());
+        return (mFloorShare + RESERVE) * (1 - failingShare) * targets;
     }
 
     private List<WeightedTarget> idle(List<WeightedTarget> targets, long nowMillis) {
@@ -73,6 +72,6 @@
     }
 
     private boolean isIdle(WeightedTarget target, long nowMillis) {
-        return nowMillis - mEvidence.lastUsedMillis(target.endpoint()) > IDLE_MILLIS;
+        return nowMillis - mFailureDetector.lastUsedMillis(target.endpoint()) > IDLE_MILLIS;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/HedgePolicy.java
@@ -7,80 +7,76 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * Decides whether a request whose first try is slow gets a second one beside it.
+ * Decides whether a request whose first attempt is slow gets a second one in parallel.
  *
- * <p>A request gets at most one hedge, and none after a retry. The caller cancels the try that
- * loses. Not safe for use by several threads: the caller guards it by the lock of its slot table. A
- * call costs O(targets).
+ * <p>A request gets at most one hedge, and none after a retry. The caller cancels the losing
+ * attempt. Not thread-safe; guarded by the service's lock. A call is O(targets).
  */
 public final class HedgePolicy {
-    /** Nine in ten answers take less than twice the mean, as skewed as their times are. */
+    /** About 90% of responses take less than this multiple of the mean. */
     private static final int SLOW_ANSWER_FACTOR = 2;
 
-    /**
-     * A first try gets a hedge only from this chance on that it is lost. Without it, sound answers
-     * that just take long spend the further tries that failures need.
-     */
-    private static final double LEAST_DOUBT = 0.25;
+    /** Prevents hedges of merely slow responses from exhausting the retry budget. */
+    private static final double MIN_LOSS_PROBABILITY = 0.25;
 
     private final RetryBudget mBudget;
     private final LoadBalancer mBalancer;
     private final SlotTable mSlots;
     private final ServiceTimeEstimator mTimes;
-    private final PassiveFailureDetector mEvidence;
+    private final PassiveFailureDetector mFailureDetector;
 
     /**
-     * Joins what a decision needs.
+     * Creates a policy.
      *
-     * @param budget the service's further tries, shared with the retries
+     * @param budget the service's retry budget, shared with the retries
      * @param balancer picks the targets
      * @param slots the slots of the service
-     * @param times how long answers take
-     * @param evidence what the newest work shows of the targets
+     * @param times estimates response times
+     * @param failureDetector estimates the loss probability of targets
      */
     public HedgePolicy(
             RetryBudget budget,
             LoadBalancer balancer,
             SlotTable slots,
             ServiceTimeEstimator times,
-            PassiveFailureDetector evidence) {
+            PassiveFailureDetector failureDetector) {
         mBudget = budget;
         mBalancer = balancer;
         mSlots = slots;
         mTimes = times;
-        mEvidence = evidence;
+        mFailureDetector = failureDetector;
     }
 
     /**
-     * Returns how long after the first try {@code start} is worth asking; empty for never.
+     * Returns the delay after the first attempt at which to call {@code tryStart}; empty for no
+     * hedge.
      *
-     * <p>So that the second answer still meets the kind's objective, it leaves as much of it as
-     * nine in ten answers need. No hedge starts before the mean time of an answer: by then a third
-     * of sound answers are out, and more would cost the budget what failures need.
+     * <p>The delay leaves enough of the kind's latency objective for 90% of the responses to a
+     * hedge, and is at least the mean response time, so that hedges don't exhaust the retry budget.
      */
     public OptionalLong delayMillis(RequestKind kind) {
         if (!mayHedge(kind)) {
             return OptionalLong.empty();
         }
-        long typical = mTimes.meanMillis(kind);
-        long latest = kind.lateAfter().toMillis() - SLOW_ANSWER_FACTOR * typical;
-        long known = typical == 0 ? kind.hedgeAfter().toMillis() : Math.max(typical, latest);
-        return OptionalLong.of(Math.min(known, kind.hedgeAfter().toMillis()));
+        long mean = mTimes.meanMillis(kind);
+        long latest = kind.lateAfter().toMillis() - SLOW_ANSWER_FACTOR * mean;
+        long delay = mean == 0 ? kind.hedgeAfter().toMillis() : Math.max(mean, latest);
+        return OptionalLong.of(Math.min(delay, kind.hedgeAfter().toMillis()));
     }
 
-    /** Returns whether a loss of this kind's requests can be made good by a hedge. */
+    /** Returns whether requests of this kind may be hedged. */
     static boolean mayHedge(RequestKind kind) {
         return kind.idempotency().isRepeatable() && !kind.hedgeAfter().isZero();
     }
 
     /**
-     * Starts a hedge if it may be had; its slot and its part of the budget are then taken.
+     * Starts a hedge if the policy allows one; its slot is then acquired and the budget charged.
      *
      * @param kind the request's kind
-     * @param tried all targets tried so far
-     * @param deadlineMillis when the answer is of no more use, in milliseconds
-     * @param overloaded whether requests of the service wait for slots
-     * @param nowMillis the time, in milliseconds
+     * @param tried the targets of all attempts so far
+     * @param deadlineMillis the request's deadline, in milliseconds
+     * @param overloaded whether requests of the service are queued
+     * @param nowMillis the current time, in milliseconds
      * @return the target; empty for no hedge
      */
     public Optional<Endpoint> tryStart(
@@ -89,8 +85,8 @@
             long deadlineMillis,
             boolean overloaded,
             long nowMillis) {
-        boolean hadFurtherTry = tried.size() > 1;
-        if (hadFurtherTry || !mayHedge(kind)) {
+        boolean hasExtraAttempt = tried.size() > 1;
+        if (hasExtraAttempt || !mayHedge(kind)) {
             return Optional.empty();
         }
         if (overloaded || !mBudget.hasRemaining(kind, nowMillis)) {
@@ -99,7 +95,7 @@
         if (deadlineMillis - nowMillis < Math.max(1, mTimes.meanMillis(kind))) {
             return Optional.empty();
         }
-        if (!isDoubtful(tried, nowMillis)) {
+        if (!isLossLikely(tried, nowMillis)) {
             return Optional.empty();
         }
         Optional<Endpoint> target = mBalancer.pick(kind, tried, nowMillis);
@@ -111,8 +107,11 @@
         return target;
     }
 
-    private boolean isDoubtful(Set<Endpoint> tried, long nowMillis) {
+    private boolean isLossLikely(Set<Endpoint> tried, long nowMillis) {
         return tried.stream()
-                .anyMatch(target -> mEvidence.lossProbability(target, nowMillis) >= LEAST_DOUBT);
+                .anyMatch(
+                        target ->
+                                mFailureDetector.lossProbability(target, nowMillis)
+                                        >= MIN_LOSS_PROBABILITY);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/LaneQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LaneQueue.java
@@ -7,10 +7,10 @@
 import java.util.TreeSet;
 
 /**
- * The entries of one lane: customers take turns, and a customer's entries go by when they must
- * start.
+ * The queued entries of one lane: round robin between customers, earliest latest start first within
+ * a customer.
  *
- * @param <T> what the caller needs to go on with a request
+ * @param <T> the caller's handle for a request
  */
 final class LaneQueue<T> {
     private final Map<String, TreeSet<QueuedEntry<T>>> mByCustomer = new LinkedHashMap<>();
@@ -23,20 +23,20 @@
         mSize++;
     }
 
-    /** Takes an entry out without a change in the customers' turns. */
+    /** Removes an entry without changing the order of the customers. */
     void remove(QueuedEntry<T> waiting) {
         String customer = waiting.entry().customer();
-        TreeSet<QueuedEntry<T>> own = mByCustomer.get(customer);
-        if (own == null || !own.remove(waiting)) {
+        TreeSet<QueuedEntry<T>> entries = mByCustomer.get(customer);
+        if (entries == null || !entries.remove(waiting)) {
             return;
         }
         mSize--;
-        if (own.isEmpty()) {
+        if (entries.isEmpty()) {
             mByCustomer.remove(customer);
         }
     }
 
-    /** Takes out an entry that is served: its customer's next turn comes after all others'. */
+    /** Removes an entry that is dispatched and moves its customer to the end of the order. */
     void serve(QueuedEntry<T> waiting) {
         remove(waiting);
         String customer = waiting.entry().customer();
@@ -50,29 +50,29 @@
         return mSize;
     }
 
-    /** Returns the first entry of each customer, in the order of their turns. */
+    /** Returns the first entry of each customer, in the order of the customers. */
     List<QueuedEntry<T>> heads() {
         List<QueuedEntry<T>> heads = new ArrayList<>(mByCustomer.size());
-        mByCustomer.values().forEach(own -> heads.add(own.first()));
+        mByCustomer.values().forEach(entries -> heads.add(entries.first()));
         return heads;
     }
 
     /**
-     * Counts the entries that are served before a new one of this customer: its own that must start
-     * no later, and as many of each other customer, one for each turn.
+     * Counts the entries dispatched before a new one of this customer: its own with no later latest
+     * start, and as many entries of each other customer as there are turns before it.
      */
     int entriesAhead(String customer, long latestStartMillis) {
-        int own = 0;
+        int entries = 0;
         for (QueuedEntry<T> waiting : mByCustomer.getOrDefault(customer, new TreeSet<>())) {
             if (waiting.entry().latestStartMillis() > latestStartMillis) {
                 break;
             }
-            own++;
+            entries++;
         }
-        int ahead = own;
+        int ahead = entries;
         for (Map.Entry<String, TreeSet<QueuedEntry<T>>> other : mByCustomer.entrySet()) {
             if (!other.getKey().equals(customer)) {
-                ahead += Math.min(other.getValue().size(), own + 1);
+                ahead += Math.min(other.getValue().size(), entries + 1);
             }
         }
         return ahead;
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
@@ -10,50 +10,44 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * Finds the targets with a free slot for a request, of which {@link TargetSelector} chooses one.
+ * Finds the targets with a free slot for a request; {@link TargetSelector} selects one of them.
  *
- * <p>The VM's own share of the slots goes first; others' unused slots are borrowed only while the
- * cell has many. Reports are always somewhat old, so VMs that all took the one least loaded target,
- * or borrowed the last free slots, would meet there and be refused.
+ * <p>A VM uses its own share of the slots first and borrows unused slots of other VMs only while
+ * utilization is low. Since reports are delayed, VMs that all chose the least loaded target or the
+ * last free slot would collide there.
  *
- * <p>Not safe for use by several threads: the caller guards it by the same lock as its slot table.
- * A pick costs O(VMs of the cell) for each target that is compared: some of many, and all if none
- * of those has a slot.
+ * <p>Not thread-safe; guarded by the service's lock. A pick is O(VMs of the cell) for each compared
+ * target.
  */
 public final class LoadBalancer {
-    /** Others' slots are borrowed while less than this share of all usable slots is in use. */
-    private static final double BORROW_BELOW = 0.7;
+    /** Slots of other VMs are borrowed only below this utilization of all usable slots. */
+    private static final double MAX_BORROW_UTILIZATION = 0.7;
 
-    private static final double BULKY_SHARE_AMONG_SHORT = 0.5;
+    private static final double BULKY_SHARE = 0.5;
 
     /**
-     * Requests that may wait at a target beyond its slots where VMs share no slots but tell each
-     * other what they use: with none a slot would stand idle until the news that it is free has
-     * gone round, about a third of the time of an answer.
+     * Requests that may wait at a target beyond its slots if its slots aren't divided between VMs.
+     * Without any, a freed slot stays idle until the other VMs have been told of it.
      */
-    private static final int WAITING_AT_TARGET = 1;
+    private static final int MAX_WAITING_AT_TARGET = 1;
 
-    /**
-     * The most targets that are compared for one request, so that a VM's processor time doesn't
-     * grow with requests times targets. The best of so many drawn at random is on average among the
-     * best fiftieth of all.
-     */
-    private static final int MOST_COMPARED = 48;
+    /** Bounds the CPU cost of a request at services with many targets. */
+    private static final int MAX_COMPARED = 48;
 
     private final SlotTable mSlots;
     private final int mBulkySlotsPerTarget;
-    private final TargetSelector mPlacement;
+    private final TargetSelector mSelector;
     private final RandomGenerator mRandom;
     private List<WeightedTarget> mTargets = List.of();
-    private double mGreatestWeight;
+    private double mMaxWeight;
 
     /**
-     * Starts without targets.
+     * Creates a balancer without targets.
      *
      * @param slots the slots of the service
-     * @param bulkyShare the share of a target's slots that bulky requests may take, above 0 to 1; 1
-     *     where the service has bulky kinds only
-     * @param random draws the targets
+     * @param bulkyShare the share of a target's slots that bulky requests may use, above 0 to 1; 1
+     *     for a service with bulky kinds only
+     * @param random selects among the targets
      */
     public LoadBalancer(SlotTable slots, double bulkyShare, RandomGenerator random) {
         this(
@@ -66,11 +60,11 @@
     }
 
     /**
-     * Starts without targets.
+     * Creates a balancer without targets.
      *
      * @param zone this VM's availability zone
-     * @param floorShare the share of the sound targets that must stay in use; 0 for none
-     * @param evidence what the newest work shows of the targets
+     * @param floorShare the share of the healthy targets that must stay in use; 0 for none
+     * @param failureDetector estimates the state of the targets
      */
     public LoadBalancer(
             String zone,
@@ -78,37 +72,37 @@
             SlotTable slots,
             double bulkyShare,
             RandomGenerator random,
-            PassiveFailureDetector evidence) {
+            PassiveFailureDetector failureDetector) {
         mSlots = slots;
         mBulkySlotsPerTarget = Math.max(1, (int) (slots.slotsPerTarget() * bulkyShare));
-        mPlacement = new TargetSelector(zone, floorShare, slots, evidence, random);
+        mSelector = new TargetSelector(zone, floorShare, slots, failureDetector, random);
         mRandom = random;
     }
 
-    /** Returns the share of a target's slots that bulky requests may take in a service. */
+    /** Returns the share of a target's slots that bulky requests may use in a service. */
     public static double bulkyShare(List<RequestKind> kinds) {
-        return kinds.stream().allMatch(RequestKind::bulky) ? 1 : BULKY_SHARE_AMONG_SHORT;
+        return kinds.stream().allMatch(RequestKind::bulky) ? 1 : BULKY_SHARE;
     }
 
-    /** Takes the newest view of the targets. */
+    /** Replaces the view of the targets. */
     public void onTargets(List<WeightedTarget> targets) {
         mTargets = List.copyOf(targets);
-        mGreatestWeight = targets.stream().mapToDouble(WeightedTarget::weight).max().orElse(0);
+        mMaxWeight = targets.stream().mapToDouble(WeightedTarget::weight).max().orElse(0);
         mSlots.retainTargets(mTargets);
     }
 
     /**
-     * Picks a target for a request's first try; takes no slot.
+     * Picks a target for a request's first attempt without acquiring a slot.
      *
      * @param kind the request's kind
      * @param excluded targets that must not be picked, such as those tried before
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      * @return the target; empty if none has a free slot for this kind
      */
     public Optional<Endpoint> pick(RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
-        List<WeightedTarget> drawn = drawn();
-        Optional<Endpoint> picked = pickAmong(drawn, kind, excluded, nowMillis);
-        return picked.isPresent() || drawn.size() == mTargets.size()
+        List<WeightedTarget> sampled = sampled();
+        Optional<Endpoint> picked = pickAmong(sampled, kind, excluded, nowMillis);
+        return picked.isPresent() || sampled.size() == mTargets.size()
                 ? picked
                 : pickAmong(mTargets, kind, excluded, nowMillis);
     }
@@ -118,51 +112,51 @@
             RequestKind kind,
             Set<Endpoint> excluded,
             long nowMillis) {
-        List<WeightedTarget> free = withSlot(targets, kind, excluded, nowMillis);
-        return mPlacement.select(kind, free, targets, nowMillis);
+        List<WeightedTarget> free = withFreeSlot(targets, kind, excluded, nowMillis);
+        return mSelector.select(kind, free, targets, nowMillis);
     }
 
-    /** Picks a target as {@link #pick}, for a further try after one that failed. */
+    /** Picks a target as {@link #pick} does, for a retry. */
     public Optional<Endpoint> pickForRetry(
             RequestKind kind, Set<Endpoint> excluded, long nowMillis) {
-        List<WeightedTarget> drawn = drawn();
-        Optional<Endpoint> picked = pickAmong(drawn, kind, excluded, nowMillis);
+        List<WeightedTarget> sampled = sampled();
+        Optional<Endpoint> picked = pickAmong(sampled, kind, excluded, nowMillis);
         if (picked.isPresent()) {
             return picked;
         }
-        List<WeightedTarget> free = withSlot(mTargets, kind, excluded, nowMillis);
-        return mPlacement.selectForRetry(kind, free, mTargets, nowMillis);
+        List<WeightedTarget> free = withFreeSlot(mTargets, kind, excluded, nowMillis);
+        return mSelector.selectForRetry(kind, free, mTargets, nowMillis);
     }
 
     /**
-     * Returns the targets to compare for a request: all, or some drawn at random if there are many.
+     * Returns the targets to compare for a request: all, or a random sample of many.
      *
-     * <p>From a random place on, every so many of the list; as the step has no factor in common
-     * with the list's length, none is met twice.
+     * <p>The sample is every n-th target from a random index. The step is coprime to the number of
+     * targets, so no target is sampled twice.
      */
-    private List<WeightedTarget> drawn() {
+    private List<WeightedTarget> sampled() {
         int count = mTargets.size();
-        if (count <= MOST_COMPARED) {
+        if (count <= MAX_COMPARED) {
             return mTargets;
         }
         int step = 1 + mRandom.nextInt(count - 1);
         while (greatestCommonDivisor(step, count) != 1) {
             step = 1 + mRandom.nextInt(count - 1);
         }
-        int place = mRandom.nextInt(count);
-        List<WeightedTarget> drawn = new ArrayList<>(MOST_COMPARED);
-        for (int number = 0; number < MOST_COMPARED; number++) {
-            drawn.add(mTargets.get(place));
-            place = (place + step) % count;
+        int index = mRandom.nextInt(count);
+        List<WeightedTarget> sampled = new ArrayList<>(MAX_COMPARED);
+        for (int number = 0; number < MAX_COMPARED; number++) {
+            sampled.add(mTargets.get(index));
+            index = (index + step) % count;
         }
-        return drawn;
+        return sampled;
     }
 
     private static int greatestCommonDivisor(int first, int second) {
         return second == 0 ? first : greatestCommonDivisor(second, first % second);
     }
 
-    private List<WeightedTarget> withSlot(
+    private List<WeightedTarget> withFreeSlot(
             List<WeightedTarget> targets,
             RequestKind kind,
             Set<Endpoint> excluded,
@@ -170,22 +164,23 @@
         if (kind.bulky() && mSlots.ownBulkyInFlightTotal() >= bulkyLimit()) {
             return List.of();
         }
-        List<WeightedTarget> own = withOwnSlot(targets, kind, excluded);
+        List<WeightedTarget> ownTargets = withOwnFreeSlot(targets, kind, excluded);
         if (mSlots.cellSize() == 1) {
-            return withUnused(own, nowMillis);
+            return withUnusedSlot(ownTargets, nowMillis);
         }
-        if (!own.isEmpty()) {
-            return own;
+        if (!ownTargets.isEmpty()) {
+            return ownTargets;
         }
         return mayBorrow(nowMillis) ? borrowable(targets, kind, excluded, nowMillis) : List.of();
     }
 
     /**
-     * Returns the targets that have a slot which no other VM uses, or nearly so if there is none.
+     * Returns the targets with an unused slot; if there are none, those with room for a waiting
+     * request.
      */
-    private List<WeightedTarget> withUnused(List<WeightedTarget> own, long nowMillis) {
-        List<WeightedTarget> unused = belowLimit(own, 0, nowMillis);
-        return unused.isEmpty() ? belowLimit(own, WAITING_AT_TARGET, nowMillis) : unused;
+    private List<WeightedTarget> withUnusedSlot(List<WeightedTarget> ownTargets, long nowMillis) {
+        List<WeightedTarget> unused = belowLimit(ownTargets, 0, nowMillis);
+        return unused.isEmpty() ? belowLimit(ownTargets, MAX_WAITING_AT_TARGET, nowMillis) : unused;
     }
 
     private List<WeightedTarget> belowLimit(
@@ -198,20 +193,20 @@
                 .toList();
     }
 
-    private List<WeightedTarget> withOwnSlot(
+    private List<WeightedTarget> withOwnFreeSlot(
             List<WeightedTarget> targets, RequestKind kind, Set<Endpoint> excluded) {
-        List<WeightedTarget> own = new ArrayList<>();
+        List<WeightedTarget> ownTargets = new ArrayList<>();
         for (WeightedTarget target : targets) {
             if (isUsable(target, kind, excluded)
                     && mSlots.ownFreeSlots(target.endpoint(), usableSlots(target)) > 0
                     && hasBulkyRoom(target, kind)) {
-                own.add(target);
+                ownTargets.add(target);
             }
         }
-        return own;
+        return ownTargets;
     }
 
-    /** Returns whether any target may take this kind, be its slots free or not. */
+    /** Returns whether any target accepts this kind, regardless of free slots. */
     public boolean hasTargetFor(RequestKind kind, Set<Endpoint> excluded) {
         return mTargets.stream().anyMatch(target -> isUsable(target, kind, excluded));
     }
@@ -232,18 +227,21 @@
         return unused;
     }
 
-    /** A VM without any slot of its own may always borrow: it would serve nobody else. */
+    /**
+     * Returns whether slots of other VMs may be borrowed. A VM without any slot of its own always
+     * may, since it could not serve requests otherwise.
+     */
     private boolean mayBorrow(long nowMillis) {
         int usable = 0;
-        int ownShare = 0;
+        int ownSlots = 0;
         double inUse = 0;
         for (WeightedTarget target : mTargets) {
             int slots = usableSlots(target);
             usable += slots;
-            ownShare += mSlots.ownShare(target.endpoint(), slots);
+            ownSlots += mSlots.ownShare(target.endpoint(), slots);
             inUse += inFlight(target, nowMillis);
         }
-        return ownShare == 0 || inUse < BORROW_BELOW * usable;
+        return ownSlots == 0 || inUse < MAX_BORROW_UTILIZATION * usable;
     }
 
     private boolean isUsable(WeightedTarget target, RequestKind kind, Set<Endpoint> excluded) {
@@ -257,12 +255,14 @@
         return !kind.bulky() || mSlots.ownBulkyInFlight(target.endpoint()) < mBulkySlotsPerTarget;
     }
 
-    /** Returns the slots that a target's weight allows: all at the greatest weight, else fewer. */
+    /**
+     * Returns the slots that a target's weight allows: all for the maximum weight, otherwise fewer.
+     */
     private int usableSlots(WeightedTarget target) {
         if (!(target.weight() > 0)) {
             return 0;
         }
-        return (int) Math.ceil(mSlots.slotsPerTarget() * target.weight() / mGreatestWeight);
+        return (int) Math.ceil(mSlots.slotsPerTarget() * target.weight() / mMaxWeight);
     }
 
     private double inFlight(WeightedTarget target, long nowMillis) {
@@ -273,8 +273,8 @@
     /**
      * Returns how many bulky requests this VM may have in flight.
      *
-     * <p>Guards against bulky answers that fill every slot for minutes while short requests wait.
-     * The peers report totals only, so each VM keeps to its part of the bulky slots of all targets.
+     * <p>Prevents bulky responses from occupying all slots while short requests wait. Peers report
+     * totals only, so each VM limits itself to its share of the bulky slots of all targets.
      */
     private int bulkyLimit() {
         if (mBulkySlotsPerTarget >= mSlots.slotsPerTarget()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/Observation.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/Observation.java
@@ -1,88 +1,91 @@
 package org.dahliapass.decisions.traffic;
 
-/** How a piece of work ended, by how likely that is in a bout of the target and without one. */
+/** The observed outcome of an attempt, with its likelihoods in the two-state failure model. */
 public enum Observation {
-    /** A whole answer in good time. */
+    /** A complete response in time. */
     ANSWERED(true, false) {
         @Override
-        double likelihoodWhenFailing(FailureModel rates) {
-            return 1 - rates.failureRateWhenFailing();
+        double likelihoodWhenFailing(FailureModel model) {
+            return 1 - model.failureRateWhenFailing();
         }
 
         @Override
-        double likelihoodWhenHealthy(FailureModel rates) {
-            return 1 - rates.failureRateWhenHealthy();
+        double likelihoodWhenHealthy(FailureModel model) {
+            return 1 - model.failureRateWhenHealthy();
         }
     },
-    /** An error that the target itself answered. */
+    /** An error response of the target. */
     ERROR(true, true) {
         @Override
-        double likelihoodWhenFailing(FailureModel rates) {
-            return rates.failureRateWhenFailing();
+        double likelihoodWhenFailing(FailureModel model) {
+            return model.failureRateWhenFailing();
         }
 
         @Override
-        double likelihoodWhenHealthy(FailureModel rates) {
-            return rates.failureRateWhenHealthy();
+        double likelihoodWhenHealthy(FailureModel model) {
+            return model.failureRateWhenHealthy();
         }
     },
-    /** A connection that broke before the whole answer: the target, or the path to it. */
+    /**
+     * A connection that broke before the complete response, caused by the target or the network
+     * path.
+     */
     BROKEN(false, true) {
         @Override
-        double likelihoodWhenFailing(FailureModel rates) {
-            return rates.failureRateWhenFailing();
+        double likelihoodWhenFailing(FailureModel model) {
+            return model.failureRateWhenFailing();
         }
 
         @Override
-        double likelihoodWhenHealthy(FailureModel rates) {
-            return rates.failureRateWhenHealthy();
+        double likelihoodWhenHealthy(FailureModel model) {
+            return model.failureRateWhenHealthy();
         }
     },
-    /** No answer at all: the target, or the path to it. */
+    /** No response, caused by the target or the network path. */
     SILENT(false, true) {
         @Override
-        double likelihoodWhenFailing(FailureModel rates) {
-            return rates.failureRateWhenFailing() * rates.silentShareWhenFailing();
+        double likelihoodWhenFailing(FailureModel model) {
+            return model.failureRateWhenFailing() * model.silentShareWhenFailing();
         }
 
         @Override
-        double likelihoodWhenHealthy(FailureModel rates) {
-            return rates.failureRateWhenHealthy() / 2;
+        double likelihoodWhenHealthy(FailureModel model) {
+            return model.failureRateWhenHealthy() / 2;
         }
     },
-    /** Given up as unusually late: slow targets and long work look so. */
+    /** Cancelled as overdue; a slow target or a long request looks the same. */
     LATE(false, true) {
         @Override
-        double likelihoodWhenFailing(FailureModel rates) {
-            return Math.sqrt(SILENT.likelihoodWhenFailing(rates));
+        double likelihoodWhenFailing(FailureModel model) {
+            return Math.sqrt(SILENT.likelihoodWhenFailing(model));
         }
 
         @Override
-        double likelihoodWhenHealthy(FailureModel rates) {
-            return Math.sqrt(SILENT.likelihoodWhenHealthy(rates));
+        double likelihoodWhenHealthy(FailureModel model) {
+            return Math.sqrt(SILENT.likelihoodWhenHealthy(model));
         }
     };
 
-    private final boolean mCameBack;
+    private final boolean mHasResponse;
     private final boolean mFailure;
 
-    Observation(boolean cameBack, boolean failure) {
-        mCameBack = cameBack;
+    Observation(boolean hasResponse, boolean failure) {
+        mHasResponse = hasResponse;
         mFailure = failure;
     }
 
-    /** Returns how likely this end is in a bout. */
-    abstract double likelihoodWhenFailing(FailureModel rates);
+    /** Returns the likelihood of this outcome at a failing target. */
+    abstract double likelihoodWhenFailing(FailureModel model);
 
-    /** Returns how likely this end is at a sound target over a sound path. */
-    abstract double likelihoodWhenHealthy(FailureModel rates);
+    /** Returns the likelihood of this outcome at a healthy target over a healthy network path. */
+    abstract double likelihoodWhenHealthy(FailureModel model);
 
-    /** Returns whether an answer came, which proves the path to the target. */
+    /** Returns whether a response arrived, which proves that the network path works. */
     public boolean hasResponse() {
-        return mCameBack;
+        return mHasResponse;
     }
 
-    /** Returns whether this speaks against the target. */
+    /** Returns whether the outcome counts against the target. */
     public boolean isFailure() {
         return mFailure;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
@@ -12,62 +12,62 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * What the newest work at one service's targets shows, by this VM's own and by that of the others.
+ * A passive failure detector for the targets of one service, based on the outcomes of the requests
+ * that this and the other VMs send to them.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
- * call on one target costs O(requests in flight there and VMs that report).
+ * <p>Not thread-safe; guarded by the service's lock. A call on one target is O(requests in flight
+ * to it and VMs that report it).
  */
 public final class PassiveFailureDetector {
-    /** A full target has worked off a part of its queue after this time, in milliseconds. */
-    private static final long REST_MILLIS = 250;
+    /** How long a target that shed load gets no new requests, in milliseconds. */
+    private static final long COOLDOWN_MILLIS = 250;
 
-    /** Reports come ten times a second; one that is older counts for nothing, in milliseconds. */
-    private static final long REPORT_KEPT_MILLIS = 1_000;
+    /** Longer than several report intervals. */
+    private static final long REPORT_TTL_MILLIS = 1_000;
 
-    /** The weight of the newest request in the mix of requests: about the last fifty count. */
-    private static final double NEWEST_WEIGHT = 0.02;
+    /** About the last 50 requests count. */
+    private static final double REQUEST_MIX_WEIGHT = 0.02;
 
-    /** The weight of the newest work in the share that is lost: about the last hundred count. */
-    private static final double LOST_WEIGHT = 0.01;
+    /** About the last 100 attempts count. */
+    private static final double LOSS_RATE_WEIGHT = 0.01;
 
-    /** The share of requests that must not repeat while none came yet: either may come first. */
-    private static final double UNKNOWN_SHARE = 0.5;
+    private static final double INITIAL_NON_REPEATABLE_SHARE = 0.5;
 
-    /** A proof after doubt is told at once, from this chance of a bout on. */
-    private static final double DOUBT = 0.5;
+    /** A response from a target above this failing probability is reported at once. */
+    private static final double SUSPECT_PROBABILITY = 0.5;
 
     private final ServiceTimeEstimator mTimes;
     private final SlotTable mSlots;
-    private final FailureModel mRates = new FailureModel();
-    private final TargetStateEstimator mBeliefs = new TargetStateEstimator(mRates);
-    private final PathStateEstimator mPaths = new PathStateEstimator();
-    private final Map<Endpoint, TargetSigns> mTargets = new HashMap<>();
-    private final Map<Endpoint, Long> mUntoldProofs = new HashMap<>();
-    private final List<TargetObservation> mNews = new ArrayList<>();
-    private Set<Endpoint> mToldInFlight = Set.of();
-    private double mShareThatMustNotRepeat = UNKNOWN_SHARE;
-    private double mLostShare;
-
-    /** What one other VM told of its unanswered work at a target. */
-    private record PeerSilence(double silence, long atMillis) {}
-
-    /** What is known of one target beside the ends of its work. */
-    private static final class TargetSigns {
-        private final PendingAttempts mWork = new PendingAttempts();
-        private final Map<String, PeerSilence> mPeers = new HashMap<>();
-        private long mRestUntilMillis = Long.MIN_VALUE;
-        private long mUsedMillis = Long.MIN_VALUE / 2;
-
-        private void use(long millis) {
-            mUsedMillis = Math.max(mUsedMillis, millis);
+    private final FailureModel mModel = new FailureModel();
+    private final TargetStateEstimator mTargetStates = new TargetStateEstimator(mModel);
+    private final PathStateEstimator mPathStates = new PathStateEstimator();
+    private final Map<Endpoint, TargetState> mTargets = new HashMap<>();
+    private final Map<Endpoint, Long> mUnreportedResponses = new HashMap<>();
+    private final List<TargetObservation> mObservations = new ArrayList<>();
+    private Set<Endpoint> mReportedInFlight = Set.of();
+    private double mNonRepeatableShare = INITIAL_NON_REPEATABLE_SHARE;
+    private double mLossRate;
+
+    /** The likelihood ratio of the unanswered requests that another VM reported for a target. */
+    private record PeerSilence(double silenceRatio, long atMillis) {}
+
+    /** The state of one target apart from the outcomes of its attempts. */
+    private static final class TargetState {
+        private final PendingAttempts mPending = new PendingAttempts();
+        private final Map<String, PeerSilence> mPeerSilence = new HashMap<>();
+        private long mCooldownUntilMillis = Long.MIN_VALUE;
+        private long mLastUsedMillis = Long.MIN_VALUE / 2;
+
+        private void markUsed(long millis) {
+            mLastUsedMillis = Math.max(mLastUsedMillis, millis);
         }
     }
 
     /**
-     * Starts without evidence.
+     * Creates a detector without observations.
      *
-     * @param times what is an unusual time for an answer
-     * @param slots what is in flight
+     * @param times estimates when a response is overdue
+     * @param slots this VM's requests in flight
      */
     public PassiveFailureDetector(ServiceTimeEstimator times, SlotTable slots) {
         mTimes = times;
@@ -75,52 +75,52 @@
     }
 
     /**
-     * Takes the start of a piece of work.
+     * Records the start of an targetReport.
      *
-     * @param work identifies it
+     * @param attempt identifies the attempt
      */
-    public void onStarted(RequestKind kind, Endpoint target, Object work, long nowMillis) {
+    public void onStarted(RequestKind kind, Endpoint target, Object attempt, long nowMillis) {
         long overdueMillis = nowMillis + mTimes.overdueAfterMillis(kind);
-        TargetSigns signs = signs(target);
-        signs.use(nowMillis);
-        signs.mWork.start(work, overdueMillis, nowMillis);
+        TargetState state = state(target);
+        state.markUsed(nowMillis);
+        state.mPending.start(attempt, overdueMillis, nowMillis);
     }
 
-    private TargetSigns signs(Endpoint target) {
-        return mTargets.computeIfAbsent(target, unused -> new TargetSigns());
+    private TargetState state(Endpoint target) {
+        return mTargets.computeIfAbsent(target, unused -> new TargetState());
     }
 
     /**
-     * Takes the end of a piece of work.
+     * Records the end of an targetReport.
      *
-     * @param work identifies it
+     * @param attempt identifies the attempt
      * @param startedMillis when it was sent, in milliseconds
      */
     public void onEnded(
             RequestKind kind,
             Endpoint target,
-            Object work,
+            Object attempt,
             long startedMillis,
             Outcome outcome,
             long nowMillis) {
-        boolean unjudged = signs(target).mWork.end(work);
-        noteLost(outcome);
-        boolean late = nowMillis - startedMillis >= mTimes.overdueAfterMillis(kind);
+        boolean pending = state(target).mPending.end(attempt);
+        recordLoss(outcome);
+        boolean overdue = nowMillis - startedMillis >= mTimes.overdueAfterMillis(kind);
         switch (outcome) {
             case SUCCESS -> {
-                if (!late) {
+                if (!overdue) {
                     onAnswered(target, startedMillis, nowMillis);
                 }
             }
-            case REFUSED_SHED -> signs(target).mRestUntilMillis = nowMillis + REST_MILLIS;
+            case REFUSED_SHED -> state(target).mCooldownUntilMillis = nowMillis + COOLDOWN_MILLIS;
             case FAILURE -> onFailed(target, Observation.ERROR, startedMillis);
             case CANCELLED -> {
-                if (late && unjudged) {
-                    onOwnEnd(target, Observation.LATE, startedMillis);
+                if (overdue && pending) {
+                    onOwnObservation(target, Observation.LATE, startedMillis);
                 }
             }
             default -> {
-                if (unjudged) {
+                if (pending) {
                     boolean silent = outcome == Outcome.TIMEOUT;
                     onFailed(
                             target,
@@ -131,206 +131,230 @@
         }
     }
 
-    /** Counts what ended; work that was given up or refused by a full target says nothing. */
-    private void noteLost(Outcome outcome) {
+    /** Updates the loss rate; cancelled attempts and load shedding don't count. */
+    private void recordLoss(Outcome outcome) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.REFUSED_SHED) {
             return;
         }
         double lost = outcome == Outcome.SUCCESS ? 0 : 1;
-        mLostShare += (lost - mLostShare) * LOST_WEIGHT;
+        mLossRate += (lost - mLossRate) * LOSS_RATE_WEIGHT;
     }
 
-    /** Returns the share of this VM's newest work that was lost. */
+    /** Returns the share of this VM's recent attempts that were lost. */
     public double lossRate() {
-        return mLostShare;
+        return mLossRate;
     }
 
     private void onAnswered(Endpoint target, long startedMillis, long nowMillis) {
-        boolean doubted = mBeliefs.failingProbability(target, nowMillis) > DOUBT;
-        onOwnEnd(target, Observation.ANSWERED, startedMillis);
-        if (doubted) {
-            mNews.add(new TargetObservation(target, Observation.ANSWERED, startedMillis));
+        boolean suspected =
+                mTargetStates.failingProbability(target, nowMillis) > SUSPECT_PROBABILITY;
+        onOwnObservation(target, Observation.ANSWERED, startedMillis);
+        if (suspected) {
+            mObservations.add(new TargetObservation(target, Observation.ANSWERED, startedMillis));
         } else {
-            mUntoldProofs.merge(target, startedMillis, Math::max);
+            mUnreportedResponses.merge(target, startedMillis, Math::max);
         }
     }
 
-    private void onFailed(Endpoint target, Observation sign, long startedMillis) {
-        onOwnEnd(target, sign, startedMillis);
-        mNews.add(new TargetObservation(target, sign, startedMillis));
+    private void onFailed(Endpoint target, Observation observation, long startedMillis) {
+        onOwnObservation(target, observation, startedMillis);
+        mObservations.add(new TargetObservation(target, observation, startedMillis));
     }
 
-    /** Blames the target and the path, each by how well the other one explains the end. */
-    private void onOwnEnd(Endpoint target, Observation sign, long startedMillis) {
-        double cut = mPaths.partitionProbability(target, startedMillis);
-        double bout = mBeliefs.failingProbability(target, startedMillis);
-        double inBout = sign.likelihoodWhenFailing(mRates);
-        double whileSound = sign.likelihoodWhenHealthy(mRates);
+    /**
+     * Updates the estimates of the target and of the network path, each weighted by how well the
+     * other one explains the outcome.
+     */
+    private void onOwnObservation(Endpoint target, Observation observation, long startedMillis) {
+        double partitioned = mPathStates.partitionProbability(target, startedMillis);
+        double failing = mTargetStates.failingProbability(target, startedMillis);
+        double whenFailing = observation.likelihoodWhenFailing(mModel);
+        double whenHealthy = observation.likelihoodWhenHealthy(mModel);
         double ratio =
-                sign.hasResponse()
-                        ? inBout / whileSound
-                        : (cut + (1 - cut) * inBout) / (cut + (1 - cut) * whileSound);
-        mBeliefs.onObservation(target, sign, ratio, startedMillis);
-        mPaths.onObservation(target, sign, bout * inBout + (1 - bout) * whileSound, startedMillis);
+                observation.hasResponse()
+                        ? whenFailing / whenHealthy
+                        : (partitioned + (1 - partitioned) * whenFailing)
+                                / (partitioned + (1 - partitioned) * whenHealthy);
+        mTargetStates.onObservation(target, observation, ratio, startedMillis);
+        mPathStates.onObservation(
+                target,
+                observation,
+                failing * whenFailing + (1 - failing) * whenHealthy,
+                startedMillis);
     }
 
     /**
-     * Takes what another VM saw. Without an answer it may have been that VM's own path: half of the
-     * weight leaves a target that others still use in use with them.
+     * Applies an observation of another VM. A missing response may be caused by that VM's network
+     * path, so it gets half of the weight (in log odds).
      */
-    private void onPeerEnd(Endpoint target, Observation sign, long sentMillis) {
-        double ratio = sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates);
-        mBeliefs.onObservation(
-                target, sign, sign.hasResponse() ? ratio : Math.sqrt(ratio), sentMillis);
+    private void applyPeerObservation(Endpoint target, Observation observation, long sentMillis) {
+        double ratio =
+                observation.likelihoodWhenFailing(mModel)
+                        / observation.likelihoodWhenHealthy(mModel);
+        mTargetStates.onObservation(
+                target,
+                observation,
+                observation.hasResponse() ? ratio : Math.sqrt(ratio),
+                sentMillis);
     }
 
-    /**
-     * Takes work without an answer for lost once it is overdue by as long again, without waiting
-     * for its timeout, which may be seconds away; about 1 in 40 sound answers takes longer.
-     */
+    /** Records attempts as lost that took twice the overdue time, before their timeout expires. */
     public void expireOverdue(long nowMillis) {
         mTargets.forEach(
-                (target, signs) -> {
-                    for (long startedMillis : signs.mWork.removeLost(nowMillis)) {
+                (target, state) -> {
+                    for (long startedMillis : state.mPending.removeLost(nowMillis)) {
                         onFailed(target, Observation.SILENT, startedMillis);
                     }
                 });
     }
 
-    /** Returns what other VMs should hear of at once, oldest first, and forgets it. */
+    /** Returns and clears the observations to send to the other VMs, oldest first. */
     public List<TargetObservation> drainObservations() {
-        List<TargetObservation> news = List.copyOf(mNews);
-        mNews.clear();
-        return news;
+        List<TargetObservation> observations = List.copyOf(mObservations);
+        mObservations.clear();
+        return observations;
     }
 
-    /** Takes another VM's news. */
-    public void onPeerObservation(TargetObservation news) {
-        signs(news.target()).use(news.sentMillis());
-        onPeerEnd(news.target(), news.observation(), news.sentMillis());
+    /** Records an observation of another VM. */
+    public void onPeerObservation(TargetObservation update) {
+        state(update.target()).markUsed(update.sentMillis());
+        applyPeerObservation(update.target(), update.observation(), update.sentMillis());
     }
 
     /**
-     * Takes another VM's report, which lists all targets where it has work in flight.
+     * Records another VM's report, which lists all targets to which it has requests in flight.
      *
      * @param vm the VM's name
      */
     public void onPeerReport(String vm, List<TargetReport> report, long nowMillis) {
-        for (TargetReport work : report) {
-            TargetSigns signs = signs(work.target());
-            work.lastAnsweredMillis()
+        for (TargetReport targetReport : report) {
+            TargetState state = state(targetReport.target());
+            targetReport
+                    .lastAnsweredMillis()
                     .ifPresent(
                             sent -> {
-                                signs.use(sent);
-                                onPeerEnd(work.target(), Observation.ANSWERED, sent);
+                                state.markUsed(sent);
+                                applyPeerObservation(
+                                        targetReport.target(), Observation.ANSWERED, sent);
                             });
-            if (work.inFlight() > 0) {
-                signs.use(nowMillis);
-                signs.mPeers.put(vm, new PeerSilence(work.silenceRatio(), nowMillis));
+            if (targetReport.inFlight() > 0) {
+                state.markUsed(nowMillis);
+                state.mPeerSilence.put(vm, new PeerSilence(targetReport.silenceRatio(), nowMillis));
             } else {
-                signs.mPeers.remove(vm);
+                state.mPeerSilence.remove(vm);
             }
         }
     }
 
-    /** Returns the chance that a target is in a bout, from 0 to 1. */
+    /** Returns the probability that a target is failing, from 0 to 1. */
     public double failingProbability(Endpoint target, long nowMillis) {
-        double chance = mBeliefs.failingProbability(target, nowMillis);
-        TargetSigns signs = mTargets.get(target);
-        if (signs == null) {
-            return chance;
+        double probability = mTargetStates.failingProbability(target, nowMillis);
+        TargetState state = mTargets.get(target);
+        if (state == null) {
+            return probability;
         }
-        double odds = chance / (1 - chance) * signs.mWork.silenceRatio(mRates, nowMillis);
-        signs.mPeers.values().removeIf(peer -> nowMillis - peer.atMillis() > REPORT_KEPT_MILLIS);
-        for (PeerSilence peer : signs.mPeers.values()) {
-            odds *= peer.silence();
+        double odds =
+                probability / (1 - probability) * state.mPending.silenceRatio(mModel, nowMillis);
+        state.mPeerSilence
+                .values()
+                .removeIf(peer -> nowMillis - peer.atMillis() > REPORT_TTL_MILLIS);
+        for (PeerSilence peer : state.mPeerSilence.values()) {
+            odds *= peer.silenceRatio();
         }
         return odds / (1 + odds);
     }
 
-    /** Returns the chance that a target fails a piece of work that it is sent now. */
+    /** Returns the probability that a request sent to a target now is lost. */
     public double lossProbability(Endpoint target, long nowMillis) {
-        double bout = failingProbability(target, nowMillis);
-        double byTarget =
-                bout * mRates.failureRateWhenFailing()
-                        + (1 - bout) * mRates.failureRateWhenHealthy();
-        return 1 - (1 - byTarget) * (1 - mPaths.partitionProbability(target, nowMillis));
+        double failing = failingProbability(target, nowMillis);
+        double targetLoss =
+                failing * mModel.failureRateWhenFailing()
+                        + (1 - failing) * mModel.failureRateWhenHealthy();
+        return 1 - (1 - targetLoss) * (1 - mPathStates.partitionProbability(target, nowMillis));
     }
 
-    /** Takes a request's first try, before it has a target. */
+    /** Records a request's first attempt, before a target is selected. */
     public void onFirstAttempt(RequestKind kind) {
-        double mustNotRepeat = kind.idempotency().isRepeatable() ? 0 : 1;
-        mShareThatMustNotRepeat += (mustNotRepeat - mShareThatMustNotRepeat) * NEWEST_WEIGHT;
+        double nonRepeatable = kind.idempotency().isRepeatable() ? 0 : 1;
+        mNonRepeatableShare += (nonRepeatable - mNonRepeatableShare) * REQUEST_MIX_WEIGHT;
     }
 
-    /** Returns the share of the service's newest requests that must not repeat. */
+    /** Returns the share of the service's recent requests that must not be repeated. */
     public double nonRepeatableShare() {
-        return mShareThatMustNotRepeat;
+        return mNonRepeatableShare;
     }
 
-    /** Returns the chance that this VM's path to a target is cut, from 0 to 1. */
+    /**
+     * Returns the probability that this VM's network path to a target is partitioned, from 0 to 1.
+     */
     public double partitionProbability(Endpoint target, long nowMillis) {
-        return mPaths.partitionProbability(target, nowMillis);
+        return mPathStates.partitionProbability(target, nowMillis);
     }
 
-    /** Returns the share of targets that are in a bout at any time, as learned. */
+    /** Returns the estimated share of targets that are failing at any time. */
     public double failingShare() {
-        return mRates.failingShare();
+        return mModel.failingShare();
     }
 
-    /** Returns when the newest work of which the end is known was sent; 0 for never. */
+    /**
+     * Returns when the latest attempt with a known outcome was sent, in milliseconds; 0 for never.
+     */
     public long lastObservedMillis(Endpoint target) {
-        return mBeliefs.lastObservedMillis(target);
+        return mTargetStates.lastObservedMillis(target);
     }
 
-    /** Returns when any VM last had work at a target, as far as this one knows. */
+    /**
+     * Returns when any VM last had a request at a target, as far as this VM knows, in milliseconds.
+     */
     public long lastUsedMillis(Endpoint target) {
-        TargetSigns signs = mTargets.get(target);
-        return signs == null ? Long.MIN_VALUE / 2 : signs.mUsedMillis;
+        TargetState state = mTargets.get(target);
+        return state == null ? Long.MIN_VALUE / 2 : state.mLastUsedMillis;
     }
 
-    /** Returns whether the target was full a moment ago. */
+    /** Returns whether the target shed load recently. */
     public boolean isCoolingDown(Endpoint target, long nowMillis) {
-        TargetSigns signs = mTargets.get(target);
-        return signs != null && nowMillis < signs.mRestUntilMillis;
+        TargetState state = mTargets.get(target);
+        return state != null && nowMillis < state.mCooldownUntilMillis;
     }
 
-    /** Forgets what work showed of some targets, which started again. */
+    /** Discards the state of restarted targets. */
     public void forget(Set<Endpoint> targets) {
-        mBeliefs.forget(targets);
-        mPaths.forget(targets);
+        mTargetStates.forget(targets);
+        mPathStates.forget(targets);
         mTargets.keySet().removeAll(targets);
-        mUntoldProofs.keySet().removeAll(targets);
+        mUnreportedResponses.keySet().removeAll(targets);
     }
 
-    /** Forgets the targets that aren't among these. */
+    /** Discards the state of all targets except the given ones. */
     public void retain(Set<Endpoint> targets) {
-        mBeliefs.retain(targets);
-        mPaths.retain(targets);
+        mTargetStates.retain(targets);
+        mPathStates.retain(targets);
         mTargets.keySet().retainAll(targets);
-        mUntoldProofs.keySet().retainAll(targets);
+        mUnreportedResponses.keySet().retainAll(targets);
     }
 
-    /** Returns what is new for the other VMs since the last report; empty if nothing is. */
+    /** Returns what has changed for the other VMs since the last report; empty if nothing has. */
     public List<TargetReport> drainReport(long nowMillis) {
         Map<Endpoint, Integer> inFlight = new HashMap<>();
-        mSlots.ownReport().forEach(use -> inFlight.put(use.target(), use.inFlight()));
-        Set<Endpoint> told = new HashSet<>(mToldInFlight);
-        told.addAll(inFlight.keySet());
-        told.addAll(mUntoldProofs.keySet());
+        mSlots.ownReport().forEach(own -> inFlight.put(own.target(), own.inFlight()));
+        Set<Endpoint> reported = new HashSet<>(mReportedInFlight);
+        reported.addAll(inFlight.keySet());
+        reported.addAll(mUnreportedResponses.keySet());
         List<TargetReport> report = new ArrayList<>();
-        for (Endpoint target : told) {
-            Long proven = mUntoldProofs.get(target);
-            TargetSigns signs = mTargets.get(target);
+        for (Endpoint target : reported) {
+            Long lastAnswered = mUnreportedResponses.get(target);
+            TargetState state = mTargets.get(target);
             report.add(
                     new TargetReport(
                             target,
                             inFlight.getOrDefault(target, 0),
-                            signs == null ? 1 : signs.mWork.silenceRatio(mRates, nowMillis),
-                            proven == null ? OptionalLong.empty() : OptionalLong.of(proven)));
+                            state == null ? 1 : state.mPending.silenceRatio(mModel, nowMillis),
+                            lastAnswered == null
+                                    ? OptionalLong.empty()
+                                    : OptionalLong.of(lastAnswered)));
         }
-        mToldInFlight = Set.copyOf(inFlight.keySet());
-        mUntoldProofs.clear();
+        mReportedInFlight = Set.copyOf(inFlight.keySet());
+        mUnreportedResponses.clear();
         return report;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PathStateEstimator.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PathStateEstimator.java
@@ -6,64 +6,71 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Holds, for each target of a service, the chance that this VM's own path to it is cut.
+ * Estimates, for each target of a service, the probability that this VM's network path to it is
+ * partitioned.
  *
- * <p>Answers a partition between one VM and one target, where all other VMs get answers: what they
- * tell speaks for the target, so by their news alone this VM would send work into the cut again and
- * again. Only an answer over this VM's own path speaks for the path.
+ * <p>Detects a partition between this VM and one target to which other VMs have no partition: their
+ * reports show the target as healthy, so only responses to this VM count for the path.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
- * call costs O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 final class PathStateEstimator {
-    /** As rare as a failing path is: with one of a hundred, the second loss in a row decides. */
-    private static final double SHARE_CUT = 0.01;
+    /** The prior probability of a partition. */
+    private static final double PARTITION_SHARE = 0.01;
 
-    /** Partitions last for seconds; a path is worth another try after about as long. */
-    private static final double MEAN_CUT_MILLIS = 8_000;
+    /** Longer than a typical partition, after which a path is tried again. */
+    private static final double MEAN_PARTITION_MILLIS = 8_000;
 
-    /** A path that loses part of what it carries lets some answers through. */
-    private static final double ANSWERED_WHEN_CUT = 0.02;
+    /** Some responses arrive over a path that loses a part of its packets. */
+    private static final double RESPONSE_RATE_WHEN_PARTITIONED = 0.02;
 
-    private static final double MOST_CHANCE = 0.98;
+    private static final double MAX_PROBABILITY = 0.98;
 
     private final Map<Endpoint, Path> mPaths = new HashMap<>();
 
-    /** What is known of the path to one target. */
-    private record Path(double chance, long seenMillis) {}
+    /** The estimated state of the path to one target. */
+    private record Path(double probability, long lastObservedMillis) {}
 
-    /** Returns the chance that the path to a target is cut. */
+    /** Returns the probability that the path to a target is partitioned. */
     double partitionProbability(Endpoint target, long nowMillis) {
         Path path = mPaths.get(target);
         if (path == null) {
-            return SHARE_CUT;
+            return PARTITION_SHARE;
         }
-        long age = Math.max(0, nowMillis - path.seenMillis());
-        return SHARE_CUT + (path.chance() - SHARE_CUT) * Math.exp(-age / MEAN_CUT_MILLIS);
+        long age = Math.max(0, nowMillis - path.lastObservedMillis());
+        return PARTITION_SHARE
+                + (path.probability() - PARTITION_SHARE) * Math.exp(-age / MEAN_PARTITION_MILLIS);
     }
 
     /**
-     * Takes the end of a piece of work of this VM.
+     * Updates the estimate with the outcome of an attempt of this VM.
      *
-     * @param withoutCut how likely that end was if the path is sound
+     * @param likelihoodWhenHealthy the likelihood of the outcome over a healthy path
      */
-    void onObservation(Endpoint target, Observation sign, double withoutCut, long sentMillis) {
+    void onObservation(
+            Endpoint target,
+            Observation observation,
+            double likelihoodWhenHealthy,
+            long sentMillis) {
         Path path = mPaths.get(target);
-        if (path != null && sentMillis < path.seenMillis()) {
+        if (path != null && sentMillis < path.lastObservedMillis()) {
             return;
         }
-        double before = partitionProbability(target, sentMillis);
-        double ifCut = sign.hasResponse() ? ANSWERED_WHEN_CUT : 1 - ANSWERED_WHEN_CUT;
-        double odds = before / (1 - before) * ifCut / withoutCut;
-        mPaths.put(target, new Path(Math.min(MOST_CHANCE, odds / (1 + odds)), sentMillis));
+        double prior = partitionProbability(target, sentMillis);
+        double likelihoodWhenPartitioned =
+                observation.hasResponse()
+                        ? RESPONSE_RATE_WHEN_PARTITIONED
+                        : 1 - RESPONSE_RATE_WHEN_PARTITIONED;
+        double odds = prior / (1 - prior) * likelihoodWhenPartitioned / likelihoodWhenHealthy;
+        mPaths.put(target, new Path(Math.min(MAX_PROBABILITY, odds / (1 + odds)), sentMillis));
     }
 
-    /** Forgets what is known of some targets. */
+    /** Discards the state of the given targets. */
     void forget(Set<Endpoint> targets) {
         mPaths.keySet().removeAll(targets);
     }
 
-    /** Forgets the targets that aren't among these. */
+    /** Discards the state of all targets except the given ones. */
     void retain(Set<Endpoint> targets) {
         mPaths.keySet().retainAll(targets);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PendingAttempts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PendingAttempts.java
@@ -6,64 +6,65 @@
 import java.util.Map;
 
 /**
- * The pieces of work that one target has not answered yet, and what their age says of it.
+ * The attempts at one target that have no response yet, and the likelihood of their age.
  *
- * <p>Not safe for use by several threads. Each call costs O(pieces of work in flight at the
- * target), which its slots bound.
+ * <p>Not thread-safe; guarded by the service's lock. A call is O(requests in flight to the target).
  */
 final class PendingAttempts {
     /**
-     * How fast silence speaks against a target: one in eleven sound answers takes longer than is
-     * unusual. From times to answer with a logarithmic standard deviation of 0.8, of which the
-     * logistic curve is a fair approximation: the share of sound answers that take longer than a
-     * mean times x is 1 / (1 + 2 x^2).
+     * The odds that a response of a healthy target arrives before it is overdue. The survival
+     * function is 1 / (1 + 10 r^2) for r times the overdue time: a log-logistic approximation of
+     * log-normal response times with a logarithmic standard deviation of 0.8.
      */
-    private static final double SILENCE_AT_UNUSUAL = 10;
+    private static final double OVERDUE_ODDS = 10;
 
-    private final Map<Object, Work> mWork = new LinkedHashMap<>();
+    private final Map<Object, Attempt> mAttempts = new LinkedHashMap<>();
 
-    /** A piece of work that has no answer yet. */
-    private record Work(long startedMillis, long overdueMillis) {
+    /** An attempt without a response. */
+    private record Attempt(long startedMillis, long overdueMillis) {
         private boolean isLost(long nowMillis) {
             return nowMillis - overdueMillis >= overdueMillis - startedMillis;
         }
 
-        /** Returns the share of sound answers that take as long as this one has by now. */
-        private double soundShare(long nowMillis) {
-            double ofUnusual =
+        /**
+         * Returns the probability that a healthy target takes longer than this attempt has taken.
+         */
+        private double survivalProbability(long nowMillis) {
+            double overdueRatio =
                     (double) (nowMillis - startedMillis)
                             / Math.max(1, overdueMillis - startedMillis);
-            return 1 / (1 + SILENCE_AT_UNUSUAL * ofUnusual * ofUnusual);
+            return 1 / (1 + OVERDUE_ODDS * overdueRatio * overdueRatio);
         }
     }
 
     /**
-     * Takes the start of a piece of work.
+     * Records the start of an attempt.
      *
-     * @param work identifies the piece of work
-     * @param overdueMillis from when on the missing answer is unusual, in milliseconds
+     * @param attempt identifies the attempt
+     * @param overdueMillis when the response becomes overdue, in milliseconds
      */
-    void start(Object work, long overdueMillis, long nowMillis) {
-        mWork.put(work, new Work(nowMillis, overdueMillis));
+    void start(Object attempt, long overdueMillis, long nowMillis) {
+        mAttempts.put(attempt, new Attempt(nowMillis, overdueMillis));
     }
 
     /**
-     * Takes the end of a piece of work, however it ended.
+     * Records the end of an attempt, whatever its outcome.
      *
-     * @return false if it was given up for lost before
+     * @return false if it was removed as lost before
      */
-    boolean end(Object work) {
-        return mWork.remove(work) != null;
+    boolean end(Object attempt) {
+        return mAttempts.remove(attempt) != null;
     }
 
-    /** Forgets the work that is overdue by as long again; returns when each piece was sent. */
+    /** Removes the attempts that took twice their overdue time; returns when each was sent. */
     List<Long> removeLost(long nowMillis) {
         List<Long> lost = new ArrayList<>();
-        mWork.values()
+        mAttempts
+                .values()
                 .removeIf(
-                        work -> {
-                            if (work.isLost(nowMillis)) {
-                                lost.add(work.startedMillis());
+                        attempt -> {
+                            if (attempt.isLost(nowMillis)) {
+                                lost.add(attempt.startedMillis());
                                 return true;
                             }
                             return false;
@@ -72,16 +73,16 @@
     }
 
     /**
-     * Returns how many times as likely this silence is in a bout as at a sound target; 1 while
-     * nothing is unanswered.
+     * Returns the likelihood ratio of the missing responses at a failing and at a healthy target; 1
+     * if no attempt is pending.
      */
-    double silenceRatio(FailureModel rates, long nowMillis) {
-        double lost = rates.failureRateWhenFailing() * rates.silentShareWhenFailing();
-        double answered = 1 - rates.failureRateWhenFailing();
+    double silenceRatio(FailureModel model, long nowMillis) {
+        double silentShare = model.failureRateWhenFailing() * model.silentShareWhenFailing();
+        double answeredShare = 1 - model.failureRateWhenFailing();
         double ratio = 1;
-        for (Work work : mWork.values()) {
-            double sound = work.soundShare(nowMillis);
-            ratio *= (answered * sound + lost) / sound;
+        for (Attempt attempt : mAttempts.values()) {
+            double whenHealthy = attempt.survivalProbability(nowMillis);
+            ratio *= (answeredShare * whenHealthy + silentShare) / whenHealthy;
         }
         return ratio;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueEntry.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueEntry.java
@@ -5,9 +5,9 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * A request that asks for a slot. Each entry is one offer: compared by identity.
+ * A request for a slot. Entries are compared by identity.
  *
- * @param <T> what the caller needs to go on with the request
+ * @param <T> the caller's handle for the request
  */
 public final class QueueEntry<T> {
     private final T mRequest;
@@ -18,13 +18,13 @@
     private final Set<Endpoint> mExcluded;
 
     /**
-     * Describes a request.
+     * Creates an entry.
      *
-     * @param request what the caller needs to go on with it
+     * @param request the caller's handle for the request
      * @param customer the customer that sent it
      * @param kind its kind
      * @param arrivedMillis when it arrived, in milliseconds
-     * @param deadlineMillis when its answer is of no more use, in milliseconds
+     * @param deadlineMillis its deadline, in milliseconds
      * @param excluded targets that must not get it
      */
     public QueueEntry(
@@ -42,37 +42,40 @@
         mExcluded = Set.copyOf(excluded);
     }
 
-    /** Returns what the caller needs to go on with the request. */
+    /** Returns the caller's handle for the request. */
     public T request() {
         return mRequest;
     }
 
-    /** Returns the customer that sent it. */
+    /** Returns the customer that sent the request. */
     public String customer() {
         return mCustomer;
     }
 
-    /** Returns its kind. */
+    /** Returns the request's kind. */
     public RequestKind kind() {
         return mKind;
     }
 
-    /** Returns when it arrived, in milliseconds. */
+    /** Returns when the request arrived, in milliseconds. */
     public long arrivedMillis() {
         return mArrivedMillis;
     }
 
-    /** Returns when its answer is of no more use, in milliseconds. */
+    /** Returns the request's deadline, in milliseconds. */
     public long deadlineMillis() {
         return mDeadlineMillis;
     }
 
-    /** Returns the targets that must not get it. */
+    /** Returns the targets that must not get the request. */
     public Set<Endpoint> excluded() {
         return mExcluded;
     }
 
-    /** Returns the time from which it must not be started any more: patience or deadline over. */
+    /**
+     * Returns the time after which the request must not be started, in milliseconds: the end of its
+     * patience or its deadline.
+     */
     public long latestStartMillis() {
         return Math.min(mArrivedMillis + mKind.patience().toMillis(), mDeadlineMillis);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLane.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueueLane.java
@@ -3,13 +3,15 @@
 import org.dahliapass.model.Idempotency;
 import org.dahliapass.model.RequestKind;
 
-/** The lanes of a queue, first served first; each gets at least its weight's share of the slots. */
+/**
+ * The priority lanes of a queue, highest first; each gets at least its weight's share of the slots.
+ */
 enum QueueLane {
-    /** Requests that run at most once: few, and the costliest to refuse. */
-    GUARDED(4),
+    /** Requests that run at most once: few, and the most expensive to refuse. */
+    AT_MOST_ONCE(4),
     /** Short idempotent requests. */
     SHORT(3),
-    /** Requests with large answers. */
+    /** Requests with large responses. */
     BULKY(1);
 
     private final int mWeight;
@@ -18,15 +20,15 @@
         mWeight = weight;
     }
 
-    /** Returns the lane of a kind. */
+    /** Returns the lane of a request kind. */
     static QueueLane of(RequestKind kind) {
         if (kind.bulky()) {
             return BULKY;
         }
-        return kind.idempotency() == Idempotency.AT_MOST_ONCE ? GUARDED : SHORT;
+        return kind.idempotency() == Idempotency.AT_MOST_ONCE ? AT_MOST_ONCE : SHORT;
     }
 
-    /** Returns the lane's share of dispatches against the other lanes that have entries. */
+    /** Returns the lane's share of dispatches relative to the other lanes that have entries. */
     int weight() {
         return mWeight;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/QueuedEntry.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/QueuedEntry.java
@@ -1,11 +1,11 @@
 package org.dahliapass.decisions.traffic;
 
 /**
- * An entry in a queue; ordered by when it must start, then by arrival in the queue.
+ * An entry in a queue, ordered by its latest start, then by its arrival in the queue.
  *
  * @param entry the entry
- * @param sequence grows with each entry of the queue
- * @param <T> what the caller needs to go on with the request
+ * @param sequence the position in the order of arrival
+ * @param <T> the caller's handle for the request
  */
 record QueuedEntry<T>(QueueEntry<T> entry, long sequence) implements Comparable<QueuedEntry<T>> {
     @Override
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RateLimiter.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RateLimiter.java
@@ -7,11 +7,10 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * Holds each customer to the rate that its template says, by a token bucket for each service and
- * kind.
+ * A rate limiter with a token bucket per customer, service and request kind; the rate comes from
+ * the service's template.
  *
- * <p>Not safe for use by several threads: the caller guards each instance by a lock. A call costs
- * O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 public final class RateLimiter {
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -20,22 +19,23 @@
     private final LinkedHashMap<BucketKey, Bucket> mBuckets = new LinkedHashMap<>(16, 0.75f, true);
 
     /**
-     * Starts with all buckets full.
+     * Creates a rate limiter.
      *
-     * @param capacity the most buckets that are kept
+     * @param capacity the maximum number of buckets
      */
     public RateLimiter(int capacity) {
         mCapacity = capacity;
     }
 
     /**
-     * Takes a token for a request.
+     * Takes a token for a request if one is available.
      *
      * @param customer the customer that sent it
-     * @param service the service that it asks for
+     * @param service the service that it is for
      * @param kind its kind
-     * @param nowMillis the time, in milliseconds
-     * @return empty if it may go on; else when there is a token, in milliseconds from now
+     * @param nowMillis the current time, in milliseconds
+     * @return empty if a token was taken; otherwise the wait until one is available, in
+     *     milliseconds
      */
     public OptionalLong tryAcquire(
             String customer, ServiceId service, RequestKind kind, long nowMillis) {
@@ -45,7 +45,7 @@
         BucketKey key = new BucketKey(customer, service, kind.name());
         Bucket bucket = mBuckets.get(key);
         if (bucket == null) {
-            if (!makeRoom(nowMillis)) {
+            if (!ensureCapacity(nowMillis)) {
                 return OptionalLong.of((long) MILLIS_PER_SECOND);
             }
             bucket = new Bucket(kind.ratePerSecond(), nowMillis);
@@ -55,19 +55,18 @@
         return bucket.take(kind.ratePerSecond());
     }
 
-    /** Returns how many buckets are kept. */
+    /** Returns the number of buckets. */
     public int size() {
         return mBuckets.size();
     }
 
     /**
-     * Makes room for one more bucket; false if there is none.
+     * Ensures capacity for another bucket; returns false if there is none.
      *
-     * <p>Guards against a customer that gets round its rate by filling the table so that its spent
-     * bucket is dropped and comes back full. Only a bucket that would be full again is dropped, so
-     * nothing is lost by it.
+     * <p>Only a full bucket is evicted, so a customer can't reset its empty bucket by filling the
+     * table.
      */
-    private boolean makeRoom(long nowMillis) {
+    private boolean ensureCapacity(long nowMillis) {
         if (mBuckets.size() < mCapacity) {
             return true;
         }
@@ -81,35 +80,35 @@
 
     private record BucketKey(String customer, ServiceId service, String kind) {}
 
-    /** Tokens that come at a rate, a second's worth at most and never less than one. */
+    /** A token bucket with a capacity of one second's tokens, and at least one. */
     private static final class Bucket {
         private double mTokens;
         private double mRatePerSecond;
-        private long mAtMillis;
+        private long mUpdatedMillis;
 
         private Bucket(double ratePerSecond, long nowMillis) {
-            mTokens = most(ratePerSecond);
+            mTokens = capacity(ratePerSecond);
             mRatePerSecond = ratePerSecond;
-            mAtMillis = nowMillis;
+            mUpdatedMillis = nowMillis;
         }
 
-        private static double most(double ratePerSecond) {
+        private static double capacity(double ratePerSecond) {
             return Math.max(1, ratePerSecond);
         }
 
         private void refill(double ratePerSecond, long nowMillis) {
-            mTokens = Math.min(most(ratePerSecond), tokensAt(nowMillis));
+            mTokens = Math.min(capacity(ratePerSecond), tokensAt(nowMillis));
             mRatePerSecond = ratePerSecond;
-            mAtMillis = Math.max(mAtMillis, nowMillis);
+            mUpdatedMillis = Math.max(mUpdatedMillis, nowMillis);
         }
 
         private double tokensAt(long nowMillis) {
-            long elapsedMillis = Math.max(0, nowMillis - mAtMillis);
+            long elapsedMillis = Math.max(0, nowMillis - mUpdatedMillis);
             return mTokens + elapsedMillis * mRatePerSecond / MILLIS_PER_SECOND;
         }
 
         private boolean isFull(long nowMillis) {
-            return tokensAt(nowMillis) >= most(mRatePerSecond);
+            return tokensAt(nowMillis) >= capacity(mRatePerSecond);
         }
 
         private OptionalLong take(double ratePerSecond) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RefusalReason.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RefusalReason.java
@@ -1,13 +1,13 @@
 package org.dahliapass.decisions.traffic;
 
-/** Why a request was refused before it was sent anywhere: it was not run. */
+/** Why a request was refused before it was sent to a target. */
 public enum RefusalReason {
-    /** No target may take new work of this kind. */
+    /** No target accepts new requests of this kind. */
     NO_TARGET,
     /** The queue, or the customer's part of it, is full. */
     QUEUE_FULL,
-    /** By the measured rate no slot frees in time. */
+    /** No slot is expected to become free in time. */
     TOO_LATE,
-    /** It waited as long as its kind's patience or its deadline allows. */
+    /** The request was queued until its patience or deadline ended. */
     WAIT_TIMED_OUT
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryAfterPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryAfterPolicy.java
@@ -2,10 +2,10 @@
 
 import java.util.random.RandomGenerator;
 
-/** Tells refused callers when to come back: when there may be room, and not all at once. */
+/** Computes Retry-After times with jitter, so that refused callers don't all retry at once. */
 final class RetryAfterPolicy {
-    private static final long FLOOR_MILLIS = 1_000;
-    private static final long CEILING_MILLIS = 60_000;
+    private static final long MIN_MILLIS = 1_000;
+    private static final long MAX_MILLIS = 60_000;
     private static final double JITTER_SHARE = 0.5;
 
     private final RandomGenerator mRandom;
@@ -15,15 +15,12 @@
     }
 
     /**
-     * Returns a time from now in milliseconds.
+     * Returns the delay until a retry, in milliseconds.
      *
-     * <p>Guards against refused callers that all come back in the same second and are refused
-     * again: the times are spread over half as long again.
-     *
-     * @param waitMillis when there may be room, in milliseconds from now
+     * @param waitMillis the expected wait for capacity, in milliseconds
      */
     long delayMillis(long waitMillis) {
-        long base = Math.min(CEILING_MILLIS, Math.max(FLOOR_MILLIS, waitMillis));
+        long base = Math.min(MAX_MILLIS, Math.max(MIN_MILLIS, waitMillis));
         return base + (long) (base * JITTER_SHARE * mRandom.nextDouble());
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryBudget.java
@@ -3,40 +3,36 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * Counts what tries beyond the first a service may have: a share of its recent first tries.
+ * A retry budget, which limits the retries and hedges of a service to a share of its recent first
+ * attempts.
  *
- * <p>Guards against retry storms: when targets fail for load, each failure would bring another try
- * and so more load. A share of first tries bounds the work added, however much fails. Not safe for
- * use by several threads: the caller guards it by the lock of its slot table. A call costs O(1).
+ * <p>Prevents retry storms: without a budget, failures caused by overload would add more load. Not
+ * thread-safe; guarded by the service's lock.
  */
 public final class RetryBudget {
     private static final int BUCKETS = 10;
     private static final long BUCKET_MILLIS = 1_000;
 
-    /** So that a service with little traffic can have a retry at all. */
-    private static final double MINIMUM = 2;
+    /** Allows retries at low traffic. */
+    private static final double MIN_EXTRA_ATTEMPTS = 2;
 
-    /**
-     * The share of what was earned that requests which may repeat can spend. With 18% earned and a
-     * third of all requests of that sort, it allows a further try for a third of them.
-     */
-    private static final double SHARE_OF_READS = 0.7;
+    /** The share of the budget available to requests that may be repeated; the rest is reserved. */
+    private static final double REPEATABLE_SHARE = 0.7;
 
     private final double[] mEarned = new double[BUCKETS];
     private final int[] mSpent = new int[BUCKETS];
     private long mNewestBucket = Long.MIN_VALUE;
 
-    /** Takes a first try, which earns its kind's share of a further try. */
+    /** Records a first attempt, which adds its kind's retry share to the budget. */
     public void onFirstAttempt(RequestKind kind, long nowMillis) {
         mEarned[bucketAt(nowMillis)] += kind.retryShare();
     }
 
     /**
-     * Returns whether a further try may be spent on a request of a kind.
+     * Returns whether the budget allows a retry or hedge of a kind.
      *
-     * <p>Guards against hedges of reads that use up the budget in a calm moment, so that none is
-     * left when targets begin to refuse: a read that is lost may be asked for again, a lock that is
-     * refused keeps somebody from going on. Reads leave a part to requests that must not repeat.
+     * <p>Reserves a part for requests that must not be repeated, so that hedges of reads can't
+     * exhaust the budget before targets start to refuse requests.
      */
     public boolean hasRemaining(RequestKind kind, long nowMillis) {
         bucketAt(nowMillis);
@@ -46,24 +42,24 @@
             earned += mEarned[index];
             spent += mSpent[index];
         }
-        double usable = kind.idempotency().isRepeatable() ? earned * SHARE_OF_READS : earned;
-        return spent + 1 <= MINIMUM + usable;
+        double available = kind.idempotency().isRepeatable() ? earned * REPEATABLE_SHARE : earned;
+        return spent + 1 <= MIN_EXTRA_ATTEMPTS + available;
     }
 
-    /** Spends a further try. */
+    /** Charges a retry or hedge to the budget. */
     public void onExtraAttempt(long nowMillis) {
         mSpent[bucketAt(nowMillis)]++;
     }
 
-    /** Returns the index of the present bucket, after dropping those that left the window. */
+    /** Clears the buckets that left the window and returns the index of the current one. */
     private int bucketAt(long nowMillis) {
         long bucket = Math.floorDiv(nowMillis, BUCKET_MILLIS);
         if (mNewestBucket == Long.MIN_VALUE) {
             mNewestBucket = bucket;
         }
         long first = Math.max(mNewestBucket + 1, bucket - BUCKETS + 1);
-        for (long passed = first; passed <= bucket; passed++) {
-            int index = (int) Math.floorMod(passed, (long) BUCKETS);
+        for (long expired = first; expired <= bucket; expired++) {
+            int index = (int) Math.floorMod(expired, (long) BUCKETS);
             mEarned[index] = 0;
             mSpent[index] = 0;
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryDecision.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryDecision.java
@@ -2,37 +2,37 @@
 
 import org.dahliapass.model.Endpoint;
 
-/** Whether a request is tried once more. */
+/** Whether a failed request is retried. */
 public sealed interface RetryDecision {
     /**
-     * It is tried at this target now; its slot and its part of the budget are taken.
+     * The request is retried at this target; its slot is acquired and the budget charged.
      *
      * @param target the target
      */
     record Retry(Endpoint target) implements RetryDecision {}
 
     /**
-     * It isn't tried again: the caller gets its final answer at once.
+     * The request isn't retried and the caller gets its final response.
      *
      * @param reason why
      */
     record Stop(StopReason reason) implements RetryDecision {}
 
-    /** Why a request isn't tried again. */
+    /** Why a request isn't retried. */
     enum StopReason {
-        /** Nobody waits for the answer. */
+        /** The caller no longer waits for a response. */
         CALLER_GONE,
-        /** The kind allows no further tries. */
+        /** The kind allows no retries. */
         NOT_RETRYABLE,
-        /** A try may have run, and the kind must not run twice. */
+        /** An attempt may have run, and the kind must not run twice. */
         MAY_HAVE_RUN,
-        /** It was tried as often as any request may be. */
+        /** The maximum number of attempts is reached. */
         ATTEMPTS_EXHAUSTED,
-        /** No answer would come before the deadline. */
+        /** No response would arrive before the deadline. */
         TOO_LATE,
-        /** Requests wait for slots, so that a further try would add to an overload. */
+        /** Requests are queued, so a retry would add to an overload. */
         OVERLOADED,
-        /** The service's further tries are spent. */
+        /** The service's retry budget is exhausted. */
         BUDGET_EXHAUSTED,
         /** No other target has a free slot. */
         NO_TARGET
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/RetryPolicy.java
@@ -7,13 +7,12 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Decides whether a request whose try failed is tried again, and where.
+ * Decides whether a failed request is retried, and at which target.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. A
- * call costs O(targets).
+ * <p>Not thread-safe; guarded by the service's lock. A call is O(targets).
  */
 public final class RetryPolicy {
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final RetryBudget mBudget;
     private final LoadBalancer mBalancer;
@@ -21,12 +20,12 @@
     private final ServiceTimeEstimator mTimes;
 
     /**
-     * Joins what a decision needs.
+     * Creates a policy.
      *
-     * @param budget the service's further tries
+     * @param budget the service's retry budget
      * @param balancer picks the targets
      * @param slots the slots of the service
-     * @param times how long answers take
+     * @param times estimates response times
      */
     public RetryPolicy(
             RetryBudget budget,
@@ -40,19 +39,19 @@
     }
 
     /**
-     * Decides on a request whose last try failed and of which no other try is in flight.
+     * Decides on a request whose last attempt failed and that has no other attempt in flight.
      *
-     * @param failed the failed try
-     * @param overloaded whether requests of the service wait for slots
-     * @param nowMillis the time, in milliseconds
+     * @param failed the failed attempt
+     * @param overloaded whether requests of the service are queued
+     * @param nowMillis the current time, in milliseconds
      */
     public RetryDecision decide(FailedAttempt failed, boolean overloaded, long nowMillis) {
-        Optional<StopReason> forbidden = forbidden(failed);
-        if (forbidden.isPresent()) {
-            return new Stop(forbidden.get());
+        Optional<StopReason> prohibition = prohibition(failed);
+        if (prohibition.isPresent()) {
+            return new Stop(prohibition.get());
         }
-        long typicalMillis = Math.max(1, mTimes.meanMillis(failed.kind()));
-        if (failed.deadlineMillis() - nowMillis < typicalMillis) {
+        long meanMillis = Math.max(1, mTimes.meanMillis(failed.kind()));
+        if (failed.deadlineMillis() - nowMillis < meanMillis) {
             return new Stop(StopReason.TOO_LATE);
         }
         if (overloaded) {
@@ -72,12 +71,12 @@
     }
 
     /**
-     * Returns why a further try is out of the question whatever the load.
+     * Returns why a retry is prohibited regardless of the load; empty if it isn't.
      *
-     * <p>Guards against a request that runs twice: the first target worked on it and only its
-     * answer was lost. A guarded kind goes on only if every try is proved not to have run.
+     * <p>Prevents a request from running twice: an at-most-once kind is retried only if no attempt
+     * has run.
      */
-    private static Optional<StopReason> forbidden(FailedAttempt failed) {
+    private static Optional<StopReason> prohibition(FailedAttempt failed) {
         if (!failed.failure().isCallerWaiting()) {
             return Optional.of(StopReason.CALLER_GONE);
         }
@@ -88,7 +87,7 @@
         if (!(failed.kind().retryShare() > 0)) {
             return Optional.of(StopReason.NOT_RETRYABLE);
         }
-        if (failed.attempts() >= MOST_TRIES) {
+        if (failed.attempts() >= MAX_ATTEMPTS) {
             return Optional.of(StopReason.ATTEMPTS_EXHAUSTED);
         }
         return Optional.empty();
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimeEstimator.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ServiceTimeEstimator.java
@@ -6,81 +6,76 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * Measures how long tries take, and so how fast this VM's slots come free.
+ * Estimates response times by request kind, and the rate at which this VM's slots are released.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
- * call costs O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 public final class ServiceTimeEstimator {
-    /** The newest time's weight in a moving mean: about the last ten tries count. */
+    /** About the last ten attempts count. */
     private static final double NEWEST_WEIGHT = 0.1;
 
     /**
-     * While nothing comes free, at most this many slots are taken to come free in as long again.
+     * The maximum number of slots expected to be released within the time since the last change.
      */
-    private static final double HOPED_IN_STALL = 2;
+    private static final double MAX_RELEASES_IN_STALL = 2;
 
-    /** An answer is unusually late from this many times the mean on. */
-    private static final double UNUSUAL_FACTOR = 2.2;
+    /** About 7% of the responses of healthy targets take longer than this multiple of the mean. */
+    private static final double OVERDUE_FACTOR = 2.2;
 
-    /** Below this a pause of the VM itself would look like a late answer, in milliseconds. */
-    private static final long LEAST_UNUSUAL_MILLIS = 150;
+    /** Above a typical garbage collection pause of the VM. */
+    private static final long MIN_OVERDUE_MILLIS = 150;
 
-    private final Map<String, MovingMean> mAnswerByKind = new HashMap<>();
-    private final Map<QueueLane, MovingMean> mHoldByLane = new EnumMap<>(QueueLane.class);
+    private final Map<String, MovingMean> mResponseTimeByKind = new HashMap<>();
+    private final Map<QueueLane, MovingMean> mHoldTimeByLane = new EnumMap<>(QueueLane.class);
     private long mLastChangeMillis;
 
-    /** Takes the start of a try: from then on the next end is waited for. */
+    /** Records the start of an attempt. */
     public void onAttemptStarted(long nowMillis) {
         mLastChangeMillis = nowMillis;
     }
 
     /**
-     * Takes the end of a try.
+     * Records the end of an attempt.
      *
      * @param kind the request's kind
      * @param tookMillis how long it held its slot, in milliseconds
-     * @param answered whether a whole answer came; else it says nothing of the kind's latency
-     * @param nowMillis the time, in milliseconds
+     * @param answered whether a complete response arrived; otherwise the time doesn't count for the
+     *     kind's latency
+     * @param nowMillis the current time, in milliseconds
      */
     public void onAttemptEnded(
             RequestKind kind, long tookMillis, boolean answered, long nowMillis) {
         mLastChangeMillis = nowMillis;
-        mHoldByLane.computeIfAbsent(holdLane(kind), unused -> new MovingMean()).add(tookMillis);
+        mHoldTimeByLane.computeIfAbsent(holdLane(kind), unused -> new MovingMean()).add(tookMillis);
         if (answered) {
-            mAnswerByKind.computeIfAbsent(kind.name(), unused -> new MovingMean()).add(tookMillis);
+            mResponseTimeByKind
+                    .computeIfAbsent(kind.name(), unused -> new MovingMean())
+                    .add(tookMillis);
         }
     }
 
-    /** Returns the mean time of a kind's latest answers in milliseconds; 0 while none is known. */
+    /** Returns the moving mean of a kind's response times in milliseconds; 0 if none is known. */
     public long meanMillis(RequestKind kind) {
-        MovingMean mean = mAnswerByKind.get(kind.name());
+        MovingMean mean = mResponseTimeByKind.get(kind.name());
         return mean == null ? 0 : Math.round(mean.mMean);
     }
 
-    /**
-     * Returns from how long on a missing answer of this kind is unusual, in milliseconds.
-     *
-     * <p>Times to answer are skewed: with the spread seen of work of this sort, a logarithmic
-     * standard deviation of 0.8, about 7 in 100 sound answers take longer than this.
-     */
+    /** Returns the time after which a response of this kind is overdue, in milliseconds. */
     public long overdueAfterMillis(RequestKind kind) {
-        long typical = meanMillis(kind);
-        long known = typical == 0 ? kind.lateAfter().toMillis() / 2 : typical;
-        return Math.max(LEAST_UNUSUAL_MILLIS, Math.round(known * UNUSUAL_FACTOR));
+        long mean = meanMillis(kind);
+        long expected = mean == 0 ? kind.lateAfter().toMillis() / 2 : mean;
+        return Math.max(MIN_OVERDUE_MILLIS, Math.round(expected * OVERDUE_FACTOR));
     }
 
     /**
-     * Estimates how many slots come free a millisecond.
+     * Estimates the rate at which slots are released, in slots per millisecond.
      *
-     * <p>By Little's law from the slots in use and the mean time each is held, which holds also
-     * right after an idle time, when a count of recent ends would tell too little. Guards against
-     * targets that hang: no try ends, so the mean stays at its old low value while nothing comes
-     * free; the rate is then held under what the time since the last change allows.
+     * <p>Uses Little's law on the slots in use and their mean hold time. Since the mean doesn't
+     * change while targets hang, the rate is bounded by the time since the last change.
      *
      * @param slots the slots in use
-     * @param nowMillis the time, in milliseconds
-     * @return slots a millisecond; infinite while nothing is known
+     * @param nowMillis the current time, in milliseconds
+     * @return slots per millisecond; infinite if no hold time is known
      */
     double slotReleasesPerMilli(SlotTable slots, long nowMillis) {
         int bulky = slots.ownBulkyInFlightTotal();
@@ -90,30 +85,32 @@
         return Math.min(rate, stallRate(nowMillis));
     }
 
-    /** Estimates as {@code slotsFreedPerMilli}, for the slots that bulky requests hold. */
+    /** Estimates the rate as {@code slotReleasesPerMilli} does, for the slots of bulky requests. */
     double bulkySlotReleasesPerMilli(SlotTable slots, long nowMillis) {
         return Math.min(rate(slots.ownBulkyInFlightTotal(), QueueLane.BULKY), stallRate(nowMillis));
     }
 
-    /** Guarded and short requests share their slots, so they share a mean. */
+    /** At-most-once and short requests share their slots, so they share a mean. */
     private static QueueLane holdLane(RequestKind kind) {
         return kind.bulky() ? QueueLane.BULKY : QueueLane.SHORT;
     }
 
     private double stallRate(long nowMillis) {
         long stalledMillis = nowMillis - mLastChangeMillis;
-        return stalledMillis <= 0 ? Double.POSITIVE_INFINITY : HOPED_IN_STALL / stalledMillis;
+        return stalledMillis <= 0
+                ? Double.POSITIVE_INFINITY
+                : MAX_RELEASES_IN_STALL / stalledMillis;
     }
 
     private double rate(int inFlight, QueueLane lane) {
         if (inFlight == 0) {
             return 0;
         }
-        MovingMean mean = mHoldByLane.get(lane);
+        MovingMean mean = mHoldTimeByLane.get(lane);
         return mean == null ? Double.POSITIVE_INFINITY : inFlight / Math.max(1, mean.mMean);
     }
 
-    /** A mean in which older values fade. */
+    /** An exponentially weighted moving mean. */
     private static final class MovingMean {
         private double mMean;
         private int mCount;
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/SlotTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/SlotTable.java
@@ -9,19 +9,18 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Counts the slots that are taken at each target of one service: this VM's own exactly, those of
- * the cell's other VMs by their last reports.
+ * Counts the slots in use at each target of one service: exactly for this VM, and by their last
+ * reports for the other VMs of the cell.
  *
- * <p>Not safe for use by several threads: the caller guards each instance by a lock. Each call
- * costs at most O(VMs of the cell).
+ * <p>Not thread-safe; guarded by the service's lock. A call is at most O(VMs of the cell).
  */
 public final class SlotTable {
-    /** After this many half-lives a report counts for nothing and is dropped. */
-    private static final int HALF_LIVES_KEPT = 4;
+    /** Reports older than this many half-lives are dropped. */
+    private static final int MAX_HALF_LIVES = 4;
 
     private final int mSlotsPerTarget;
     private final long mHalfLifeMillis;
-    private final Map<Endpoint, OwnUse> mOwn = new HashMap<>();
+    private final Map<Endpoint, OwnSlots> mOwnSlots = new HashMap<>();
     private final Map<Endpoint, Map<VmIdentity, PeerReport>> mReports = new HashMap<>();
     private int mOwnTotal;
     private int mOwnBulkyTotal;
@@ -29,18 +28,18 @@
     private int mRankInCell;
 
     /**
-     * Starts with nothing in flight and this VM alone in the cell.
+     * Creates a table with nothing in flight, for a cell of this VM alone.
      *
-     * @param slotsPerTarget requests that a target works on at once
-     * @param halfLifeMillis the age at which a peer's report counts half, in milliseconds; longer
-     *     than the time between reports
+     * @param slotsPerTarget requests that a target processes concurrently
+     * @param halfLifeMillis the half-life of the weight of a peer's report, in milliseconds; longer
+     *     than the report interval
      */
     public SlotTable(int slotsPerTarget, long halfLifeMillis) {
         mSlotsPerTarget = slotsPerTarget;
         mHalfLifeMillis = halfLifeMillis;
     }
 
-    /** Takes the live members of the cell, this VM among them; forgets reports of all others. */
+    /** Sets the live members of the cell, including this VM; drops the reports of all others. */
     public void onCell(VmIdentity self, List<VmIdentity> members) {
         TreeSet<VmIdentity> sorted = new TreeSet<>(members);
         sorted.add(self);
@@ -49,12 +48,12 @@
         mReports.values().forEach(reports -> reports.keySet().retainAll(sorted));
     }
 
-    /** Forgets the reports on targets that aren't in this list. */
+    /** Drops the reports on targets that aren't in this list. */
     public void retainTargets(List<WeightedTarget> targets) {
         mReports.keySet().retainAll(targets.stream().map(WeightedTarget::endpoint).toList());
     }
 
-    /** Takes a peer's report of its own requests in flight at a target. */
+    /** Records a peer's number of requests in flight to a target. */
     public void onPeerInFlight(VmIdentity observer, Endpoint target, int inFlight, long nowMillis) {
         Map<VmIdentity, PeerReport> reports =
                 mReports.computeIfAbsent(target, unused -> new HashMap<>());
@@ -66,10 +65,11 @@
     }
 
     /**
-     * Takes a whole report of a peer: it has nothing in flight at targets that aren't named.
+     * Records a complete report of a peer; targets that it doesn't list have none of its requests
+     * in flight.
      *
-     * <p>Guards against a report that gets lost: the next one would not name a target whose last
-     * request ended meanwhile, and its slot would look taken until the old count has faded.
+     * <p>Clears the counts of unlisted targets, since an earlier report of the change may have been
+     * lost.
      */
     public void onPeerReport(VmIdentity observer, Map<Endpoint, Integer> inFlight, long nowMillis) {
         mReports.forEach(
@@ -81,93 +81,92 @@
         inFlight.forEach((target, count) -> onPeerInFlight(observer, target, count, nowMillis));
     }
 
-    /** Takes a slot for a request of this VM. */
+    /** Acquires a slot for a request of this VM. */
     public void acquire(Endpoint target, boolean bulky) {
-        OwnUse use = mOwn.computeIfAbsent(target, unused -> new OwnUse());
-        use.mInFlight++;
+        OwnSlots own = mOwnSlots.computeIfAbsent(target, unused -> new OwnSlots());
+        own.mInFlight++;
         mOwnTotal++;
         if (bulky) {
-            use.mBulky++;
+            own.mBulky++;
             mOwnBulkyTotal++;
         }
     }
 
     /**
-     * Gives a slot back.
+     * Releases a slot.
      *
-     * @throws IllegalStateException if no such request is in flight: a slot was given back twice
+     * @throws IllegalStateException if no such request is in flight, because the slot was released
+     *     twice
      */
     public void release(Endpoint target, boolean bulky) {
-        OwnUse use = mOwn.get(target);
-        if (use == null || use.mInFlight == 0 || (bulky && use.mBulky == 0)) {
+        OwnSlots own = mOwnSlots.get(target);
+        if (own == null || own.mInFlight == 0 || (bulky && own.mBulky == 0)) {
             throw new IllegalStateException(
                     "No request in flight at " + target + "; each start has exactly one end");
         }
-        use.mInFlight--;
+        own.mInFlight--;
         mOwnTotal--;
         if (bulky) {
-            use.mBulky--;
+            own.mBulky--;
             mOwnBulkyTotal--;
         }
-        if (use.mInFlight == 0) {
-            mOwn.remove(target);
+        if (own.mInFlight == 0) {
+            mOwnSlots.remove(target);
         }
     }
 
-    /** Returns how many of this VM's requests are in flight at a target. */
+    /** Returns the number of this VM's requests in flight to a target. */
     public int ownInFlight(Endpoint target) {
-        OwnUse use = mOwn.get(target);
-        return use == null ? 0 : use.mInFlight;
+        OwnSlots own = mOwnSlots.get(target);
+        return own == null ? 0 : own.mInFlight;
     }
 
-    /** Returns how many of this VM's bulky requests are in flight at a target. */
+    /** Returns the number of this VM's bulky requests in flight to a target. */
     public int ownBulkyInFlight(Endpoint target) {
-        OwnUse use = mOwn.get(target);
-        return use == null ? 0 : use.mBulky;
+        OwnSlots own = mOwnSlots.get(target);
+        return own == null ? 0 : own.mBulky;
     }
 
-    /** Returns how many of this VM's requests are in flight at all targets. */
+    /** Returns the number of this VM's requests in flight to all targets. */
     public int ownInFlightTotal() {
         return mOwnTotal;
     }
 
-    /** Returns how many of this VM's bulky requests are in flight at all targets. */
+    /** Returns the number of this VM's bulky requests in flight to all targets. */
     public int ownBulkyInFlightTotal() {
         return mOwnBulkyTotal;
     }
 
-    /** Returns the requests that a target works on at once. */
+    /** Returns the number of requests that a target processes concurrently. */
     public int slotsPerTarget() {
         return mSlotsPerTarget;
     }
 
-    /** Returns the number of VMs in the cell, this one among them. */
+    /** Returns the number of VMs in the cell, including this one. */
     public int cellSize() {
         return mCellSize;
     }
 
-    /** Estimates how many requests of the cell's other VMs are in flight at a target. */
+    /** Estimates the number of requests in flight from the cell's other VMs to a target. */
     public double peersInFlight(Endpoint target, long nowMillis) {
         Map<VmIdentity, PeerReport> reports = mReports.get(target);
         if (reports == null) {
             return 0;
         }
-        long oldest = nowMillis - HALF_LIVES_KEPT * mHalfLifeMillis;
+        long oldest = nowMillis - MAX_HALF_LIVES * mHalfLifeMillis;
         reports.values().removeIf(report -> report.atMillis() < oldest);
         double sum = 0;
         for (PeerReport report : reports.values()) {
-            sum += report.inFlight() * trust(nowMillis - report.atMillis());
+            sum += report.inFlight() * weight(nowMillis - report.atMillis());
         }
         return sum;
     }
 
     /**
-     * Returns how many slots of its own share this VM has left at a target.
+     * Returns how many slots of its own share this VM has free at a target.
      *
-     * <p>Guards against reports that are late or wrong: they say "full" when the slots are long
-     * free, and a VM that believed them would refuse work for nothing. Each slot belongs to one VM
-     * of the cell, which may take it whatever the others report; the shares of all VMs add up to
-     * the usable slots, so this alone never overloads a target.
+     * <p>The own share doesn't depend on the reports of other VMs, so late or wrong reports can't
+     * block it. The shares of all VMs add up to the usable slots, so they can't overload a target.
      *
      * @param target the target
      * @param usableSlots the slots of the target that the cell may use now
@@ -177,44 +176,48 @@
     }
 
     /**
-     * Estimates how many slots of a target nobody uses, whoever's share they are.
+     * Estimates the number of unused slots of a target, whichever VM's share they belong to.
      *
      * @param target the target
      * @param usableSlots the slots of the target that the cell may use now
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public int unusedSlots(Endpoint target, int usableSlots, long nowMillis) {
-        int others = (int) Math.round(peersInFlight(target, nowMillis));
-        return Math.max(0, usableSlots - ownInFlight(target) - others);
+        int peers = (int) Math.round(peersInFlight(target, nowMillis));
+        return Math.max(0, usableSlots - ownInFlight(target) - peers);
     }
 
     /** Returns how many of a target's usable slots belong to this VM. */
     public int ownShare(Endpoint target, int usableSlots) {
         int whole = usableSlots / mCellSize;
         int rest = usableSlots % mCellSize;
-        // All VMs must agree on it, and a record's own hash code may differ between runtimes.
-        int place = Math.floorMod(31 * target.host().hashCode() + target.port(), mCellSize);
-        int distance = Math.floorMod(mRankInCell - place, mCellSize);
+        // All VMs must compute the same value, and a record's hash code may differ between
+        // runtimes.
+        int offset = Math.floorMod(31 * target.host().hashCode() + target.port(), mCellSize);
+        int distance = Math.floorMod(mRankInCell - offset, mCellSize);
         return distance < rest ? whole + 1 : whole;
     }
 
-    /** Returns this VM's requests in flight at each target where it has any, to tell the peers. */
+    /**
+     * Returns this VM's requests in flight to each target that has any, for the report to the
+     * peers.
+     */
     public List<TargetInFlight> ownReport() {
-        List<TargetInFlight> report = new ArrayList<>(mOwn.size());
-        mOwn.forEach((target, use) -> report.add(new TargetInFlight(target, use.mInFlight)));
+        List<TargetInFlight> report = new ArrayList<>(mOwnSlots.size());
+        mOwnSlots.forEach((target, own) -> report.add(new TargetInFlight(target, own.mInFlight)));
         return report;
     }
 
-    /** Halves with each whole half-life, so that a report counts fully until the next is due. */
-    private double trust(long ageMillis) {
+    /** Returns the weight of a report, which halves after each whole half-life. */
+    private double weight(long ageMillis) {
         int halfLives = (int) (Math.max(0, ageMillis) / mHalfLifeMillis);
         return Math.scalb(1.0, -halfLives);
     }
 
     private record PeerReport(int inFlight, long atMillis) {}
 
-    /** This VM's use of one target. */
-    private static final class OwnUse {
+    /** The slots of one target that this VM uses. */
+    private static final class OwnSlots {
         private int mInFlight;
         private int mBulky;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetInFlight.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetInFlight.java
@@ -3,7 +3,7 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * How many requests of one VM are in flight at a target.
+ * The number of one VM's requests in flight to a target.
  *
  * @param target the target
  * @param inFlight the number of requests
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetReport.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetReport.java
@@ -4,13 +4,13 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * What one VM's newest work at a target showed.
+ * One VM's report on a target in a periodic update.
  *
  * @param target the target
- * @param inFlight the VM's requests in flight there
- * @param silenceRatio how many times as likely their silence is at a target that hangs as at a
- *     sound one
- * @param lastAnsweredMillis when the newest work that was answered had been sent, in milliseconds;
+ * @param inFlight the VM's requests in flight to the target
+ * @param silenceRatio the likelihood ratio of their missing responses at a failing and at a healthy
+ *     target
+ * @param lastAnsweredMillis when the latest request with a response was sent, in milliseconds;
  *     empty if there is none
  */
 public record TargetReport(
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetStateEstimator.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/TargetStateEstimator.java
@@ -6,165 +6,165 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Holds, for each target of a service, the chance that it is in a bout of failure.
+ * Estimates, for each target of a service, the probability that it is failing.
  *
- * <p>A target is a chain of two states, sound and in a bout, that is seen only through the ends of
- * its work (a Gilbert-Elliott channel). Each end changes the chance by Bayes' rule, and with the
- * time since the newest one it drifts towards the share of targets that are in a bout. So one rule
- * says how much a failure counts after a fresh proof, how long a failed target is left alone, and
- * which of several doubtful targets is worth a trial: the one that was not seen for longest. What
- * other VMs saw counts in the same way.
+ * <p>A target is a two-state Markov chain (healthy, failing) that is observed through the outcomes
+ * of its attempts (a Gilbert-Elliott channel). Each outcome updates the probability by Bayes' rule;
+ * between outcomes it converges to the stationary probability of {@link FailureModel}. Outcomes
+ * reported by other VMs count in the same way.
  *
- * <p>Not safe for use by several threads: the caller guards it by the lock of its slot table. Each
- * call costs O(1).
+ * <p>Not thread-safe; guarded by the service's lock.
  */
 final class TargetStateEstimator {
-    /** From this chance on a bout is counted as begun, for the rates. */
-    private static final double SURE = 0.9;
+    /** Above this probability a failure period is recorded as started. */
+    private static final double FAILING_THRESHOLD = 0.9;
 
-    /** Below this chance a target counts as sound, for the rates. */
-    private static final double SOUND = 0.1;
+    /** Below this probability a target counts as healthy. */
+    private static final double HEALTHY_THRESHOLD = 0.1;
 
-    /** Nothing is so sure that a few observations could not change it. */
-    private static final double MOST_CHANCE = 0.995;
+    /** Bounds the probability so that a few observations can change it. */
+    private static final double MAX_PROBABILITY = 0.995;
 
-    private static final double LEAST_CHANCE = 0.0005;
+    private static final double MIN_PROBABILITY = 0.0005;
 
-    /** Longer gaps between two pieces of work say little about the time between them. */
-    private static final long LONGEST_GAP_MILLIS = 2_000;
+    /** Longer gaps between two attempts say little about the time between them. */
+    private static final long MAX_GAP_MILLIS = 2_000;
 
-    private final FailureModel mRates;
-    private final Map<Endpoint, Belief> mBeliefs = new HashMap<>();
+    private final FailureModel mModel;
+    private final Map<Endpoint, TargetState> mStates = new HashMap<>();
 
-    /** What is known of one target. */
-    private static final class Belief {
-        private double mChance;
-        private long mSeenMillis;
-        private boolean mSeenFailing;
-        private boolean mInBout;
-        private long mBoutFromMillis;
+    /** The estimated state of one target. */
+    private static final class TargetState {
+        private double mProbability;
+        private long mLastObservedMillis;
+        private boolean mLastFailed;
+        private boolean mInFailurePeriod;
+        private long mFailingSinceMillis;
         private long mLastFailureMillis;
-        private long mLastProofMillis;
+        private long mLastAnsweredMillis;
         private int mFailed;
         private int mSilent;
-        private int mWork;
-        private int mAnsweredSince;
+        private int mAttempts;
+        private int mAnsweredSinceFailure;
     }
 
-    TargetStateEstimator(FailureModel rates) {
-        mRates = rates;
+    TargetStateEstimator(FailureModel model) {
+        mModel = model;
     }
 
     /**
-     * Takes the end of a piece of work.
+     * Updates the estimate with the outcome of an attempt.
      *
-     * @param ratio how many times as likely that end is in a bout as at a sound target
-     * @param sentMillis when the work was sent, which is the moment that its end speaks of
+     * @param ratio the likelihood ratio of the outcome at a failing and at a healthy target
+     * @param sentMillis when the attempt was sent, in milliseconds, which is the time that the
+     *     outcome counts for
      */
-    void onObservation(Endpoint target, Observation sign, double ratio, long sentMillis) {
-        Belief belief = mBeliefs.computeIfAbsent(target, unused -> newBelief(sentMillis));
-        boolean older = sentMillis < belief.mSeenMillis;
-        if (older && sign.isFailure() != belief.mSeenFailing) {
-            // Newer work ended otherwise, so what this one says is over.
+    void onObservation(Endpoint target, Observation observation, double ratio, long sentMillis) {
+        TargetState state = mStates.computeIfAbsent(target, unused -> newState(sentMillis));
+        boolean older = sentMillis < state.mLastObservedMillis;
+        if (older && observation.isFailure() != state.mLastFailed) {
+            // A newer attempt had a different outcome.
             return;
         }
-        double before = drifted(belief, sentMillis);
-        belief.mChance = posterior(before, ratio);
-        long gap = Math.max(0, sentMillis - belief.mSeenMillis);
-        belief.mSeenMillis = Math.max(belief.mSeenMillis, sentMillis);
-        belief.mSeenFailing = sign.isFailure();
-        if (sign.isFailure()) {
-            countFailure(belief, !sign.hasResponse(), sentMillis);
+        double prior = predict(state, sentMillis);
+        state.mProbability = posterior(prior, ratio);
+        long gap = Math.max(0, sentMillis - state.mLastObservedMillis);
+        state.mLastObservedMillis = Math.max(state.mLastObservedMillis, sentMillis);
+        state.mLastFailed = observation.isFailure();
+        if (observation.isFailure()) {
+            recordFailure(state, !observation.hasResponse(), sentMillis);
         } else {
-            countAnswer(belief, gap, sentMillis);
+            recordResponse(state, gap, sentMillis);
         }
     }
 
-    private Belief newBelief(long sentMillis) {
-        Belief belief = new Belief();
-        belief.mChance = mRates.failingShare();
-        belief.mSeenMillis = sentMillis;
-        belief.mLastProofMillis = sentMillis;
-        return belief;
+    private TargetState newState(long sentMillis) {
+        TargetState state = new TargetState();
+        state.mProbability = mModel.failingShare();
+        state.mLastObservedMillis = sentMillis;
+        state.mLastAnsweredMillis = sentMillis;
+        return state;
     }
 
-    private static double posterior(double before, double ratio) {
-        double odds = before / (1 - before) * ratio;
-        return Math.max(LEAST_CHANCE, Math.min(MOST_CHANCE, odds / (1 + odds)));
+    private static double posterior(double prior, double ratio) {
+        double odds = prior / (1 - prior) * ratio;
+        return Math.max(MIN_PROBABILITY, Math.min(MAX_PROBABILITY, odds / (1 + odds)));
     }
 
-    private double drifted(Belief belief, long atMillis) {
-        double onset = mRates.onsetPerMilli();
-        double recovery = mRates.recoveryPerMilli();
-        double share = onset / (onset + recovery);
-        long age = Math.max(0, atMillis - belief.mSeenMillis);
-        return share + (belief.mChance - share) * Math.exp(-(onset + recovery) * age);
+    private double predict(TargetState state, long atMillis) {
+        double onset = mModel.onsetPerMilli();
+        double recovery = mModel.recoveryPerMilli();
+        double stationary = onset / (onset + recovery);
+        long age = Math.max(0, atMillis - state.mLastObservedMillis);
+        return stationary + (state.mProbability - stationary) * Math.exp(-(onset + recovery) * age);
     }
 
-    private void countFailure(Belief belief, boolean silent, long sentMillis) {
-        belief.mFailed++;
-        belief.mSilent += silent ? 1 : 0;
-        belief.mWork += 1 + belief.mAnsweredSince;
-        belief.mAnsweredSince = 0;
-        belief.mLastFailureMillis = sentMillis;
-        if (belief.mInBout || belief.mChance < SURE) {
+    private void recordFailure(TargetState state, boolean silent, long sentMillis) {
+        state.mFailed++;
+        state.mSilent += silent ? 1 : 0;
+        state.mAttempts += 1 + state.mAnsweredSinceFailure;
+        state.mAnsweredSinceFailure = 0;
+        state.mLastFailureMillis = sentMillis;
+        if (state.mInFailurePeriod || state.mProbability < FAILING_THRESHOLD) {
             return;
         }
-        belief.mInBout = true;
-        belief.mBoutFromMillis = (belief.mLastProofMillis + sentMillis) / 2;
-        mRates.onOnset();
+        state.mInFailurePeriod = true;
+        state.mFailingSinceMillis = (state.mLastAnsweredMillis + sentMillis) / 2;
+        mModel.onOnset();
     }
 
-    private void countAnswer(Belief belief, long gap, long sentMillis) {
-        belief.mAnsweredSince++;
-        if (belief.mChance < SOUND) {
-            closeCounts(belief, sentMillis);
+    private void recordResponse(TargetState state, long gap, long sentMillis) {
+        state.mAnsweredSinceFailure++;
+        if (state.mProbability < HEALTHY_THRESHOLD) {
+            flushCounts(state, sentMillis);
         }
-        if (!belief.mInBout) {
-            mRates.onHealthyTime(Math.min(LONGEST_GAP_MILLIS, gap));
+        if (!state.mInFailurePeriod) {
+            mModel.onHealthyTime(Math.min(MAX_GAP_MILLIS, gap));
         }
-        belief.mLastProofMillis = sentMillis;
+        state.mLastAnsweredMillis = sentMillis;
     }
 
-    /** Tells the rates what was counted since the target was last known to be sound. */
-    private void closeCounts(Belief belief, long sentMillis) {
-        if (belief.mInBout) {
-            long until = (belief.mLastFailureMillis + sentMillis) / 2;
-            mRates.onFailurePeriod(
-                    Math.max(1, until - belief.mBoutFromMillis),
-                    belief.mFailed,
-                    belief.mSilent,
-                    belief.mWork);
-            mRates.onHealthyAttempts(0, belief.mAnsweredSince);
+    /** Reports the counts since the target was last healthy to the failure model. */
+    private void flushCounts(TargetState state, long sentMillis) {
+        if (state.mInFailurePeriod) {
+            long endMillis = (state.mLastFailureMillis + sentMillis) / 2;
+            mModel.onFailurePeriod(
+                    Math.max(1, endMillis - state.mFailingSinceMillis),
+                    state.mFailed,
+                    state.mSilent,
+                    state.mAttempts);
+            mModel.onHealthyAttempts(0, state.mAnsweredSinceFailure);
         } else {
-            mRates.onHealthyAttempts(belief.mFailed, belief.mWork + belief.mAnsweredSince);
+            mModel.onHealthyAttempts(state.mFailed, state.mAttempts + state.mAnsweredSinceFailure);
         }
-        belief.mInBout = false;
-        belief.mFailed = 0;
-        belief.mSilent = 0;
-        belief.mWork = 0;
-        belief.mAnsweredSince = 0;
+        state.mInFailurePeriod = false;
+        state.mFailed = 0;
+        state.mSilent = 0;
+        state.mAttempts = 0;
+        state.mAnsweredSinceFailure = 0;
     }
 
-    /** Returns the chance that a target is in a bout, by the ends of its work alone. */
+    /** Returns the probability that a target is failing, by the outcomes of its attempts alone. */
     double failingProbability(Endpoint target, long nowMillis) {
-        Belief belief = mBeliefs.get(target);
-        return belief == null ? mRates.failingShare() : drifted(belief, nowMillis);
+        TargetState state = mStates.get(target);
+        return state == null ? mModel.failingShare() : predict(state, nowMillis);
     }
 
-    /** Returns when the newest work of which the end is known was sent; 0 for never. */
+    /**
+     * Returns when the latest attempt with a known outcome was sent, in milliseconds; 0 for never.
+     */
     long lastObservedMillis(Endpoint target) {
-        Belief belief = mBeliefs.get(target);
-        return belief == null ? 0 : belief.mSeenMillis;
+        TargetState state = mStates.get(target);
+        return state == null ? 0 : state.mLastObservedMillis;
     }
 
-    /** Forgets what is known of some targets. */
+    /** Discards the state of the given targets. */
     void forget(Set<Endpoint> targets) {
-        mBeliefs.keySet().removeAll(targets);
+        mStates.keySet().removeAll(targets);
     }
 
-    /** Forgets the targets that aren't among these. */
+    /** Discards the state of all targets except the given ones. */
     void retain(Set<Endpoint> targets) {
-        mBeliefs.keySet().retainAll(targets);
+        mStates.keySet().retainAll(targets);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ThreadOverloadDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ThreadOverloadDetector.java
@@ -1,67 +1,60 @@
 package org.dahliapass.decisions.traffic;
 
 /**
- * Tells whether the thread that serves callers has fallen behind for good.
+ * Detects that the thread that serves callers is overloaded.
  *
- * <p>Requests wait for that thread unseen, before any queue of ours: in the socket, until they are
- * read. A check that is due at a known time waits in the same line, so its lateness is the wait of
- * the requests. A short stall is made up by itself and refusing would cost callers more than it
- * saves; where no check was on time for a while, more work comes than the thread can do, and the
- * line grows until callers give up.
+ * <p>Requests wait for the thread in socket buffers, where no queue counts them. A scheduled check
+ * waits with them, so its delay measures their wait. Short stalls are ignored; the thread is
+ * overloaded if no check ran on time for a while.
  *
- * <p>Not safe for use by several threads: the thread that is watched owns it.
+ * <p>Not thread-safe; confined to the monitored thread.
  */
 public final class ThreadOverloadDetector {
     /**
-     * A check that is this late, in milliseconds, found a line: a tenth of the shortest objective
-     * known is 60, and a single pause of the garbage collector is under 50.
+     * A check with at least this delay is late, in milliseconds; above a garbage collection pause.
      */
-    private static final long LINE_MILLIS = 100;
+    private static final long LATE_MILLIS = 100;
 
-    /**
-     * How long no check may be on time, in milliseconds, before requests are refused: about half of
-     * the shortest objective known, so that a refused caller has time to come back elsewhere.
-     */
-    private static final long BEHIND_MILLIS = 400;
+    /** The thread is overloaded if no check was on time for this long, in milliseconds. */
+    private static final long OVERLOAD_MILLIS = 400;
 
     private long mDueMillis = Long.MAX_VALUE;
-    private long mOnTimeMillis;
+    private long mLastOnTimeMillis;
 
     /**
-     * Takes that a check was asked for.
+     * Records that a check was scheduled.
      *
-     * @param dueMillis when it shall run
-     * @param nowMillis the time; the thread is taken to be on time where no check was due before
+     * @param dueMillis when the check is due, in milliseconds
+     * @param nowMillis the current time, in milliseconds; counts as on time if no check was
+     *     scheduled before
      */
     public void onScheduled(long dueMillis, long nowMillis) {
         if (mDueMillis == Long.MAX_VALUE) {
-            mOnTimeMillis = nowMillis;
+            mLastOnTimeMillis = nowMillis;
         }
         mDueMillis = dueMillis;
     }
 
     /**
-     * Takes that the check which was due runs now.
+     * Records that the scheduled check runs now.
      *
-     * @return how late it is, in milliseconds
+     * @return its delay, in milliseconds
      */
     public long onRun(long nowMillis) {
-        long late = Math.max(0, nowMillis - mDueMillis);
-        if (late < LINE_MILLIS) {
-            mOnTimeMillis = nowMillis;
+        long delay = Math.max(0, nowMillis - mDueMillis);
+        if (delay < LATE_MILLIS) {
+            mLastOnTimeMillis = nowMillis;
         }
-        return late;
+        return delay;
     }
 
-    /** Takes that nothing is in flight any more, so that no check is due. */
+    /** Records that nothing is in flight, so that no check is scheduled. */
     public void onIdle() {
         mDueMillis = Long.MAX_VALUE;
     }
 
-    /**
-     * Returns whether what comes now would wait in a line that the thread doesn't catch up with.
-     */
+    /** Returns whether the thread is overloaded, so that new requests should be refused. */
     public boolean isOverloaded(long nowMillis) {
-        return mDueMillis != Long.MAX_VALUE && nowMillis - mOnTimeMillis > BEHIND_MILLIS;
+        return mDueMillis != Long.MAX_VALUE && nowMillis - mLastOnTimeMillis > OVERLOAD_MILLIS;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
@@ -4,16 +4,16 @@
 import org.dahliapass.model.TargetInstance;
 
 /**
- * A target as the health part sees it, for picks.
+ * A target with its weight from health checking, as input of load balancing.
  *
  * @param instance the target
  * @param zone the name of its availability zone
- * @param weight its share of work against the other targets; 0 for no new work
- * @param acceptsGuarded whether requests that run at most once may go there
+ * @param weight its share of requests relative to the other targets; 0 for no new requests
+ * @param acceptsGuarded whether requests that run at most once may be sent to it
  */
 public record WeightedTarget(
         TargetInstance instance, String zone, double weight, boolean acceptsGuarded) {
-    /** Returns where the target is reached. */
+    /** Returns the target's address. */
     public Endpoint endpoint() {
         return instance.endpoint();
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/package-info.java
@@ -1,2 +1,2 @@
-/** Who serves a request, who waits, who is refused, and what is tried again: all pure decisions. */
+/** Admission control, load balancing, retries and hedging, as pure decisions without I/O. */
 package org.dahliapass.decisions.traffic;
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/AdmissionQueueTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/AdmissionQueueTest.java
@@ -39,25 +39,25 @@
     }
 
     @Test
-    public void waitsForSlotAndGetsIt() {
+    public void queuedEntryGetsTheNextFreeSlot() {
         QueueEntry<String> first = fillSlots();
         QueueEntry<String> second = entry("b", Kinds.LISTING, 0);
         assertTrue(mQueue.offer(second, 0) instanceof Queued);
-        DispatchResult<String> step = end(first, 0, 50);
-        assertEquals(step.dispatched().get(0).entry(), second);
+        DispatchResult<String> result = end(first, 0, 50);
+        assertEquals(result.dispatched().get(0).entry(), second);
         assertEquals(mSlots.ownInFlightTotal(), 3);
     }
 
     @Test
-    public void refusedAtOnceWithoutTarget() {
+    public void refusesWithoutATarget() {
         mBalancer.onTargets(List.of(Kinds.target(0, 0)));
         assertRefused(mQueue.offer(entry("a", Kinds.LISTING, 0), 0), RefusalReason.NO_TARGET);
     }
 
-    // Callers wait for their whole patience and are refused then, although it was clear at once:
-    // with 1 s a request, 3 slots and 1 s of patience, the third in the queue is too late.
+    // With 1 s per request, 3 slots and 1 s of patience, the third queued entry would start too
+    // late.
     @Test
-    public void refusedAtOnceWhenNoSlotFreesInTime() {
+    public void refusesWhenNoSlotBecomesFreeInTime() {
         mTimes.onAttemptEnded(Kinds.LOOKUP, 1_000, false, 0);
         fillSlots();
         assertTrue(mQueue.offer(entry("a", Kinds.LOOKUP, 0), 0) instanceof Queued);
@@ -67,10 +67,9 @@
         assertTrue(mQueue.offer(entry("a", Kinds.LISTING, 0), 0) instanceof Queued);
     }
 
-    // All targets hang: answers were quick until then, so the measured time is short and callers
-    // are queued in vain. What counts is that nothing has come free for five seconds.
+    // The measured response time is short, but no slot has been released for five seconds.
     @Test
-    public void refusedAtOnceWhileTargetsHang() {
+    public void refusesWhileTargetsHang() {
         mTimes.onAttemptEnded(Kinds.LOOKUP, 10, true, 0);
         fillSlots();
         QueueEntry<String> late = entry("a", Kinds.LOOKUP, 5_000);
@@ -80,18 +79,18 @@
     }
 
     @Test
-    public void customerFillsOnlyItsOwnPart() {
+    public void customerCannotExceedItsShareOfTheQueue() {
         fillSlots();
         for (int count = 0; count < CAPACITY_PER_CUSTOMER; count++) {
             assertTrue(mQueue.offer(entry("a", Kinds.LISTING, 0), 0) instanceof Queued);
         }
-        Admission oneTooMany = mQueue.offer(entry("a", Kinds.LISTING, 0), 0);
-        assertRefused(oneTooMany, RefusalReason.QUEUE_FULL);
+        Admission excess = mQueue.offer(entry("a", Kinds.LISTING, 0), 0);
+        assertRefused(excess, RefusalReason.QUEUE_FULL);
         assertTrue(mQueue.offer(entry("b", Kinds.LISTING, 0), 0) instanceof Queued);
     }
 
     @Test
-    public void floodsOfManyCustomersLeaveRoomForOneMore() {
+    public void floodsOfManyCustomersLeaveRoomForAnother() {
         fillSlots();
         for (int count = 0; count < 200; count++) {
             mQueue.offer(entry("flood" + count % 8, Kinds.LISTING, 0), 0);
@@ -100,7 +99,7 @@
     }
 
     @Test
-    public void expiresWhenPatienceIsOverAndNotBefore() {
+    public void entryExpiresAtTheEndOfItsPatience() {
         fillSlots();
         QueueEntry<String> waiting = entry("a", Kinds.LOOKUP, 0);
         mQueue.offer(waiting, 0);
@@ -112,7 +111,7 @@
     }
 
     @Test
-    public void guardedGoesFirstAndBulkyIsNotStarved() {
+    public void atMostOnceGoesFirstAndBulkyIsNotStarved() {
         Deque<QueueEntry<String>> running = new ArrayDeque<>(List.of(fillSlots()));
         for (int count = 0; count < 8; count++) {
             mQueue.offer(entry("a", Kinds.LISTING, 0), 0);
@@ -130,7 +129,7 @@
     }
 
     @Test
-    public void customerHasFewBulkyRequestsInFlight() {
+    public void bulkyRequestsInFlightAreLimitedPerCustomer() {
         mBalancer.onTargets(Kinds.targets(5));
         assertTrue(mQueue.offer(entry("a", Kinds.EXTRACT, 0), 0) instanceof Dispatch);
         assertTrue(mQueue.offer(entry("a", Kinds.EXTRACT, 0), 0) instanceof Dispatch);
@@ -138,22 +137,21 @@
         assertTrue(mQueue.offer(entry("b", Kinds.EXTRACT, 0), 0) instanceof Dispatch);
     }
 
-    // One customer's callers get late answers while another's program asks without pause: the
-    // second one's requests fill the queue ahead of the first one's.
+    // Fails if the entries of one customer are dispatched before the earlier entry of another one.
     @Test
-    public void floodOfOneCustomerLeavesTheOthersWaitShort() {
-        assertTrue(turnsWaitedBesideFlood("calm") <= 2, "turns waited");
+    public void floodOfOneCustomerDoesNotDelayOthers() {
+        assertTrue(turnsWaitedDuringFlood("calm") <= 2, "turns waited");
         startEmpty();
-        assertEquals(turnsWaitedBesideFlood("flood"), 10, "as a part of the flood");
+        assertEquals(turnsWaitedDuringFlood("flood"), 10, "as a part of the flood");
     }
 
     @Test
-    public void eachEntryEndsOnceInTimeAndInPlace() {
-        checkRuns(QueueSimulation.Fault.NONE);
+    public void eachEntryEndsExactlyOnce() {
+        checkSimulations(QueueSimulation.Fault.NONE);
     }
 
     @DataProvider
-    public static Object[][] plantedFaults() {
+    public static Object[][] injectedFaults() {
         return new Object[][] {
             new Object[] {QueueSimulation.Fault.EXPIRED_FORGOTTEN, "cancelled a waiting entry"},
             new Object[] {QueueSimulation.Fault.STALE_TIME, "dispatched too late"},
@@ -161,20 +159,20 @@
         };
     }
 
-    @Test(dataProvider = "plantedFaults")
-    public void plantedFaultIsFound(QueueSimulation.Fault fault, String finding) {
-        AssertionError error = expectThrows(AssertionError.class, () -> checkRuns(fault));
+    @Test(dataProvider = "injectedFaults")
+    public void injectedFaultIsDetected(QueueSimulation.Fault fault, String finding) {
+        AssertionError error = expectThrows(AssertionError.class, () -> checkSimulations(fault));
         assertTrue(error.getMessage().contains(finding), error.getMessage());
     }
 
-    private static void checkRuns(QueueSimulation.Fault fault) {
+    private static void checkSimulations(QueueSimulation.Fault fault) {
         qt().withFixedSeed(1)
                 .withExamples(200)
                 .forAll(longs().all())
                 .checkAssert(seed -> new QueueSimulation(seed, fault).check());
     }
 
-    private int turnsWaitedBesideFlood(String customer) {
+    private int turnsWaitedDuringFlood(String customer) {
         QueueEntry<String> running = fillSlots();
         for (int count = 0; count < 9; count++) {
             mQueue.offer(entry("flood", Kinds.LISTING, 0), 0);
@@ -202,12 +200,9 @@
         return mQueue.onAttemptEnded(entry, Kinds.endpoint(0), started, true, now);
     }
 
-    /**
-     * Extracts would wait behind each other for seconds while slots are free. A VM starts before
-     * its targets are known, and its limits must grow with them.
-     */
+    /** Fails if limits computed before the targets were known stay in force. */
     @Test
-    public void limitsFollowTheTargets() {
+    public void limitsCanGrowWithTheTargets() {
         mBalancer.onTargets(Kinds.targets(4));
         mQueue.setLimits(new QueueLimits(50, CAPACITY_PER_CUSTOMER, 1));
         long dispatched = offerExtracts(3);
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/ConnectionPlanTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/ConnectionPlanTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void wholeCellStaysUnderTheTargetsConnections() {
+    public void cellStaysBelowTheTargetsConnectionLimit() {
         for (int cellSize = 1; cellSize <= 40; cellSize++) {
             mPlan.onCellSize(cellSize);
             assertTrue(mPlan.limit() * cellSize <= 350, "cell of " + cellSize);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void idleConnectionIsReusedAndElseOneIsOpenedUpToTheLimit() {
+    public void reusesIdleConnectionOrOpensOneUpToTheLimit() {
         mPlan.onCellSize(100);
         assertEquals(mPlan.limit(), 2);
         assertEquals(mPlan.choose(new ConnectionCounts(1, 1, 0, 0)), ConnectionChoice.REUSE);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void oneMoreThanThePeakIsHeldOpenButNoMoreThanSlots() {
+    public void prewarmsOneConnectionBeyondThePeakUpToTheSlots() {
         assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 0, 0, 0), 0), 1);
         assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 1, 0, 0), 1), 1);
         assertEquals(mPlan.connectionsToPrewarm(new ConnectionCounts(0, 1, 1, 0), 1), 0);
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/LoadBalancerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/LoadBalancerTest.java
@@ -32,8 +32,7 @@
         mBalancer = new LoadBalancer(mSlots, 0.5, new SplittableRandom(7));
     }
 
-    // A target that returns after a fault is buried in work: it is idle, so the least loaded of
-    // all.
+    // A recovering target must not be flooded because it is the least loaded.
     @Test
     public void picksFollowTheWeights() {
         mBalancer.onTargets(List.of(Kinds.target(0, 1), Kinds.target(1, 0.1)));
@@ -58,46 +57,40 @@
     }
 
     @Test
-    public void guardedRequestGoesOnlyWhereItMay() {
-        WeightedTarget forbidden =
+    public void atMostOnceRequestGoesOnlyToTargetsThatAcceptIt() {
+        WeightedTarget unsuitable =
                 new WeightedTarget(TargetInstance.atFixedAddress(Kinds.endpoint(1)), "a", 1, false);
-        mBalancer.onTargets(List.of(forbidden));
+        mBalancer.onTargets(List.of(unsuitable));
         assertFalse(mBalancer.hasTargetFor(Kinds.SIGN_OFF, Set.of()));
         assertTrue(mBalancer.pick(Kinds.SIGN_OFF, Set.of(), 0).isEmpty());
         assertTrue(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).isPresent());
     }
 
-    // Short lookups wait for minutes although each target has several slots: season archives were
-    // asked for first, took every slot, and each of them streams for long.
+    // Short requests must not wait behind long downloads that hold all slots.
     @Test
-    public void bulkyRequestsLeaveSlotsForShortOnes() {
+    public void bulkyRequestsLeaveSlotsForShortRequests() {
         mBalancer.onTargets(Kinds.targets(1));
         mSlots.acquire(Kinds.endpoint(0), true);
         assertTrue(mBalancer.pick(Kinds.EXTRACT, Set.of(), 0).isEmpty());
         assertTrue(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).isPresent());
     }
 
-    // Requests are refused by full targets at high load: several VMs saw the same last free slot
-    // in reports some 100 ms old, and all took it. So it is lent only while the cell has plenty.
+    // Several VMs that see the same last free slot in a delayed report must not all use it.
     @Test
-    public void othersSlotsAreLentOnlyWhileTheCellHasPlenty() {
+    public void borrowsSlotsOnlyAtLowUtilization() {
         mSlots.onCell(SELF, List.of(PEER));
         mBalancer.onTargets(Kinds.targets(10));
         for (int taken = 0; taken < 15; taken++) {
             mSlots.acquire(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow(), false);
         }
-        Endpoint lent = mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow();
-        mSlots.onPeerInFlight(PEER, lent, 6, 0);
+        Endpoint borrowed = mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).orElseThrow();
+        mSlots.onPeerInFlight(PEER, borrowed, 6, 0);
         assertTrue(mBalancer.pick(Kinds.LOOKUP, Set.of(), 0).isEmpty());
     }
 
-    /**
-     * A VM that takes 110 requests/s before 372 targets spends 0.7 of a core, 6.6 ms a request: it
-     * works out the cost of each target for each request, though the best of a few dozen would do
-     * as well.
-     */
+    /** The CPU cost of a pick must not grow with the number of targets. */
     @Test
-    public void someOfManyTargetsAreCompared() {
+    public void comparesASampleOfManyTargets() {
         int[] draws = {0};
         SplittableRandom random = new SplittableRandom(7);
         RandomGenerator counting =
@@ -112,7 +105,7 @@
     }
 
     @Test
-    public void allOfManyTargetsGetWork() {
+    public void allOfManyTargetsGetRequests() {
         mBalancer.onTargets(many(200));
         Set<Endpoint> picked = new HashSet<>();
         for (int count = 0; count < 5_000; count++) {
@@ -121,9 +114,9 @@
         assertEquals(picked.size(), 200);
     }
 
-    /** A request would wait, or be refused, while a target that was not drawn has a slot. */
+    /** A request must not be refused while a target outside the sample has a free slot. */
     @Test
-    public void lastFreeTargetOfManyIsFound() {
+    public void findsTheLastFreeTargetOfMany() {
         mBalancer.onTargets(many(200));
         for (int number = 0; number < 199; number++) {
             for (int slot = 0; slot < SLOTS; slot++) {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/PathStateEstimatorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/PathStateEstimatorTest.java
@@ -10,37 +10,37 @@
 public final class PathStateEstimatorTest {
     private static final Endpoint TARGET = Kinds.endpoint(0);
 
-    private final PathStateEstimator mPaths = new PathStateEstimator();
+    private final PathStateEstimator mEstimator = new PathStateEstimator();
 
     @Test
-    public void lossesThatTheTargetExplainsBadlyBlameThePath() {
-        mPaths.forget(Set.of(TARGET));
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.01, 1_000);
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.01, 1_100);
-        assertTrue(mPaths.partitionProbability(TARGET, 1_100) > 0.9);
+    public void lossesUnlikelyForTheTargetCountAgainstThePath() {
+        mEstimator.forget(Set.of(TARGET));
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.01, 1_000);
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.01, 1_100);
+        assertTrue(mEstimator.partitionProbability(TARGET, 1_100) > 0.9);
     }
 
     @Test
-    public void lossesThatTheTargetExplainsWellDoNot() {
-        mPaths.forget(Set.of(TARGET));
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.9, 1_000);
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.9, 1_100);
-        assertTrue(mPaths.partitionProbability(TARGET, 1_100) < 0.05);
+    public void lossesLikelyForTheTargetDoNotCountAgainstThePath() {
+        mEstimator.forget(Set.of(TARGET));
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.9, 1_000);
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.9, 1_100);
+        assertTrue(mEstimator.partitionProbability(TARGET, 1_100) < 0.05);
     }
 
     @Test
-    public void answerProvesThePathEvenIfItIsAnError() {
-        mPaths.forget(Set.of(TARGET));
-        mPaths.onObservation(TARGET, Observation.BROKEN, 0.01, 1_000);
-        mPaths.onObservation(TARGET, Observation.ERROR, 0.5, 1_100);
-        assertTrue(mPaths.partitionProbability(TARGET, 1_100) < 0.1);
+    public void errorResponseProvesThePath() {
+        mEstimator.forget(Set.of(TARGET));
+        mEstimator.onObservation(TARGET, Observation.BROKEN, 0.01, 1_000);
+        mEstimator.onObservation(TARGET, Observation.ERROR, 0.5, 1_100);
+        assertTrue(mEstimator.partitionProbability(TARGET, 1_100) < 0.1);
     }
 
     @Test
-    public void cutPathIsTriedAgainAfterAWhile() {
-        mPaths.forget(Set.of(TARGET));
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.01, 1_000);
-        mPaths.onObservation(TARGET, Observation.SILENT, 0.01, 1_100);
-        assertTrue(mPaths.partitionProbability(TARGET, 12_000) < 0.5);
+    public void partitionProbabilityDecaysWithTime() {
+        mEstimator.forget(Set.of(TARGET));
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.01, 1_000);
+        mEstimator.onObservation(TARGET, Observation.SILENT, 0.01, 1_100);
+        assertTrue(mEstimator.partitionProbability(TARGET, 12_000) < 0.5);
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueSimulation.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueSimulation.java
@@ -17,9 +17,9 @@
 import org.dahliapass.model.TargetInstance;
 import org.dahliapass.model.VmIdentity;
 
-/** Drives a queue by random events and checks each answer against a simple record of the past. */
+/** Drives a queue with random events and checks each result against a simple model. */
 final class QueueSimulation {
-    /** A fault planted in the driver, to show that the checks find it. */
+    /** A fault injected into the driver to verify the checks. */
     enum Fault {
         NONE,
         EXPIRED_FORGOTTEN,
@@ -39,7 +39,7 @@
     private final SlotTable mSlots = new SlotTable(SLOTS, 1_000);
     private final AdmissionQueue<Set<Endpoint>> mQueue;
     private final LoadBalancer mBalancer;
-    private final Map<QueueEntry<Set<Endpoint>>, String> mEnds = new HashMap<>();
+    private final Map<QueueEntry<Set<Endpoint>>, String> mOutcomes = new HashMap<>();
     private final Set<QueueEntry<Set<Endpoint>>> mOffered = new HashSet<>();
     private final List<InFlight> mInFlight = new ArrayList<>();
     private List<WeightedTarget> mTargets = List.of();
@@ -63,27 +63,27 @@
     void check() {
         for (int step = 0; step < STEPS; step++) {
             mNow += mRandom.nextInt(100);
-            act(mRandom.nextInt(12));
+            performAction(mRandom.nextInt(12));
         }
         while (!mInFlight.isEmpty()) {
-            endOne();
+            endRandomAttempt();
         }
         mNow += 100_000;
-        takeExpired(mQueue.expire(mNow));
+        recordExpired(mQueue.expire(mNow));
         assertEquals(mQueue.size(), 0, "entries left in the queue");
-        assertEquals(mEnds.keySet(), mOffered, "entries that ended");
+        assertEquals(mOutcomes.keySet(), mOffered, "entries that ended");
         assertEquals(mSlots.ownInFlightTotal(), 0, "slots still taken");
     }
 
-    private void act(int choice) {
+    private void performAction(int choice) {
         switch (choice) {
             case 0 -> changeTargets();
-            case 1 -> takeExpired(mQueue.expire(mNow));
-            case 2 -> cancelOne();
+            case 1 -> recordExpired(mQueue.expire(mNow));
+            case 2 -> cancelFirstQueued();
             case 3 ->
                     mSlots.onPeerInFlight(PEER, Kinds.endpoint(mRandom.nextInt(TARGETS)), 2, mNow);
-            case 4, 5, 6 -> endOne();
-            default -> offerOne();
+            case 4, 5, 6 -> endRandomAttempt();
+            default -> offerRandomEntry();
         }
     }
 
@@ -100,10 +100,10 @@
                                                 mRandom.nextBoolean()))
                         .toList();
         mBalancer.onTargets(mTargets);
-        takeStep(mQueue.onSlotFreed(queueTime()));
+        recordResult(mQueue.onSlotFreed(queueTime()));
     }
 
-    private void offerOne() {
+    private void offerRandomEntry() {
         RequestKind kind = KINDS.get(mRandom.nextInt(KINDS.size()));
         Set<Endpoint> excluded = Set.of(Kinds.endpoint(mRandom.nextInt(TARGETS)));
         QueueEntry<Set<Endpoint>> entry =
@@ -117,50 +117,54 @@
         mOffered.add(entry);
         Admission admission = mQueue.offer(entry, mNow);
         if (admission instanceof Admission.Dispatch dispatch) {
-            dispatched(entry, dispatch.target());
+            recordDispatched(entry, dispatch.target());
         } else if (admission instanceof Admission.Refused refused) {
-            end(entry, "refused");
+            recordOutcome(entry, "refused");
             assertTrue(refused.retryAfterMillis() >= 1_000, "floor of Retry-After");
         }
     }
 
-    private void endOne() {
+    private void endRandomAttempt() {
         if (mInFlight.isEmpty()) {
             return;
         }
-        InFlight ended = mInFlight.remove(mRandom.nextInt(mInFlight.size()));
-        takeStep(
+        InFlight attempt = mInFlight.remove(mRandom.nextInt(mInFlight.size()));
+        recordResult(
                 mQueue.onAttemptEnded(
-                        ended.entry(), ended.target(), ended.startedMillis(), true, queueTime()));
+                        attempt.entry(),
+                        attempt.target(),
+                        attempt.startedMillis(),
+                        true,
+                        queueTime()));
     }
 
-    private void cancelOne() {
+    private void cancelFirstQueued() {
         for (QueueEntry<Set<Endpoint>> entry : mOffered) {
-            boolean waits = !mEnds.containsKey(entry);
-            assertEquals(mQueue.cancel(entry), waits, "cancelled a waiting entry");
-            if (waits) {
-                end(entry, "cancelled");
+            boolean queued = !mOutcomes.containsKey(entry);
+            assertEquals(mQueue.cancel(entry), queued, "cancelled a waiting entry");
+            if (queued) {
+                recordOutcome(entry, "cancelled");
                 return;
             }
         }
     }
 
-    private void takeStep(DispatchResult<Set<Endpoint>> step) {
-        takeExpired(step.expired());
-        for (DispatchedEntry<Set<Endpoint>> next : step.dispatched()) {
+    private void recordResult(DispatchResult<Set<Endpoint>> result) {
+        recordExpired(result.expired());
+        for (DispatchedEntry<Set<Endpoint>> next : result.dispatched()) {
             assertTrue(mNow < next.entry().latestStartMillis(), "dispatched too late");
-            dispatched(next.entry(), next.target());
+            recordDispatched(next.entry(), next.target());
         }
     }
 
-    private void takeExpired(List<ExpiredEntry<Set<Endpoint>>> expired) {
+    private void recordExpired(List<ExpiredEntry<Set<Endpoint>>> expired) {
         if (mFault != Fault.EXPIRED_FORGOTTEN) {
-            expired.forEach(each -> end(each.entry(), "expired"));
+            expired.forEach(each -> recordOutcome(each.entry(), "expired"));
         }
     }
 
-    private void dispatched(QueueEntry<Set<Endpoint>> entry, Endpoint target) {
-        end(entry, "dispatched");
+    private void recordDispatched(QueueEntry<Set<Endpoint>> entry, Endpoint target) {
+        recordOutcome(entry, "dispatched");
         mInFlight.add(new InFlight(entry, target, mNow));
         boolean guarded = !entry.kind().idempotency().isRepeatable();
         assertTrue(
@@ -172,8 +176,8 @@
         assertTrue(mSlots.ownInFlight(target) <= SLOTS, "more in flight than slots");
     }
 
-    private void end(QueueEntry<Set<Endpoint>> entry, String how) {
-        assertNull(mEnds.put(entry, how), how + " after another end");
+    private void recordOutcome(QueueEntry<Set<Endpoint>> entry, String outcome) {
+        assertNull(mOutcomes.put(entry, outcome), outcome + " after another end");
     }
 
     private long queueTime() {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RateLimiterTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RateLimiterTest.java
@@ -13,7 +13,7 @@
     private final RateLimiter mLimiter = new RateLimiter(2);
 
     @Test
-    public void rateHoldsForOneCustomerAndNotForAnother() {
+    public void rateIsLimitedPerCustomer() {
         int passed = 0;
         for (long now = 0; now < 10_000; now += 10) {
             passed += passes("a", now) ? 1 : 0;
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void refusalSaysWhenThereIsTokenAgain() {
+    public void refusalReturnsTheWaitForAToken() {
         RateLimiter limiter = new RateLimiter(2);
         for (int count = 0; count < 10; count++) {
             assertTrue(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 0).isEmpty());
@@ -33,10 +33,9 @@
         assertTrue(limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 100).isEmpty());
     }
 
-    // A customer sends as much as it likes: it fills the table with other names, so that its spent
-    // bucket is dropped and comes back full.
+    // A customer must not reset its empty bucket by filling the table with other keys.
     @Test
-    public void spentBucketIsNotDroppedForRoom() {
+    public void emptyBucketIsNotEvicted() {
         RateLimiter limiter = new RateLimiter(1);
         limiter.tryAcquire("a", SERVICE, Kinds.LOOKUP, 0);
         assertTrue(limiter.tryAcquire("b", SERVICE, Kinds.LOOKUP, 0).isPresent());
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryBudgetTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryBudgetTest.java
@@ -10,7 +10,7 @@
 
 /** Tests of {@link RetryBudget}. */
 public final class RetryBudgetTest {
-    private static final int FIRST_TRIES = 1_005;
+    private static final int FIRST_ATTEMPTS = 1_005;
     private static final long WINDOW_MILLIS = 10_000;
 
     private RetryBudget mBudget;
@@ -21,41 +21,37 @@
     }
 
     @Test
-    public void smallServiceMayTryAgainAtAll() {
+    public void allowsRetriesAtLowTraffic() {
         assertTrue(mBudget.hasRemaining(Kinds.LOOKUP, 0));
     }
 
-    /**
-     * Sign-offs would be refused although they have not run and other targets are free. Hedges of
-     * lookups use up the budget in a calm moment; then targets begin to refuse, and nothing is left
-     * for offering a sign-off elsewhere.
-     */
+    /** Hedges of reads must not use up the budget for requests that must not be repeated. */
     @Test
-    public void lookupsLeaveAPartOfTheBudgetToSignOffs() {
-        firstTries();
-        int ofLookups = spendAll(Kinds.LOOKUP);
+    public void lookupsLeaveAPartOfTheBudgetForSignOffs() {
+        recordFirstAttempts();
+        int lookups = spendAll(Kinds.LOOKUP);
         assertFalse(mBudget.hasRemaining(Kinds.LOOKUP, 0));
         assertTrue(mBudget.hasRemaining(Kinds.SIGN_OFF, 0));
-        int ofSignOffs = spendAll(Kinds.SIGN_OFF);
-        assertTrue(ofSignOffs > ofLookups / 3, ofLookups + " and " + ofSignOffs);
+        int signOffs = spendAll(Kinds.SIGN_OFF);
+        assertTrue(signOffs > lookups / 3, lookups + " and " + signOffs);
     }
 
     @Test
-    public void signOffsMaySpendAll() {
-        firstTries();
+    public void signOffsMayUseTheWholeBudget() {
+        recordFirstAttempts();
         int all = spendAll(Kinds.SIGN_OFF);
-        assertEquals(all, (int) (2 + FIRST_TRIES * Kinds.LOOKUP.retryShare()));
+        assertEquals(all, (int) (2 + FIRST_ATTEMPTS * Kinds.LOOKUP.retryShare()));
     }
 
     @Test
-    public void whatWasSpentIsForgottenAfterTheWindow() {
-        firstTries();
+    public void usedBudgetIsRestoredAfterTheWindow() {
+        recordFirstAttempts();
         spendAll(Kinds.SIGN_OFF);
         assertTrue(mBudget.hasRemaining(Kinds.SIGN_OFF, WINDOW_MILLIS));
     }
 
-    private void firstTries() {
-        for (int number = 0; number < FIRST_TRIES; number++) {
+    private void recordFirstAttempts() {
+        for (int number = 0; number < FIRST_ATTEMPTS; number++) {
             mBudget.onFirstAttempt(Kinds.LOOKUP, 0);
         }
     }
