--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/RetryPolicyTest.java
@@ -24,10 +24,10 @@
     private static final long DEADLINE = 1_000_000;
 
     private SlotTable mSlots;
-    private PassiveFailureDetector mEvidence;
+    private PassiveFailureDetector mDetector;
     private ServiceTimeEstimator mTimes;
-    private RetryPolicy mRetries;
-    private HedgePolicy mHedges;
+    private RetryPolicy mRetryPolicy;
+    private HedgePolicy mHedgePolicy;
 
     @BeforeMethod
     public void startFresh() {
@@ -44,77 +44,73 @@
         assertStopped(decide(Kinds.LOOKUP, FailureKind.TIMED_OUT), StopReason.BUDGET_EXHAUSTED);
     }
 
-    // A sign-off stands twice in a file: the first target ran it, its answer was lost, and the
-    // request was sent again. Only a proof that no try has run allows another.
+    // A lost response must not lead to a second run of an at-most-once request.
     @Test
-    public void guardedRequestIsRetriedOnlyAfterProof() {
+    public void atMostOnceRequestIsRetriedOnlyIfNoAttemptRan() {
         for (FailureKind failure : FailureKind.values()) {
             startFresh();
-            boolean goes = decide(Kinds.SIGN_OFF, failure) instanceof Retry;
-            assertEquals(goes, !failure.mayHaveRun(), "retry after " + failure);
+            boolean retried = decide(Kinds.SIGN_OFF, failure) instanceof Retry;
+            assertEquals(retried, !failure.mayHaveRun(), "retry after " + failure);
         }
         FailedAttempt earlierMayHaveRun =
                 new FailedAttempt(
                         Kinds.SIGN_OFF, FailureKind.CONNECT_FAILED, true, TRIED, 2, DEADLINE);
-        assertStopped(mRetries.decide(earlierMayHaveRun, false, 0), StopReason.MAY_HAVE_RUN);
+        assertStopped(mRetryPolicy.decide(earlierMayHaveRun, false, 0), StopReason.MAY_HAVE_RUN);
     }
 
     @Test
-    public void noRetryWhenNobodyWaits() {
+    public void noRetryAfterTheCallerDisconnected() {
         RetryDecision decision = decide(Kinds.LOOKUP, FailureKind.CANCELLED_BY_CALLER);
         assertStopped(decision, StopReason.CALLER_GONE);
     }
 
     @Test
-    public void noRetryWhenTheAnswerWouldBeTooLate() {
+    public void noRetryWhenTheResponseWouldBeTooLate() {
         mTimes.onAttemptEnded(Kinds.LOOKUP, 100, true, 0);
         FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
-        assertStopped(mRetries.decide(failed, false, DEADLINE - 99), StopReason.TOO_LATE);
-        assertTrue(mRetries.decide(failed, false, DEADLINE - 100) instanceof Retry);
+        assertStopped(mRetryPolicy.decide(failed, false, DEADLINE - 99), StopReason.TOO_LATE);
+        assertTrue(mRetryPolicy.decide(failed, false, DEADLINE - 100) instanceof Retry);
     }
 
     @Test
-    public void neitherRetryNorHedgeInOverload() {
+    public void noRetryOrHedgeInOverload() {
         FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.SERVER_ERROR);
-        assertStopped(mRetries.decide(failed, true, 0), StopReason.OVERLOADED);
-        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, true, 0).isEmpty());
+        assertStopped(mRetryPolicy.decide(failed, true, 0), StopReason.OVERLOADED);
+        assertTrue(mHedgePolicy.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, true, 0).isEmpty());
     }
 
     @Test
-    public void oneHedgeForIdempotentRequestAndNoneForGuarded() {
-        assertTrue(mHedges.tryStart(Kinds.SIGN_OFF, TRIED, DEADLINE, false, 0).isEmpty());
-        doubtFirstTarget(0);
-        Optional<Endpoint> hedge = mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0);
+    public void idempotentRequestGetsOneHedgeAndAtMostOnceGetsNone() {
+        assertTrue(mHedgePolicy.tryStart(Kinds.SIGN_OFF, TRIED, DEADLINE, false, 0).isEmpty());
+        failFirstTarget(0);
+        Optional<Endpoint> hedge = mHedgePolicy.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0);
         Set<Endpoint> tried = Set.of(Kinds.endpoint(0), hedge.orElseThrow());
         assertEquals(tried.size(), 2);
-        assertTrue(mHedges.tryStart(Kinds.LOOKUP, tried, DEADLINE, false, 0).isEmpty());
+        assertTrue(mHedgePolicy.tryStart(Kinds.LOOKUP, tried, DEADLINE, false, 0).isEmpty());
     }
 
-    /**
-     * Reads that just take long would spend the further tries that failures need: their target
-     * proves itself all the time by other work.
-     */
+    /** Hedges of slow responses must not use up the budget that failures need. */
     @Test
-    public void slowAnswerOfASoundTargetGetsNoHedge() {
+    public void noHedgeForASlowResponseOfAHealthyTarget() {
         start(new RetryBudget(), new RetryBudget());
-        mEvidence.onPeerObservation(
+        mDetector.onPeerObservation(
                 new TargetObservation(Kinds.endpoint(0), Observation.ANSWERED, 0));
-        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0).isEmpty());
-        doubtFirstTarget(1);
-        assertTrue(mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 1).isPresent());
+        assertTrue(mHedgePolicy.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 0).isEmpty());
+        failFirstTarget(1);
+        assertTrue(mHedgePolicy.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, 1).isPresent());
     }
 
-    private void doubtFirstTarget(long nowMillis) {
+    private void failFirstTarget(long nowMillis) {
         for (int number = 0; number < 3; number++) {
-            mEvidence.onPeerObservation(
+            mDetector.onPeerObservation(
                     new TargetObservation(Kinds.endpoint(0), Observation.ERROR, nowMillis));
         }
     }
 
-    // Targets fail for load, each failure brings a retry, and the load doubles. So further tries
-    // of both sorts together stay within a share of the first tries of the last seconds.
+    // Retries and hedges together stay within a share of the recent first attempts, so that
+    // failures caused by overload don't add more load.
     @Test
-    public void furtherTriesStayWithinTheBudget() {
+    public void extraAttemptsStayWithinTheBudget() {
         qt().withFixedSeed(1)
                 .withExamples(100)
                 .forAll(longs().all())
@@ -122,9 +118,9 @@
     }
 
     @Test
-    public void twoBudgetsInsteadOfOneAreFound() {
+    public void separateBudgetsAreDetected() {
         AssertionError error = expectThrows(AssertionError.class, () -> checkBudget(1, false));
-        assertTrue(error.getMessage().contains("further tries"), error.getMessage());
+        assertTrue(error.getMessage().contains("extra attempts"), error.getMessage());
     }
 
     private void checkBudget(long seed, boolean shared) {
@@ -132,36 +128,36 @@
         RetryBudget budget = new RetryBudget();
         RetryBudget other = shared ? budget : new RetryBudget();
         start(budget, other);
-        int[] firstTries = new int[60];
-        int[] furtherTries = new int[60];
+        int[] firstAttempts = new int[60];
+        int[] extraAttempts = new int[60];
         for (long now = 0; now < 60_000; now += 1 + random.nextInt(200)) {
             int second = (int) (now / 1_000);
-            firstTries[second]++;
+            firstAttempts[second]++;
             budget.onFirstAttempt(Kinds.LOOKUP, now);
             if (!shared) {
                 other.onFirstAttempt(Kinds.LOOKUP, now);
             }
             FailedAttempt failed = failed(Kinds.LOOKUP, FailureKind.TIMED_OUT);
-            if (random.nextBoolean() && mRetries.decide(failed, false, now) instanceof Retry) {
-                furtherTries[second]++;
-                checkWindow(firstTries, furtherTries, second);
+            if (random.nextBoolean() && mRetryPolicy.decide(failed, false, now) instanceof Retry) {
+                extraAttempts[second]++;
+                checkWindow(firstAttempts, extraAttempts, second);
             }
-            doubtFirstTarget(now);
-            if (mHedges.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, now).isPresent()) {
-                furtherTries[second]++;
-                checkWindow(firstTries, furtherTries, second);
+            failFirstTarget(now);
+            if (mHedgePolicy.tryStart(Kinds.LOOKUP, TRIED, DEADLINE, false, now).isPresent()) {
+                extraAttempts[second]++;
+                checkWindow(firstAttempts, extraAttempts, second);
             }
         }
-        double allowedInAll = 6 * 2 + 0.1 * sum(firstTries, 0, 59);
-        assertTrue(sum(furtherTries, 0, 59) <= allowedInAll, "further tries of the minute");
+        double allowedTotal = 6 * 2 + 0.1 * sum(firstAttempts, 0, 59);
+        assertTrue(sum(extraAttempts, 0, 59) <= allowedTotal, "extra attempts of the minute");
     }
 
-    /** Each further try is within the budget of the ten seconds that end with it. */
-    private static void checkWindow(int[] firstTries, int[] furtherTries, int second) {
+    /** Each extra attempt is within the budget of the ten seconds that end with it. */
+    private static void checkWindow(int[] firstAttempts, int[] extraAttempts, int second) {
         int first = Math.max(0, second - 9);
-        double allowed = 2 + 0.1 * sum(firstTries, first, second);
-        int used = sum(furtherTries, first, second);
-        assertTrue(used <= allowed, used + " further tries, allowed " + allowed);
+        double allowed = 2 + 0.1 * sum(firstAttempts, first, second);
+        int used = sum(extraAttempts, first, second);
+        assertTrue(used <= allowed, used + " extra attempts, allowed " + allowed);
     }
 
     private static int sum(int[] values, int from, int to) {
@@ -175,16 +171,16 @@
     private void start(RetryBudget retryBudget, RetryBudget hedgeBudget) {
         mSlots = new SlotTable(10_000, 1_000);
         mTimes = new ServiceTimeEstimator();
-        mEvidence = new PassiveFailureDetector(mTimes, mSlots);
+        mDetector = new PassiveFailureDetector(mTimes, mSlots);
         LoadBalancer balancer =
-                new LoadBalancer("", 0, mSlots, 0.5, new SplittableRandom(1), mEvidence);
+                new LoadBalancer("", 0, mSlots, 0.5, new SplittableRandom(1), mDetector);
         balancer.onTargets(Kinds.targets(3));
-        mRetries = new RetryPolicy(retryBudget, balancer, mSlots, mTimes);
-        mHedges = new HedgePolicy(hedgeBudget, balancer, mSlots, mTimes, mEvidence);
+        mRetryPolicy = new RetryPolicy(retryBudget, balancer, mSlots, mTimes);
+        mHedgePolicy = new HedgePolicy(hedgeBudget, balancer, mSlots, mTimes, mDetector);
     }
 
     private RetryDecision decide(RequestKind kind, FailureKind failure) {
-        return mRetries.decide(failed(kind, failure), false, 0);
+        return mRetryPolicy.decide(failed(kind, failure), false, 0);
     }
 
     private static FailedAttempt failed(RequestKind kind, FailureKind failure) {
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/SlotTableTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/SlotTableTest.java
@@ -17,7 +17,7 @@
     private static final VmIdentity THIRD = new VmIdentity("c", 1);
 
     @Test
-    public void ownRequestsTakeSlots() {
+    public void ownRequestsUseSlots() {
         SlotTable slots = new SlotTable(3, 100);
         slots.acquire(TARGET, false);
         slots.acquire(TARGET, true);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void slotGivenBackTwiceIsAnError() {
+    public void releasingASlotTwiceFails() {
         SlotTable slots = new SlotTable(3, 100);
         slots.acquire(TARGET, false);
         slots.release(TARGET, false);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void freshReportTakesSlotsAndOldOneFades() {
+    public void reportsLoseWeightWithAge() {
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 2, 0);
         assertEquals(slots.peersInFlight(TARGET, 0), 2.0);
@@ -44,17 +44,16 @@
     }
 
     @Test
-    public void reportOfVmThatLeftTheCellIsForgotten() {
+    public void reportOfAVmThatLeftTheCellIsDropped() {
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 2, 0);
         slots.onCell(SELF, List.of(THIRD));
         assertEquals(slots.peersInFlight(TARGET, 0), 0.0);
     }
 
-    // A VM's slots stay unused and its callers are refused, although targets are idle: the peers'
-    // last reports said "full", and then the peers fell silent. A VM's own share must stay its own.
+    // Outdated reports of full targets must not make a VM refuse requests within its own share.
     @Test
-    public void reportsOfFullTargetsLeaveTheOwnShare() {
+    public void ownShareIsAvailableDespiteReportsOfFullTargets() {
         SlotTable slots = tableInCell();
         slots.onPeerInFlight(PEER, TARGET, 3, 0);
         slots.onPeerInFlight(THIRD, TARGET, 3, 0);
@@ -65,7 +64,7 @@
     }
 
     @Test
-    public void sharesOfAllVmsAddUpToTheSlots() {
+    public void sharesAddUpToTheSlots() {
         List<VmIdentity> cell =
                 List.of(SELF, PEER, THIRD, new VmIdentity("d", 1), new VmIdentity("e", 1));
         for (int number = 0; number < 30; number++) {
@@ -85,12 +84,9 @@
         return slots;
     }
 
-    /**
-     * A free target would get no work for seconds. The report that said so was lost on the way, and
-     * later ones don't name the target any more.
-     */
+    /** The report of the released slot was lost, and later reports don't list the target. */
     @Test
-    public void targetThatAReportDoesNotNameIsFree() {
+    public void unlistedTargetIsFree() {
         SlotTable slots = new SlotTable(3, 1_000);
         Endpoint other = Kinds.endpoint(7);
         slots.onPeerReport(PEER, Map.of(TARGET, 2), 0);
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetSelectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetSelectorTest.java
@@ -18,143 +18,128 @@
 public final class TargetSelectorTest {
     private static final int TARGETS = 10;
     private static final int SLOTS = 3;
-    private static final int DRAWS = 300;
+    private static final int SELECTIONS = 300;
     private static final long NOW = 10_000;
     private static final String ZONE = "near";
 
     private final List<WeightedTarget> mTargets = Kinds.targets(TARGETS);
     private SlotTable mSlots;
-    private PassiveFailureDetector mEvidence;
-    private TargetSelector mPlacement;
+    private PassiveFailureDetector mDetector;
+    private TargetSelector mSelector;
 
     @BeforeMethod
     public void start() {
         mSlots = new SlotTable(SLOTS, 1_000);
-        mEvidence = new PassiveFailureDetector(new ServiceTimeEstimator(), mSlots);
-        mPlacement = new TargetSelector(ZONE, 0.7, mSlots, mEvidence, new SplittableRandom(3));
+        mDetector = new PassiveFailureDetector(new ServiceTimeEstimator(), mSlots);
+        mSelector = new TargetSelector(ZONE, 0.7, mSlots, mDetector, new SplittableRandom(3));
         for (int number = 0; number < TARGETS; number++) {
-            for (int proof = 0; proof < 5; proof++) {
-                answered(number, NOW - 100 - 10L * proof);
+            for (int response = 0; response < 5; response++) {
+                answered(number, NOW - 100 - 10L * response);
             }
         }
     }
 
-    /**
-     * A sign-off would be lost at a target that began to fail a moment ago. The others prove
-     * themselves all the time; this one's last proof gets older, long before anything is overdue.
-     */
+    /** A target may have started to fail since its last response, before any request is overdue. */
     @Test
-    public void requestThatMustNotRepeatAvoidsAnOldProof() {
-        proveAllBut(0, NOW + 2_900);
-        assertTrue(picksOf(Kinds.SIGN_OFF, 0, NOW + 3_000) < DRAWS / 100);
+    public void atMostOnceRequestAvoidsATargetNotObservedRecently() {
+        answerAllExcept(0, NOW + 2_900);
+        assertTrue(selections(Kinds.SIGN_OFF, 0, NOW + 3_000) < SELECTIONS / 100);
     }
 
-    /** The same target is found well again, or not, by requests whose loss can be made good. */
+    /** Requests whose loss can be compensated by a retry observe such a target again. */
     @Test
-    public void requestThatMayRepeatLooksAfterTheOldestProof() {
-        proveAllBut(0, NOW + 2_900);
-        sendLocks();
-        assertTrue(picksOf(Kinds.LOOKUP, 0, NOW + 3_000) > DRAWS * 9 / 10);
+    public void idempotentRequestExploresTheLeastRecentlyObservedTarget() {
+        answerAllExcept(0, NOW + 2_900);
+        sendSignOffs();
+        assertTrue(selections(Kinds.LOOKUP, 0, NOW + 3_000) > SELECTIONS * 9 / 10);
     }
 
-    /**
-     * A service that gets reads only loses them where they look after doubtful targets, and spends
-     * its further tries on that; no lock gains by what they find.
-     */
+    /** Without at-most-once requests exploring only costs retries. */
     @Test
-    public void readsLookAfterNothingWhereThereAreNoLocks() {
-        proveAllBut(0, NOW + 2_900);
-        for (int number = 0; number < DRAWS; number++) {
-            mEvidence.onFirstAttempt(Kinds.LOOKUP);
+    public void readsDoNotExploreWithoutAtMostOnceRequests() {
+        answerAllExcept(0, NOW + 2_900);
+        for (int number = 0; number < SELECTIONS; number++) {
+            mDetector.onFirstAttempt(Kinds.LOOKUP);
         }
-        assertTrue(picksOf(Kinds.LOOKUP, 0, NOW + 3_000) < DRAWS / 100);
+        assertTrue(selections(Kinds.LOOKUP, 0, NOW + 3_000) < SELECTIONS / 100);
     }
 
     @Test
-    public void targetThatIsLookedAtGetsNoSecondLook() {
+    public void targetWithRequestsInFlightIsNotExploredAgain() {
         mSlots.acquire(Kinds.endpoint(0), false);
         mSlots.acquire(Kinds.endpoint(0), false);
-        proveAllBut(0, NOW + 900);
-        sendLocks();
-        assertTrue(picksOf(Kinds.LOOKUP, 0, NOW + 1_000) < DRAWS / 2);
+        answerAllExcept(0, NOW + 900);
+        sendSignOffs();
+        assertTrue(selections(Kinds.LOOKUP, 0, NOW + 1_000) < SELECTIONS / 2);
     }
 
     @Test
-    public void silenceTurnsWorkAwayBeforeItIsOverdue() {
-        mEvidence.onStarted(Kinds.SIGN_OFF, Kinds.endpoint(0), "work", NOW);
-        proveAllBut(0, NOW + 9_900);
-        assertTrue(picksOf(Kinds.SIGN_OFF, 0, NOW + 10_000) < DRAWS / 100);
+    public void targetWithAMissingResponseIsAvoidedBeforeItIsOverdue() {
+        mDetector.onStarted(Kinds.SIGN_OFF, Kinds.endpoint(0), "work", NOW);
+        answerAllExcept(0, NOW + 9_900);
+        assertTrue(selections(Kinds.SIGN_OFF, 0, NOW + 10_000) < SELECTIONS / 100);
     }
 
-    /**
-     * At high load locks were sent to targets that hang, since few of the sound ones had a free
-     * slot at that moment: the share of sound targets was taken of the free ones, not of all.
-     */
+    /** The share of healthy targets is that of all targets, not of those with a free slot. */
     @Test
-    public void waitsForABusySoundTargetRatherThanTakeAFreeFailingOne() {
+    public void waitsForABusyHealthyTargetRatherThanUseAFailingOne() {
         failed(0);
         List<WeightedTarget> free = List.of(mTargets.get(0));
-        assertEquals(mPlacement.select(Kinds.SIGN_OFF, free, mTargets, NOW + 1), Optional.empty());
+        assertEquals(mSelector.select(Kinds.SIGN_OFF, free, mTargets, NOW + 1), Optional.empty());
     }
 
-    /**
-     * A lookup ended with an error although another target was free: the sound target had been
-     * tried already, the other one was in doubt, and a further try can't wait for better.
-     */
+    /** A retry can't wait for a better target. */
     @Test
-    public void furtherTryTakesADoubtfulTargetRatherThanNone() {
+    public void retryUsesAFailingTargetRatherThanNone() {
         failed(0);
         List<WeightedTarget> free = List.of(mTargets.get(0));
         assertEquals(
-                mPlacement.selectForRetry(Kinds.LOOKUP, free, mTargets, NOW + 1),
+                mSelector.selectForRetry(Kinds.LOOKUP, free, mTargets, NOW + 1),
                 Optional.of(Kinds.endpoint(0)));
     }
 
-    /** When most targets look bad the cause is elsewhere, and the few others would drown. */
+    /** If most targets look faulty the cause is elsewhere, and the others would be overloaded. */
     @Test
-    public void takesAnyTargetWhenMostHaveFailed() {
+    public void usesAnyTargetWhenMostHaveFailed() {
         for (int number = 0; number < TARGETS - 2; number++) {
             failed(number);
         }
         assertTrue(
-                mPlacement
+                mSelector
                         .select(Kinds.SIGN_OFF, mTargets.subList(0, 1), mTargets, NOW + 1)
                         .isPresent());
     }
 
     @Test
-    public void fullTargetIsLeftAloneForAMoment() {
+    public void targetThatShedLoadIsAvoidedBriefly() {
         shed(0);
-        assertEquals(picksOf(Kinds.SIGN_OFF, 0, NOW + 100), 0);
-        assertTrue(picksOf(Kinds.SIGN_OFF, 0, NOW + 300) > 0);
+        assertEquals(selections(Kinds.SIGN_OFF, 0, NOW + 100), 0);
+        assertTrue(selections(Kinds.SIGN_OFF, 0, NOW + 300) > 0);
     }
 
-    /**
-     * Locks were refused for seconds although targets took half of what they were sent. All targets
-     * refuse a part of their work at random, so each of them was full a moment ago.
-     */
+    /** Waiting for a target that shed no load would end in refusing all requests. */
     @Test
-    public void takesATargetThatWasFullWhenAllWere() {
+    public void usesATargetThatShedLoadWhenAllDid() {
         for (int number = 0; number < TARGETS; number++) {
             shed(number);
         }
-        assertTrue(mPlacement.select(Kinds.SIGN_OFF, mTargets, mTargets, NOW + 100).isPresent());
+        assertTrue(mSelector.select(Kinds.SIGN_OFF, mTargets, mTargets, NOW + 100).isPresent());
     }
 
     @Test
-    public void amongEqualsTheLessLoadedIsTaken() {
+    public void prefersTheLeastLoadedOfEqualTargets() {
         for (int number = 1; number < TARGETS; number++) {
             mSlots.acquire(Kinds.endpoint(number), false);
         }
-        assertTrue(picksOf(Kinds.SIGN_OFF, 0, NOW) > DRAWS / TARGETS);
+        assertTrue(selections(Kinds.SIGN_OFF, 0, NOW) > SELECTIONS / TARGETS);
     }
 
     @Test
-    public void furtherTryGoesWhereItIsSafest() {
+    public void retryAvoidsAFailingTarget() {
         failed(0);
-        for (int draw = 0; draw < DRAWS; draw++) {
+        for (int selection = 0; selection < SELECTIONS; selection++) {
             Endpoint chosen =
-                    mPlacement
+                    mSelector
                             .selectForRetry(Kinds.LOOKUP, mTargets, mTargets, NOW + 1)
                             .orElseThrow();
             assertFalse(chosen.equals(Kinds.endpoint(0)));
@@ -162,60 +147,60 @@
     }
 
     @Test
-    public void largeAnswersStayWithinTheZoneWhileATargetThereIsFree() {
+    public void largeResponsesStayWithinTheZoneIfPossible() {
         WeightedTarget near =
                 new WeightedTarget(TargetInstance.atFixedAddress(Kinds.endpoint(0)), ZONE, 1, true);
         WeightedTarget far =
                 new WeightedTarget(
                         TargetInstance.atFixedAddress(Kinds.endpoint(1)), "far", 1, true);
         List<WeightedTarget> both = List.of(near, far);
-        for (int draw = 0; draw < DRAWS; draw++) {
+        for (int selection = 0; selection < SELECTIONS; selection++) {
             assertEquals(
-                    mPlacement.select(Kinds.EXTRACT, both, both, NOW).orElseThrow(),
+                    mSelector.select(Kinds.EXTRACT, both, both, NOW).orElseThrow(),
                     near.endpoint());
         }
         assertEquals(
-                mPlacement.select(Kinds.EXTRACT, List.of(far), both, NOW).orElseThrow(),
+                mSelector.select(Kinds.EXTRACT, List.of(far), both, NOW).orElseThrow(),
                 far.endpoint());
     }
 
-    private void proveAllBut(int target, long sentMillis) {
+    private void answerAllExcept(int target, long sentMillis) {
         for (int number = 0; number < TARGETS; number++) {
-            for (int proof = 0; number != target && proof < 3; proof++) {
-                answered(number, sentMillis + proof);
+            for (int response = 0; number != target && response < 3; response++) {
+                answered(number, sentMillis + response);
             }
         }
     }
 
-    private void sendLocks() {
-        for (int number = 0; number < DRAWS; number++) {
-            mEvidence.onFirstAttempt(Kinds.SIGN_OFF);
+    private void sendSignOffs() {
+        for (int number = 0; number < SELECTIONS; number++) {
+            mDetector.onFirstAttempt(Kinds.SIGN_OFF);
         }
     }
 
     private void answered(int target, long sentMillis) {
-        mEvidence.onPeerObservation(
+        mDetector.onPeerObservation(
                 new TargetObservation(Kinds.endpoint(target), Observation.ANSWERED, sentMillis));
     }
 
     private void failed(int target) {
         for (int number = 0; number < 2; number++) {
-            mEvidence.onPeerObservation(
+            mDetector.onPeerObservation(
                     new TargetObservation(Kinds.endpoint(target), Observation.ERROR, NOW + number));
         }
     }
 
     private void shed(int target) {
-        mEvidence.onEnded(
+        mDetector.onEnded(
                 Kinds.LOOKUP, Kinds.endpoint(target), "full", NOW, Outcome.REFUSED_SHED, NOW);
     }
 
-    private int picksOf(RequestKind kind, int target, long now) {
-        int picks = 0;
-        for (int draw = 0; draw < DRAWS; draw++) {
-            Endpoint chosen = mPlacement.select(kind, mTargets, mTargets, now).orElseThrow();
-            picks += chosen.equals(Kinds.endpoint(target)) ? 1 : 0;
+    private int selections(RequestKind kind, int target, long now) {
+        int count = 0;
+        for (int selection = 0; selection < SELECTIONS; selection++) {
+            Endpoint chosen = mSelector.select(kind, mTargets, mTargets, now).orElseThrow();
+            count += chosen.equals(Kinds.endpoint(target)) ? 1 : 0;
         }
-        return picks;
+        return count;
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetStateEstimatorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/TargetStateEstimatorTest.java
@@ -12,108 +12,108 @@
 /** Tests of {@link TargetStateEstimator}. */
 public final class TargetStateEstimatorTest {
     private static final Endpoint TARGET = Kinds.endpoint(0);
-    private static final double CLOSE = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
-    private FailureModel mRates;
-    private TargetStateEstimator mBeliefs;
+    private FailureModel mModel;
+    private TargetStateEstimator mEstimator;
 
     @BeforeMethod
     public void start() {
-        mRates = new FailureModel();
-        mBeliefs = new TargetStateEstimator(mRates);
+        mModel = new FailureModel();
+        mEstimator = new TargetStateEstimator(mModel);
     }
 
     @Test
-    public void targetThatWasNeverSeenIsAsLikelyInABoutAsAny() {
-        assertEquals(mBeliefs.failingProbability(TARGET, 0), mRates.failingShare(), CLOSE);
+    public void unobservedTargetHasTheStationaryProbability() {
+        assertEquals(mEstimator.failingProbability(TARGET, 0), mModel.failingShare(), TOLERANCE);
     }
 
     @Test
-    public void answerSpeaksForTheTargetAndItsAgeTakesThatBack() {
-        end(Observation.ANSWERED, 1_000);
-        double young = mBeliefs.failingProbability(TARGET, 1_100);
-        double old = mBeliefs.failingProbability(TARGET, 4_000);
-        assertTrue(young < mRates.failingShare());
-        assertTrue(old > young && old < mRates.failingShare(), "old: " + old);
-        assertEquals(mBeliefs.failingProbability(TARGET, 1_000_000), mRates.failingShare(), 1e-6);
+    public void responseLowersTheProbabilityWhichThenRisesWithAge() {
+        observe(Observation.ANSWERED, 1_000);
+        double recent = mEstimator.failingProbability(TARGET, 1_100);
+        double old = mEstimator.failingProbability(TARGET, 4_000);
+        assertTrue(recent < mModel.failingShare());
+        assertTrue(old > recent && old < mModel.failingShare(), "old: " + old);
+        assertEquals(mEstimator.failingProbability(TARGET, 1_000_000), mModel.failingShare(), 1e-6);
     }
 
-    /** Sound targets fail now and then: one error after fresh proofs is no certainty, two are. */
+    /** Healthy targets fail now and then: one error after responses is no proof. */
     @Test
-    public void secondErrorMakesABoutSure() {
+    public void secondErrorStartsAFailurePeriod() {
         for (int number = 0; number < 10; number++) {
-            end(Observation.ANSWERED, number * 100L);
+            observe(Observation.ANSWERED, number * 100L);
         }
-        end(Observation.ERROR, 1_000);
-        double first = mBeliefs.failingProbability(TARGET, 1_000);
-        end(Observation.ERROR, 1_010);
-        assertTrue(first < 0.9, "after one: " + first);
-        assertTrue(mBeliefs.failingProbability(TARGET, 1_010) > 0.9);
+        observe(Observation.ERROR, 1_000);
+        double afterOne = mEstimator.failingProbability(TARGET, 1_000);
+        observe(Observation.ERROR, 1_010);
+        assertTrue(afterOne < 0.9, "after one: " + afterOne);
+        assertTrue(mEstimator.failingProbability(TARGET, 1_010) > 0.9);
     }
 
-    /** Locks would be sent to a failing target again at once because an old answer came in late. */
+    /** A late response must not direct requests to a failing target again. */
     @Test
-    public void answerOfOlderWorkDoesNotRedeemANewerFailure() {
-        end(Observation.ERROR, 1_000);
-        double after = mBeliefs.failingProbability(TARGET, 1_000);
-        end(Observation.ANSWERED, 900);
-        assertEquals(mBeliefs.failingProbability(TARGET, 1_000), after, CLOSE);
+    public void responseToAnOlderAttemptDoesNotOverrideANewerFailure() {
+        observe(Observation.ERROR, 1_000);
+        double after = mEstimator.failingProbability(TARGET, 1_000);
+        observe(Observation.ANSWERED, 900);
+        assertEquals(mEstimator.failingProbability(TARGET, 1_000), after, TOLERANCE);
     }
 
     @Test
-    public void failureOfOlderWorkDoesNotSpeakAgainstANewerProof() {
-        end(Observation.ANSWERED, 1_000);
-        double after = mBeliefs.failingProbability(TARGET, 1_000);
-        end(Observation.SILENT, 200);
-        assertEquals(mBeliefs.failingProbability(TARGET, 1_000), after, CLOSE);
+    public void failureOfAnOlderAttemptDoesNotOverrideANewerResponse() {
+        observe(Observation.ANSWERED, 1_000);
+        double after = mEstimator.failingProbability(TARGET, 1_000);
+        observe(Observation.SILENT, 200);
+        assertEquals(mEstimator.failingProbability(TARGET, 1_000), after, TOLERANCE);
     }
 
     @Test
-    public void failedTargetBecomesWorthATrialWithTime() {
+    public void failingProbabilityDecaysWithTime() {
         for (int number = 0; number < 5; number++) {
-            end(Observation.ERROR, number);
+            observe(Observation.ERROR, number);
         }
-        assertTrue(mBeliefs.failingProbability(TARGET, 100) > 0.9);
-        assertTrue(mBeliefs.failingProbability(TARGET, 20_000) < 0.5);
+        assertTrue(mEstimator.failingProbability(TARGET, 100) > 0.9);
+        assertTrue(mEstimator.failingProbability(TARGET, 20_000) < 0.5);
     }
 
     /**
-     * The rates of a simulated chain are found from the ends of its work alone: bouts of 4 seconds,
-     * 16 seconds apart, in which four of five pieces of work fail.
+     * The simulated failure periods last 4 seconds, 16 seconds apart, with a failure rate of 80%.
      */
     @Test
-    public void ratesOfAChainAreFound() {
+    public void estimatesTheParametersOfASimulatedTarget() {
         SplittableRandom random = new SplittableRandom(5);
-        boolean inBout = false;
+        boolean failing = false;
         long now = 0;
         for (int step = 0; step < 200_000; step++) {
             now += 50;
-            double turn = 50.0 / (inBout ? 4_000 : 16_000);
-            inBout = random.nextDouble() < turn ? !inBout : inBout;
-            boolean failed = random.nextDouble() < (inBout ? 0.8 : 0.01);
-            end(failed ? Observation.ERROR : Observation.ANSWERED, now);
+            double transition = 50.0 / (failing ? 4_000 : 16_000);
+            failing = random.nextDouble() < transition ? !failing : failing;
+            boolean failed = random.nextDouble() < (failing ? 0.8 : 0.01);
+            observe(failed ? Observation.ERROR : Observation.ANSWERED, now);
         }
-        assertEquals(mRates.failureRateWhenFailing(), 0.8, 0.1);
-        assertEquals(mRates.failureRateWhenHealthy(), 0.01, 0.01);
-        assertEquals(1 / mRates.recoveryPerMilli(), 4_000, 1_600);
-        assertEquals(1 / mRates.onsetPerMilli(), 16_000, 6_400);
+        assertEquals(mModel.failureRateWhenFailing(), 0.8, 0.1);
+        assertEquals(mModel.failureRateWhenHealthy(), 0.01, 0.01);
+        assertEquals(1 / mModel.recoveryPerMilli(), 4_000, 1_600);
+        assertEquals(1 / mModel.onsetPerMilli(), 16_000, 6_400);
     }
 
     @Test
-    public void targetThatLeftOrStartedAgainIsForgotten() {
-        end(Observation.ERROR, 1_000);
-        mBeliefs.forget(Set.of(TARGET));
-        assertEquals(mBeliefs.failingProbability(TARGET, 1_000), mRates.failingShare(), 0.01);
-        end(Observation.ERROR, 1_000);
-        mBeliefs.retain(Set.of());
-        assertEquals(mBeliefs.lastObservedMillis(TARGET), 0);
+    public void removedOrRestartedTargetIsDiscarded() {
+        observe(Observation.ERROR, 1_000);
+        mEstimator.forget(Set.of(TARGET));
+        assertEquals(mEstimator.failingProbability(TARGET, 1_000), mModel.failingShare(), 0.01);
+        observe(Observation.ERROR, 1_000);
+        mEstimator.retain(Set.of());
+        assertEquals(mEstimator.lastObservedMillis(TARGET), 0);
     }
 
-    private void end(Observation sign, long sentMillis) {
-        mBeliefs.onObservation(
+    private void observe(Observation observation, long sentMillis) {
+        mEstimator.onObservation(
                 TARGET,
-                sign,
-                sign.likelihoodWhenFailing(mRates) / sign.likelihoodWhenHealthy(mRates),
+                observation,
+                observation.likelihoodWhenFailing(mModel)
+                        / observation.likelihoodWhenHealthy(mModel),
                 sentMillis);
     }
 }
