--- a/decisions/src/main/java/org/dahliapass/decisions/poison/DigestLocks.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/DigestLocks.java
@@ -9,50 +9,51 @@
 import org.dahliapass.model.RequestDigest;
 
 /**
- * Lets one request of those that are alike be at a target at a time, as long as they are suspected.
+ * Locks per request digest, which keep identical suspected requests from running at several targets
+ * concurrently.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe; confined to the traffic thread.
  */
 public final class DigestLocks {
-    /** Requests that wait for their turn, of all digests together; each holds its body. */
-    private static final int MOST_WAITING = 256;
+    /** Limits the waiting requests of all digests, since each holds its body in memory. */
+    private static final int MAX_WAITERS = 256;
 
-    private final Set<RequestDigest> mTaken = new HashSet<>();
-    private final Map<RequestDigest, Queue<Runnable>> mWaiting = new HashMap<>();
-    private int mWaitingCount;
+    private final Set<RequestDigest> mHeld = new HashSet<>();
+    private final Map<RequestDigest, Queue<Runnable>> mWaiters = new HashMap<>();
+    private int mWaiterCount;
 
-    /** Returns whether a request like this one is at a target. */
+    /** Returns whether an identical request is at a target. */
     public boolean isHeld(RequestDigest digest) {
-        return mTaken.contains(digest);
+        return mHeld.contains(digest);
     }
 
-    /** Takes the turn, which has to be given back. */
+    /** Acquires the lock of a digest, which must be released. */
     public void acquire(RequestDigest digest) {
-        mTaken.add(digest);
+        mHeld.add(digest);
     }
 
     /**
-     * Waits until the turn is given back.
+     * Registers a callback for the release of the lock.
      *
-     * @param next looks again what may be done
-     * @return false if too many wait
+     * @param callback checks again how the request may be treated
+     * @return false if too many requests wait
      */
-    public boolean addWaiter(RequestDigest digest, Runnable next) {
-        if (mWaitingCount >= MOST_WAITING) {
+    public boolean addWaiter(RequestDigest digest, Runnable callback) {
+        if (mWaiterCount >= MAX_WAITERS) {
             return false;
         }
-        mWaitingCount++;
-        mWaiting.computeIfAbsent(digest, unknown -> new ArrayDeque<>()).add(next);
+        mWaiterCount++;
+        mWaiters.computeIfAbsent(digest, unused -> new ArrayDeque<>()).add(callback);
         return true;
     }
 
-    /** Gives the turn back; all who wait look again, as the request may be cleared by now. */
+    /** Releases the lock and runs all callbacks, since the request may no longer be suspected. */
     public void release(RequestDigest digest) {
-        mTaken.remove(digest);
-        Queue<Runnable> waiting = mWaiting.remove(digest);
-        if (waiting != null) {
-            mWaitingCount -= waiting.size();
-            waiting.forEach(Runnable::run);
+        mHeld.remove(digest);
+        Queue<Runnable> waiters = mWaiters.remove(digest);
+        if (waiters != null) {
+            mWaiterCount -= waiters.size();
+            waiters.forEach(Runnable::run);
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/PoisonDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/PoisonDetector.java
@@ -8,55 +8,55 @@
 import org.dahliapass.model.RequestDigest;
 
 /**
- * Remembers under which requests targets ended, and says what may be done with others like them.
+ * Detects poison messages, requests that crash the targets that run them, and decides how identical
+ * requests may be treated.
  *
- * <p>A request that ends each target that runs it takes a service down target by target, as its
- * caller, or a retry, brings it to the next. One end proves nothing, since targets end for other
- * reasons with requests in flight; ends in turn without an answer between do.
+ * <p>Without quarantine, retries of such a request would crash a service's targets one after the
+ * other. A single crash proves nothing, since targets also crash for other reasons; sequential
+ * crashes without a response in between do.
  *
- * <p>What the VMs of a fleet know merges in any order and any number of times to the same. Memory
- * is bounded whatever callers send: a digest takes a place only once a target has ended under it.
- * Not safe for use by several threads. A call costs O(1), but for a merge.
+ * <p>Reports of the VMs of a fleet merge to the same state in any order and with any duplicates.
+ * Memory is bounded: a digest is stored only after a target has crashed. Not thread-safe; confined
+ * to the traffic thread.
  */
 public final class PoisonDetector {
-    /** How long a request is suspected or quarantined after the last that was heard of it. */
+    /** How long a request stays suspected or quarantined after the last update on it. */
     public static final Duration RETENTION = Duration.ofMinutes(10);
 
-    /** Places, of about 500 bytes each. */
-    private static final int MOST_SUSPECTS = 1_000;
+    /** Bounds the memory, at about 500 bytes per suspect. */
+    private static final int MAX_SUSPECTS = 1_000;
 
     /**
-     * How long the answer to a suspect is remembered, so that late news of ends before it change
-     * nothing. News that is older doesn't come.
+     * How long a cleared suspect is kept, so that late reports of earlier crashes have no effect.
      */
-    private static final long ANSWER_MEMORY_MILLIS = 10_000;
+    private static final long CLEARED_RETENTION_MILLIS = 10_000;
 
-    /** By the time of the newest end, oldest first. */
+    /** Ordered by the latest update, oldest first. */
     private final Map<RequestDigest, Suspect> mSuspects = new LinkedHashMap<>();
 
-    /** Kept apart, so that new suspects push out none that is proved. */
+    /** Separate from the suspects, so that new suspects don't evict quarantined requests. */
     private final Map<RequestDigest, Suspect> mQuarantined = new LinkedHashMap<>();
 
-    /** Returns whether no request is suspected, so that none has to be digested. */
+    /** Returns whether no request is suspected, so that no digests are needed. */
     public boolean isEmpty() {
         return mSuspects.isEmpty() && mQuarantined.isEmpty();
     }
 
-    /** Returns how many requests have a place. */
+    /** Returns the number of stored suspects and quarantined requests. */
     public int size() {
         return mSuspects.size() + mQuarantined.size();
     }
 
-    /** Returns what may be done with a request. */
+    /** Returns how a request may be treated. */
     public Treatment treatment(RequestDigest digest, long nowMillis) {
-        dropOverdue(nowMillis);
+        evictExpired(nowMillis);
         Suspect suspect = find(digest);
         return suspect == null ? Treatment.USUAL : suspect.treatment();
     }
 
     /**
-     * Returns how long a request stays quarantined if nothing is heard of it, in milliseconds; 0 if
-     * it isn't.
+     * Returns how long a request stays quarantined without further updates, in milliseconds; 0 if
+     * it isn't quarantined.
      */
     public long quarantineRemainingMillis(RequestDigest digest, long nowMillis) {
         Suspect suspect = mQuarantined.get(digest);
@@ -65,7 +65,7 @@
                 : Math.max(0, suspect.lastUpdatedMillis() + RETENTION.toMillis() - nowMillis);
     }
 
-    /** Returns what other VMs are to know of a request. */
+    /** Returns the report on a request for other VMs. */
     public SuspectReport report(RequestDigest digest, long nowMillis) {
         Treatment treatment = treatment(digest, nowMillis);
         Suspect suspect = find(digest);
@@ -80,18 +80,18 @@
     }
 
     /**
-     * Takes what another VM knows of a request.
+     * Records another VM's report on a request.
      *
-     * @return whether that VM lacks that the request is quarantined
+     * @return whether the request is quarantined here but not at that VM
      */
-    public boolean onPeerReport(SuspectReport news, long nowMillis) {
-        RequestDigest digest = news.digest();
-        if (news.answered()) {
+    public boolean onPeerReport(SuspectReport report, long nowMillis) {
+        RequestDigest digest = report.digest();
+        if (report.answered()) {
             onAnswered(digest, nowMillis);
             return false;
         }
-        news.crashes().forEach(end -> onCrash(digest, end, nowMillis));
-        if (news.quarantined()) {
+        report.crashes().forEach(crash -> onCrash(digest, crash, nowMillis));
+        if (report.quarantined()) {
             onQuarantined(digest, nowMillis);
             return false;
         }
@@ -99,27 +99,27 @@
     }
 
     /**
-     * Takes the end of a target under a request, seen by this VM or by another one.
+     * Records a crash of a target during a request, seen by this VM or by another one.
      *
-     * @return whether it wasn't known
+     * @return whether the crash was new
      */
-    public boolean onCrash(RequestDigest digest, TargetCrash end, long nowMillis) {
-        dropOverdue(nowMillis);
+    public boolean onCrash(RequestDigest digest, TargetCrash crash, long nowMillis) {
+        evictExpired(nowMillis);
         Suspect suspect = find(digest);
         if (suspect == null) {
             suspect = new Suspect(nowMillis);
         }
-        boolean isNew = suspect.onCrash(end, nowMillis);
-        if (isNew) {
+        boolean added = suspect.onCrash(crash, nowMillis);
+        if (added) {
             put(digest, suspect);
         }
-        return isNew;
+        return added;
     }
 
     /**
-     * Takes that a target answered a request, seen by this VM or by another one.
+     * Records that a target responded to a request, seen by this VM or by another one.
      *
-     * @return whether it was suspected or quarantined
+     * @return whether the request was suspected or quarantined
      */
     public boolean onAnswered(RequestDigest digest, long nowMillis) {
         Suspect suspect = find(digest);
@@ -131,54 +131,56 @@
         return true;
     }
 
-    /** Takes that the fleet has quarantined a request, unless it was answered since. */
+    /**
+     * Records that the fleet has quarantined a request, unless a target responded to it recently.
+     */
     public void onQuarantined(RequestDigest digest, long nowMillis) {
-        dropOverdue(nowMillis);
+        evictExpired(nowMillis);
         Suspect suspect = find(digest);
         if (suspect == null) {
             suspect = new Suspect(nowMillis);
         }
-        boolean changes =
+        boolean applies =
                 suspect.treatment() != Treatment.QUARANTINED
-                        && suspect.answeredMillis() < nowMillis - ANSWER_MEMORY_MILLIS;
-        if (changes) {
+                        && suspect.answeredMillis() < nowMillis - CLEARED_RETENTION_MILLIS;
+        if (applies) {
             suspect.onQuarantined(nowMillis);
             put(digest, suspect);
         }
     }
 
     private Suspect find(RequestDigest digest) {
-        Suspect quarantined = mQuarantined.get(digest);
-        return quarantined == null ? mSuspects.get(digest) : quarantined;
+        Suspect quarantinedSuspect = mQuarantined.get(digest);
+        return quarantinedSuspect == null ? mSuspects.get(digest) : quarantinedSuspect;
     }
 
-    /** Gives a suspect the newest place of those that are treated like it. */
+    /** Stores a suspect as the most recently updated one of its treatment. */
     private void put(RequestDigest digest, Suspect suspect) {
         mSuspects.remove(digest);
         mQuarantined.remove(digest);
-        boolean proved = suspect.treatment() == Treatment.QUARANTINED;
-        Map<RequestDigest, Suspect> places = proved ? mQuarantined : mSuspects;
-        places.put(digest, suspect);
-        if (places.size() > MOST_SUSPECTS) {
-            places.remove(places.keySet().iterator().next());
+        boolean quarantined = suspect.treatment() == Treatment.QUARANTINED;
+        Map<RequestDigest, Suspect> suspects = quarantined ? mQuarantined : mSuspects;
+        suspects.put(digest, suspect);
+        if (suspects.size() > MAX_SUSPECTS) {
+            suspects.remove(suspects.keySet().iterator().next());
         }
     }
 
-    private void dropOverdue(long nowMillis) {
-        dropOverdue(mSuspects, nowMillis);
-        dropOverdue(mQuarantined, nowMillis);
+    private void evictExpired(long nowMillis) {
+        evictExpired(mSuspects, nowMillis);
+        evictExpired(mQuarantined, nowMillis);
     }
 
-    private static void dropOverdue(Map<RequestDigest, Suspect> places, long nowMillis) {
-        Iterator<Suspect> oldestFirst = places.values().iterator();
-        while (oldestFirst.hasNext()) {
-            Suspect oldest = oldestFirst.next();
+    private static void evictExpired(Map<RequestDigest, Suspect> suspects, long nowMillis) {
+        Iterator<Suspect> iterator = suspects.values().iterator();
+        while (iterator.hasNext()) {
+            Suspect oldest = iterator.next();
             boolean cleared = oldest.treatment() == Treatment.USUAL;
-            long memoryMillis = cleared ? ANSWER_MEMORY_MILLIS : RETENTION.toMillis();
-            if (nowMillis - oldest.lastUpdatedMillis() <= memoryMillis) {
+            long retentionMillis = cleared ? CLEARED_RETENTION_MILLIS : RETENTION.toMillis();
+            if (nowMillis - oldest.lastUpdatedMillis() <= retentionMillis) {
                 return;
             }
-            oldestFirst.remove();
+            iterator.remove();
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/Suspect.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/Suspect.java
@@ -4,115 +4,125 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What became of the requests that have one digest; not safe for use by several threads. */
+/** The state of one suspected request digest. Not thread-safe; confined to the traffic thread. */
 final class Suspect {
-    /** Ends that are kept; more say nothing new. */
-    private static final int MOST_ENDS = 8;
+    /** More crashes would not change the treatment. */
+    private static final int MAX_CRASHES = 8;
 
-    /** Targets that end one after the other until a request is quarantined. */
-    private static final int ENDS_IN_TURN = 3;
+    /** Sequential crashes after which a request is quarantined. */
+    private static final int MIN_SEQUENTIAL_CRASHES = 3;
 
     /**
-     * Ends in turn that are enough where more targets ended: copies that several VMs sent at the
-     * same time end theirs at the same time.
+     * Rounds of crashes that suffice if more targets crashed, since copies sent by several VMs
+     * crash their targets concurrently.
      */
-    private static final int TURNS_OF_COPIES = 2;
+    private static final int MIN_ROUNDS_OF_COPIES = 2;
 
-    /** The most by which news of the same moment differ between two VMs, in milliseconds. */
-    private static final long NEWS_DELAY_MILLIS = 20;
+    /**
+     * The maximum difference between the times at which two VMs observe the same event, in
+     * milliseconds.
+     */
+    private static final long MAX_REPORT_DELAY_MILLIS = 20;
 
-    private final List<TargetCrash> mEnds = new ArrayList<>();
-    private long mAnsweredMillis = Long.MIN_VALUE;
+    private final List<TargetCrash> mCrashes = new ArrayList<>();
+    private long mLastAnsweredMillis = Long.MIN_VALUE;
     private boolean mQuarantined;
-    private long mNewestMillis;
+    private long mLastUpdatedMillis;
 
     Suspect(long nowMillis) {
-        mNewestMillis = nowMillis;
+        mLastUpdatedMillis = nowMillis;
     }
 
     /**
-     * Takes an end.
+     * Records a crash.
      *
-     * @return whether it wasn't known
+     * @return whether it was new
      */
-    boolean onCrash(TargetCrash end, long nowMillis) {
-        boolean known = mEnds.stream().anyMatch(one -> one.incarnation().equals(end.incarnation()));
-        if (known || end.crashedMillis() <= mAnsweredMillis || mEnds.size() >= MOST_ENDS) {
+    boolean onCrash(TargetCrash crash, long nowMillis) {
+        boolean known =
+                mCrashes.stream()
+                        .anyMatch(other -> other.incarnation().equals(crash.incarnation()));
+        if (known
+                || crash.crashedMillis() <= mLastAnsweredMillis
+                || mCrashes.size() >= MAX_CRASHES) {
             return false;
         }
-        mEnds.add(end);
-        mEnds.sort(Comparator.comparingLong(TargetCrash::crashedMillis));
-        mNewestMillis = nowMillis;
-        mQuarantined |= isProved();
+        mCrashes.add(crash);
+        mCrashes.sort(Comparator.comparingLong(TargetCrash::crashedMillis));
+        mLastUpdatedMillis = nowMillis;
+        mQuarantined |= isPoison();
         return true;
     }
 
-    /** Takes that a target answered, which no target does that ends. */
+    /** Clears the suspicion, since a poisoned target doesn't respond. */
     void onAnswered(long nowMillis) {
-        mEnds.clear();
+        mCrashes.clear();
         mQuarantined = false;
-        mAnsweredMillis = nowMillis;
-        mNewestMillis = nowMillis;
+        mLastAnsweredMillis = nowMillis;
+        mLastUpdatedMillis = nowMillis;
     }
 
-    /** Takes that the fleet quarantined it. */
+    /** Records that the fleet quarantined the request. */
     void onQuarantined(long nowMillis) {
         mQuarantined = true;
-        mNewestMillis = nowMillis;
+        mLastUpdatedMillis = nowMillis;
     }
 
     /**
-     * Returns whether the ends prove that the request is their cause.
+     * Returns whether the crashes prove that the request causes them.
      *
-     * <p>Guards against a request that many send alike while a rack is lost: its targets end at the
-     * same moment, which speaks of the rack. Only ends of which each followed the one before speak
-     * of the request, as it was sent to a target that was still sound by then.
+     * <p>Counts only crashes of targets that got the request after the previous crash. Targets that
+     * crash at the same time may have another cause, such as the loss of a rack.
      */
-    private boolean isProved() {
-        int turns = endsInTurn();
-        return turns >= ENDS_IN_TURN || (turns >= TURNS_OF_COPIES && mEnds.size() >= ENDS_IN_TURN);
+    private boolean isPoison() {
+        int rounds = sequentialCrashes();
+        return rounds >= MIN_SEQUENTIAL_CRASHES
+                || (rounds >= MIN_ROUNDS_OF_COPIES && mCrashes.size() >= MIN_SEQUENTIAL_CRASHES);
     }
 
-    private int endsInTurn() {
-        int turns = 0;
-        long lastEndMillis = Long.MIN_VALUE / 2;
-        for (TargetCrash end : mEnds) {
-            if (follows(end, lastEndMillis)) {
-                turns++;
-                lastEndMillis = end.crashedMillis();
+    private int sequentialCrashes() {
+        int rounds = 0;
+        long lastCrashMillis = Long.MIN_VALUE / 2;
+        for (TargetCrash crash : mCrashes) {
+            if (follows(crash, lastCrashMillis)) {
+                rounds++;
+                lastCrashMillis = crash.crashedMillis();
             }
         }
-        return turns;
+        return rounds;
     }
 
     /**
-     * Returns whether the request was sent after an earlier end; as that may have been seen by
-     * another VM, also if it was sent a little before and ran on for long enough.
+     * Returns whether the request was sent after an earlier crash. If another VM observed that
+     * crash, the request may have been sent slightly before and must have run long enough after it.
      */
-    private static boolean follows(TargetCrash end, long earlierMillis) {
-        return end.sentMillis() >= earlierMillis
-                || (end.sentMillis() >= earlierMillis - NEWS_DELAY_MILLIS
-                        && end.crashedMillis() >= earlierMillis + NEWS_DELAY_MILLIS);
+    private static boolean follows(TargetCrash crash, long earlierMillis) {
+        return crash.sentMillis() >= earlierMillis
+                || (crash.sentMillis() >= earlierMillis - MAX_REPORT_DELAY_MILLIS
+                        && crash.crashedMillis() >= earlierMillis + MAX_REPORT_DELAY_MILLIS);
     }
 
     Treatment treatment() {
         if (mQuarantined) {
             return Treatment.QUARANTINED;
         }
-        return mEnds.isEmpty() ? Treatment.USUAL : Treatment.ALONE;
+        return mCrashes.isEmpty() ? Treatment.USUAL : Treatment.ALONE;
     }
 
     List<TargetCrash> crashes() {
-        return List.copyOf(mEnds);
+        return List.copyOf(mCrashes);
     }
 
-    /** Returns when a target last answered it, in milliseconds; the least number for never. */
+    /**
+     * Returns when a target last responded to the request, in milliseconds; {@code Long.MIN_VALUE}
+     * for never.
+     */
     long answeredMillis() {
-        return mAnsweredMillis;
+        return mLastAnsweredMillis;
     }
 
-    /** Returns when something new was last heard of it, in milliseconds. */
+    /** Returns the time of the last update, in milliseconds. */
     long lastUpdatedMillis() {
-        return mNewestMillis;
+        return mLastUpdatedMillis;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/SuspectReport.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/SuspectReport.java
@@ -4,12 +4,12 @@
 import org.dahliapass.model.RequestDigest;
 
 /**
- * What one VM tells another of a request under which targets ended.
+ * One VM's report to another VM on a request during which targets crashed.
  *
- * @param digest the request
- * @param crashes the targets that ended under it, as far as the VM knows
- * @param quarantined whether the VM keeps it from all targets
- * @param answered whether a target has answered it since, which clears it
+ * @param digest the request's digest
+ * @param crashes the crashes that the VM knows of
+ * @param quarantined whether the VM has quarantined the request
+ * @param answered whether a target has responded to it since, which clears the suspicion
  */
 public record SuspectReport(
         RequestDigest digest, List<TargetCrash> crashes, boolean quarantined, boolean answered) {
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/Treatment.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/Treatment.java
@@ -1,12 +1,15 @@
 package org.dahliapass.decisions.poison;
 
-/** What may be done with a request, by what became of others like it. */
+/** How a request may be treated, by the crashes that identical requests caused. */
 public enum Treatment {
-    /** Nothing speaks against it. */
+    /** The request isn't suspected. */
     USUAL(true, true),
-    /** A target ended under one like it: it has one target at a time, and no other after that. */
+    /**
+     * A target crashed during an identical request: it runs at one target at a time and isn't
+     * retried after a crash.
+     */
     ALONE(true, false),
-    /** Targets end under it: none gets it any more. */
+    /** The request crashes its targets and isn't run any more. */
     QUARANTINED(false, false);
 
     private final boolean mMayRun;
@@ -17,12 +20,12 @@
         mMayRunAgain = mayRunAgain;
     }
 
-    /** Returns whether a target may get it. */
+    /** Returns whether the request may be sent to a target. */
     public boolean mayRun() {
         return mMayRun;
     }
 
-    /** Returns whether a second target may get it beside the first, or after the first broke. */
+    /** Returns whether the request may be hedged, or retried after its connection broke. */
     public boolean mayRunAgain() {
         return mMayRunAgain;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/poison/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/poison/package-info.java
@@ -1,2 +1,2 @@
-/** Recognizes requests that end each target that runs them, and keeps them from the others. */
+/** Detection and quarantine of poison messages, requests that crash the targets that run them. */
 package org.dahliapass.decisions.poison;
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/ConnectionPlan.java
@@ -3,7 +3,7 @@
 /**
  * Limits and plans the connections of this VM to each target of a service.
  *
- * <p>Not thread-safe; guarded by the service's lock.
+ * <p>Not thread-safe; guarded by the caller's lock.
  */
 public final class ConnectionPlan {
     /**
--- a/decisions/src/test/java/org/dahliapass/decisions/poison/DigestLocksTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/poison/DigestLocksTest.java
@@ -13,31 +13,31 @@
 public final class DigestLocksTest {
     private static final RequestDigest DIGEST = new RequestDigest(1, 2);
 
-    /** Guards against a copy that ends a second target while the first one still runs. */
+    /** An identical request must not crash a second target while the first one still runs it. */
     @Test
-    public void nextOneGoesWhenTheTurnIsGivenBack() {
-        DigestLocks turns = new DigestLocks();
-        List<String> gone = new ArrayList<>();
-        turns.acquire(DIGEST);
-        assertTrue(turns.isHeld(DIGEST));
-        assertTrue(turns.addWaiter(DIGEST, () -> gone.add("next")));
-        assertFalse(turns.isHeld(new RequestDigest(3, 4)));
-        turns.release(DIGEST);
-        assertEquals(gone, List.of("next"));
-        assertFalse(turns.isHeld(DIGEST));
+    public void releaseRunsWaiters() {
+        DigestLocks locks = new DigestLocks();
+        List<String> released = new ArrayList<>();
+        locks.acquire(DIGEST);
+        assertTrue(locks.isHeld(DIGEST));
+        assertTrue(locks.addWaiter(DIGEST, () -> released.add("waiter")));
+        assertFalse(locks.isHeld(new RequestDigest(3, 4)));
+        locks.release(DIGEST);
+        assertEquals(released, List.of("waiter"));
+        assertFalse(locks.isHeld(DIGEST));
     }
 
-    /** Guards against an attacker whose copies fill the memory of a VM. */
+    /** Copies of a request must not exhaust the memory of a VM. */
     @Test
-    public void waitersAreBounded() {
-        DigestLocks turns = new DigestLocks();
-        turns.acquire(DIGEST);
-        int waiting = 0;
-        while (turns.addWaiter(DIGEST, () -> {})) {
-            waiting++;
-            assertTrue(waiting <= 256, "More than 256 wait.");
+    public void waitersAreLimited() {
+        DigestLocks locks = new DigestLocks();
+        locks.acquire(DIGEST);
+        int waiters = 0;
+        while (locks.addWaiter(DIGEST, () -> {})) {
+            waiters++;
+            assertTrue(waiters <= 256, "More than 256 wait.");
         }
-        turns.release(DIGEST);
-        assertTrue(turns.addWaiter(DIGEST, () -> {}));
+        locks.release(DIGEST);
+        assertTrue(locks.addWaiter(DIGEST, () -> {}));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/poison/PoisonDetectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/poison/PoisonDetectorTest.java
@@ -17,131 +17,132 @@
     private static final int SEEDS = 200;
     private static final RequestDigest DIGEST = new RequestDigest(1, 2);
 
-    private final PoisonDetector mRegister = new PoisonDetector();
+    private final PoisonDetector mDetector = new PoisonDetector();
 
-    /** Guards against a request that takes a service down target by target. */
+    /** A poison message must not crash the targets of a service one after the other. */
     @Test
-    public void endsInTurnQuarantine() {
-        PoisonDetector register = new PoisonDetector();
-        register.onCrash(DIGEST, end(1, 0, 100), NOW);
-        register.onCrash(DIGEST, end(2, 101, 200), NOW);
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.ALONE);
-        register.onCrash(DIGEST, end(3, 205, 300), NOW);
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.QUARANTINED);
+    public void sequentialCrashesQuarantineTheRequest() {
+        PoisonDetector detector = new PoisonDetector();
+        detector.onCrash(DIGEST, crash(1, 0, 100), NOW);
+        detector.onCrash(DIGEST, crash(2, 101, 200), NOW);
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.ALONE);
+        detector.onCrash(DIGEST, crash(3, 205, 300), NOW);
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.QUARANTINED);
     }
 
-    /** Guards against a read that many send alike, blamed for the rack that it ran on. */
+    /** A read that many callers send must not be blamed for the loss of a rack. */
     @Test
-    public void targetsThatEndAtOnceDoNotQuarantine() {
-        PoisonDetector register = new PoisonDetector();
+    public void concurrentCrashesDoNotQuarantineTheRequest() {
+        PoisonDetector detector = new PoisonDetector();
         for (int target = 0; target < 20; target++) {
-            register.onCrash(DIGEST, end(target, 25L * target, 500 + target / 4), NOW);
+            detector.onCrash(DIGEST, crash(target, 25L * target, 500 + target / 4), NOW);
         }
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.ALONE);
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.ALONE);
     }
 
-    /** Guards against copies at several VMs, which end many targets in few turns. */
+    /** Copies at several VMs crash many targets in few rounds. */
     @Test
-    public void copiesThatEndTheirTargetsTwiceQuarantine() {
-        PoisonDetector register = new PoisonDetector();
-        register.onCrash(DIGEST, end(1, 0, 100), NOW);
-        register.onCrash(DIGEST, end(2, 10, 110), NOW);
-        register.onCrash(DIGEST, end(3, 150, 250), NOW);
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.QUARANTINED);
+    public void twoRoundsOfCrashesByCopiesQuarantineTheRequest() {
+        PoisonDetector detector = new PoisonDetector();
+        detector.onCrash(DIGEST, crash(1, 0, 100), NOW);
+        detector.onCrash(DIGEST, crash(2, 10, 110), NOW);
+        detector.onCrash(DIGEST, crash(3, 150, 250), NOW);
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.QUARANTINED);
     }
 
-    /** Guards against a request that stays blamed for ends beside which it was answered. */
     @Test
-    public void answerClearsAndLateNewsOfEndsBeforeItChangeNothing() {
-        PoisonDetector register = quarantined();
-        assertTrue(register.onAnswered(DIGEST, NOW));
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.USUAL);
-        register.onCrash(DIGEST, end(4, 400, 500), NOW);
-        register.onQuarantined(DIGEST, NOW);
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.USUAL);
-        register.onCrash(DIGEST, end(5, NOW + 10, NOW + 20), NOW + 20);
-        assertEquals(register.treatment(DIGEST, NOW + 20), Treatment.ALONE);
+    public void responseClearsDespiteLateReportsOfEarlierCrashes() {
+        PoisonDetector detector = quarantined();
+        assertTrue(detector.onAnswered(DIGEST, NOW));
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.USUAL);
+        detector.onCrash(DIGEST, crash(4, 400, 500), NOW);
+        detector.onQuarantined(DIGEST, NOW);
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.USUAL);
+        detector.onCrash(DIGEST, crash(5, NOW + 10, NOW + 20), NOW + 20);
+        assertEquals(detector.treatment(DIGEST, NOW + 20), Treatment.ALONE);
     }
 
-    /** Guards against VMs that disagree for good, as datagrams get lost or come twice. */
+    /** Datagrams may be lost or duplicated, and all VMs must reach the same state. */
     @Test
-    public void newsGiveTheSameInAnyOrder() {
+    public void reportsMergeInAnyOrder() {
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
-            List<TargetCrash> ends = new ArrayList<>();
+            List<TargetCrash> crashes = new ArrayList<>();
             int count = 1 + random.nextInt(6);
             for (int target = 0; target < count; target++) {
                 long sent = random.nextInt(400);
-                ends.add(end(target, sent, sent + 20 + random.nextInt(300)));
+                crashes.add(crash(target, sent, sent + 20 + random.nextInt(300)));
             }
-            PoisonDetector one = told(ends);
-            List<TargetCrash> again = new ArrayList<>(ends);
-            again.addAll(ends);
-            Collections.shuffle(again, random);
+            PoisonDetector expected = detectorWith(crashes);
+            List<TargetCrash> duplicated = new ArrayList<>(crashes);
+            duplicated.addAll(crashes);
+            Collections.shuffle(duplicated, random);
             assertEquals(
-                    told(again).treatment(DIGEST, NOW), one.treatment(DIGEST, NOW), "seed " + seed);
+                    detectorWith(duplicated).treatment(DIGEST, NOW),
+                    expected.treatment(DIGEST, NOW),
+                    "seed " + seed);
         }
     }
 
-    private static PoisonDetector told(List<TargetCrash> ends) {
-        PoisonDetector register = new PoisonDetector();
-        ends.forEach(
-                end ->
-                        register.onPeerReport(
-                                new SuspectReport(DIGEST, List.of(end), false, false), NOW));
-        return register;
+    private static PoisonDetector detectorWith(List<TargetCrash> crashes) {
+        PoisonDetector detector = new PoisonDetector();
+        crashes.forEach(
+                crash ->
+                        detector.onPeerReport(
+                                new SuspectReport(DIGEST, List.of(crash), false, false), NOW));
+        return detector;
     }
 
-    /** Guards against a VM that lost all news and is never told what the others know. */
+    /** A VM that lost all reports must be told of the quarantine. */
     @Test
-    public void vmThatLacksAQuarantineIsFound() {
-        PoisonDetector register = quarantined();
-        List<TargetCrash> one = List.of(end(9, 0, 100));
-        assertTrue(register.onPeerReport(new SuspectReport(DIGEST, one, false, false), NOW));
-        assertFalse(register.onPeerReport(new SuspectReport(DIGEST, one, true, false), NOW));
+    public void detectsAVmWithoutTheQuarantine() {
+        PoisonDetector detector = quarantined();
+        List<TargetCrash> crash = List.of(crash(9, 0, 100));
+        assertTrue(detector.onPeerReport(new SuspectReport(DIGEST, crash, false, false), NOW));
+        assertFalse(detector.onPeerReport(new SuspectReport(DIGEST, crash, true, false), NOW));
         PoisonDetector other = new PoisonDetector();
-        assertFalse(other.onPeerReport(register.report(DIGEST, NOW), NOW));
+        assertFalse(other.onPeerReport(detector.report(DIGEST, NOW), NOW));
         assertEquals(other.treatment(DIGEST, NOW), Treatment.QUARANTINED);
     }
 
-    /** Guards against an attacker who fills the memory, or pushes out what is proved. */
+    /** New suspects must not exhaust the memory or evict quarantined requests. */
     @Test
-    public void suspectsAreBoundedAndPushOutNoQuarantine() {
-        PoisonDetector register = quarantined();
+    public void suspectsAreLimitedAndEvictNoQuarantine() {
+        PoisonDetector detector = quarantined();
         for (int number = 0; number < 50_000; number++) {
-            register.onCrash(new RequestDigest(7, number), end(number, 0, 100), NOW);
+            detector.onCrash(new RequestDigest(7, number), crash(number, 0, 100), NOW);
         }
-        assertTrue(register.size() <= 2_000, register.size() + " are kept.");
-        assertEquals(register.treatment(DIGEST, NOW), Treatment.QUARANTINED);
+        assertTrue(detector.size() <= 2_000, detector.size() + " are kept.");
+        assertEquals(detector.treatment(DIGEST, NOW), Treatment.QUARANTINED);
     }
 
-    /** Guards against a request that stays refused for good, though targets are mended since. */
+    /** A request must not stay refused after its targets have been repaired. */
     @Test
-    public void quarantineEnds() {
-        PoisonDetector register = quarantined();
-        long left = register.quarantineRemainingMillis(DIGEST, NOW);
-        assertEquals(left, PoisonDetector.RETENTION.toMillis());
-        assertEquals(register.treatment(DIGEST, NOW + left), Treatment.QUARANTINED);
-        assertEquals(register.treatment(DIGEST, NOW + left + 1), Treatment.USUAL);
-        assertTrue(register.isEmpty());
+    public void quarantineExpires() {
+        PoisonDetector detector = quarantined();
+        long remainingMillis = detector.quarantineRemainingMillis(DIGEST, NOW);
+        assertEquals(remainingMillis, PoisonDetector.RETENTION.toMillis());
+        assertEquals(detector.treatment(DIGEST, NOW + remainingMillis), Treatment.QUARANTINED);
+        assertEquals(detector.treatment(DIGEST, NOW + remainingMillis + 1), Treatment.USUAL);
+        assertTrue(detector.isEmpty());
     }
 
     @Test
-    public void unknownRequestIsUsual() {
-        assertTrue(mRegister.isEmpty());
-        assertEquals(mRegister.treatment(DIGEST, NOW), Treatment.USUAL);
-        assertFalse(mRegister.onAnswered(DIGEST, NOW));
+    public void unknownRequestIsNotSuspected() {
+        assertTrue(mDetector.isEmpty());
+        assertEquals(mDetector.treatment(DIGEST, NOW), Treatment.USUAL);
+        assertFalse(mDetector.onAnswered(DIGEST, NOW));
     }
 
     private static PoisonDetector quarantined() {
-        PoisonDetector register = new PoisonDetector();
-        register.onCrash(DIGEST, end(1, 0, 100), NOW);
-        register.onCrash(DIGEST, end(2, 101, 200), NOW);
-        register.onCrash(DIGEST, end(3, 205, 300), NOW);
-        return register;
+        PoisonDetector detector = new PoisonDetector();
+        detector.onCrash(DIGEST, crash(1, 0, 100), NOW);
+        detector.onCrash(DIGEST, crash(2, 101, 200), NOW);
+        detector.onCrash(DIGEST, crash(3, 205, 300), NOW);
+        return detector;
     }
 
-    private static TargetCrash end(int target, long sentMillis, long endedMillis) {
-        return new TargetCrash("i-" + target + "@1", sentMillis, endedMillis);
+    private static TargetCrash crash(int target, long sentMillis, long crashedMillis) {
+        return new TargetCrash("i-" + target + "@1", sentMillis, crashedMillis);
     }
 }
