--- a/decisions/src/main/java/org/dahliapass/decisions/health/Counts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/Counts.java
@@ -1,58 +1,62 @@
 package org.dahliapass.decisions.health;
 
-/** A sum of work: how many pieces went well, how many failed, how long the good ones took. */
+/** Mutable sums of request outcomes and log latencies. */
 final class Counts {
     int mSuccesses;
     int mFailures;
 
-    /** Successes that are taken for granted; they count in {@link #allSuccesses} only. */
+    /** Successes that are assumed but not observed; their latency is unknown. */
     int mAssumedSuccesses;
 
-    double mLogSum;
-    double mLogSquareSum;
+    double mLogLatencySum;
+    double mLogLatencySquareSum;
 
-    /** Returns the sums of two rows, either of which may be null for nothing. */
-    static Counts[] sum(Counts[] one, Counts[] other) {
-        if (one == null || other == null) {
-            return one == null ? other : one;
+    /** Returns the element-wise sums of two arrays, either of which may be null. */
+    static Counts[] sum(Counts[] first, Counts[] second) {
+        if (first == null || second == null) {
+            return first == null ? second : first;
         }
-        Counts[] sums = new Counts[one.length];
+        Counts[] sums = new Counts[first.length];
         for (int index = 0; index < sums.length; index++) {
             sums[index] = new Counts();
-            sums[index].add(one[index]);
-            sums[index].add(other[index]);
+            sums[index].add(first[index]);
+            sums[index].add(second[index]);
         }
         return sums;
     }
 
     void add(Counts other) {
-        add(other.mSuccesses, other.mFailures, other.mLogSum, other.mLogSquareSum);
+        add(other.mSuccesses, other.mFailures, other.mLogLatencySum, other.mLogLatencySquareSum);
         mAssumedSuccesses += other.mAssumedSuccesses;
     }
 
-    void add(int successes, int failures, double logSum, double logSquareSum) {
+    void add(int successes, int failures, double logLatencySum, double logLatencySquareSum) {
         mSuccesses += successes;
         mFailures += failures;
-        mLogSum += logSum;
-        mLogSquareSum += logSquareSum;
+        mLogLatencySum += logLatencySum;
+        mLogLatencySquareSum += logLatencySquareSum;
     }
 
     void subtract(Counts other) {
-        add(-other.mSuccesses, -other.mFailures, -other.mLogSum, -other.mLogSquareSum);
+        add(
+                -other.mSuccesses,
+                -other.mFailures,
+                -other.mLogLatencySum,
+                -other.mLogLatencySquareSum);
         mAssumedSuccesses -= other.mAssumedSuccesses;
     }
 
-    /** Adds successes of which no latency is known, until there are so many pieces of work. */
-    void assumeSuccesses(int pieces) {
-        mAssumedSuccesses += Math.max(0, pieces - total());
+    /** Adds assumed successes until the total reaches a number of requests. */
+    void assumeSuccesses(int requests) {
+        mAssumedSuccesses += Math.max(0, requests - total());
     }
 
     void clear() {
         mSuccesses = 0;
         mFailures = 0;
         mAssumedSuccesses = 0;
-        mLogSum = 0;
-        mLogSquareSum = 0;
+        mLogLatencySum = 0;
+        mLogLatencySquareSum = 0;
     }
 
     int allSuccesses() {
@@ -68,6 +72,6 @@
     }
 
     double meanLogLatency() {
-        return mSuccesses == 0 ? 0 : mLogSum / mSuccesses;
+        return mSuccesses == 0 ? 0 : mLogLatencySum / mSuccesses;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EjectionController.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EjectionController.java
@@ -15,36 +15,38 @@
 import org.dahliapass.model.explain.Explanation;
 
 /**
- * Takes targets out and brings them back, within the floor, and says why.
+ * Ejects and restores the targets of one service within the limits of the floor.
  *
- * <p><b>The floor.</b> A target is taken out, or avoided, only if at least the floor's number of
- * other targets stays in this VM's own set, each with recent good work and nothing against it.
- * Ejections are never sent between VMs, only evidence is: so another VM's decision, however
- * simultaneous, can't shrink this VM's set. As each VM's set keeps the floor by itself, so does
- * what any caller reaches through any VM, and so does the union; no agreement is needed.
+ * <p>A target is excluded only if the floor's number of other targets remains active in this VM's
+ * set, each with a recent success and without suspicion. VMs exchange evidence but not ejections,
+ * so the decisions of other VMs cannot shrink this VM's set, and each VM enforces the floor without
+ * coordination.
  */
 final class EjectionController {
-    /** A success older than this says nothing of the present. */
+    /** The maximum age of outcomes that count as recent. */
     private static final long RECENT_MILLIS = 10_000;
 
-    /** How long a target is left out by this VM alone; doubled each time. */
-    private static final long AVOID_MILLIS = 2_000;
+    /** The initial exclusion time of a target that fails for this VM only. */
+    private static final long AVOIDANCE_MILLIS = 2_000;
 
-    /** A straggler gets less work from this latency over its peers'. */
-    private static final double SLOWED_FROM = 1.5;
+    /** The latency ratio from which a straggler's weight is reduced. */
+    private static final double MIN_SLOW_RATIO = 1.5;
 
-    private static final double LEAST_SPEED_WEIGHT = 0.3;
+    private static final double MIN_SPEED_WEIGHT = 0.3;
 
-    private final FloorPolicy mFloorRule;
+    private final FloorPolicy mFloorPolicy;
     private final EvidenceTable mTable;
     private final Map<Endpoint, TargetRecord> mRecords = new TreeMap<>();
     private final List<Explanation> mExplanations = new ArrayList<>();
     private ServiceTemplate mTemplate;
 
     EjectionController(
-            ServiceTemplate template, FloorPolicy floorRule, EvidenceTable table, long nowMillis) {
+            ServiceTemplate template,
+            FloorPolicy floorPolicy,
+            EvidenceTable table,
+            long nowMillis) {
         mTemplate = template;
-        mFloorRule = floorRule;
+        mFloorPolicy = floorPolicy;
         mTable = table;
         for (Target target : template.targets()) {
             mRecords.put(
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Takes in a revision: new targets start slowly, dropped ones are forgotten. */
+    /** Applies a template revision: adds new targets in slow start and removes unlisted targets. */
     void update(ServiceTemplate template, long nowMillis) {
         mTemplate = template;
         Set<Endpoint> listed = new HashSet<>();
@@ -69,12 +71,12 @@
         return mRecords.keySet();
     }
 
-    /** Returns the target's record, or null if the template doesn't list it. */
+    /** Returns the target's record; null if the template does not list the target. */
     TargetRecord record(Endpoint target) {
         return mRecords.get(target);
     }
 
-    /** Returns the targets in normal service, which tell what is normal. */
+    /** Returns the active targets, which form the baseline of the detection. */
     Set<Endpoint> activeTargets() {
         Set<Endpoint> targets = new HashSet<>();
         mRecords.forEach(
@@ -94,20 +96,24 @@
     }
 
     List<Explanation> takeExplanations() {
-        List<Explanation> taken = List.copyOf(mExplanations);
+        List<Explanation> explanations = List.copyOf(mExplanations);
         mExplanations.clear();
-        return taken;
+        return explanations;
     }
 
-    /** Acts on what the evidence says of each target. */
-    void decide(Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
-        takeOut(verdicts, nowMillis);
-        verdicts.forEach((target, verdict) -> slow(mRecords.get(target), verdict, nowMillis));
-        refill(nowMillis);
+    /** Ejects, holds, slows and restores targets according to their assessments. */
+    void decide(Map<Endpoint, TargetAssessment> assessments, long nowMillis) {
+        excludeSuspects(assessments, nowMillis);
+        assessments.forEach(
+                (target, assessment) ->
+                        updateSpeedWeight(mRecords.get(target), assessment, nowMillis));
+        restoreToFloor(nowMillis);
     }
 
     /**
-     * Gives a target work again, from a small share up; what was seen of it before is forgotten.
+     * Returns a target to service with slow start and discards its earlier evidence.
+     *
+     * @param cause the reason, in a short clause
      */
     void beginSlowStart(TargetRecord record, String cause, long nowMillis) {
         mTable.remove(record.target().endpoint());
@@ -116,7 +122,7 @@
         recordExplanation(nowMillis, Action.RETURNING, record, cause, "", setting);
     }
 
-    /** Keeps a record of something that was done to a target. */
+    /** Records an action on a target for operators. */
     void recordExplanation(
             long atMillis,
             Action action,
@@ -128,12 +134,12 @@
         mExplanations.add(new Explanation(atMillis, action, subject, cause, evidence, setting));
     }
 
-    /** Gives work again to those whose time has come; before the evidence is weighed. */
+    /** Restores targets whose exclusion, cold start or slow start is over. */
     void restoreDueTargets(long nowMillis) {
         DetectionPolicy policy = mTemplate.detection();
         for (TargetRecord record : mRecords.values()) {
             if (record.isColdTimedOut(nowMillis)) {
-                beginSlowStart(record, "it has been starting for too long", nowMillis);
+                beginSlowStart(record, "the cold start timed out", nowMillis);
             } else if (record.state() == TargetState.RETURNING
                     && record.isSlowStartOver(policy, nowMillis)) {
                 record.activate(nowMillis);
@@ -141,158 +147,159 @@
                         nowMillis,
                         Action.RESTORED,
                         record,
-                        "nothing spoke against it while it started slowly",
+                        "no fault was detected during slow start",
                         "",
                         "slowStart=" + policy.slowStart());
-            } else if (isOut(record) && nowMillis >= record.returnAtMillis()) {
-                tryAgain(record, policy, nowMillis);
+            } else if (isExcluded(record) && nowMillis >= record.returnAtMillis()) {
+                returnToService(record, policy, nowMillis);
             }
         }
     }
 
-    private void tryAgain(TargetRecord record, DetectionPolicy policy, long nowMillis) {
+    private void returnToService(TargetRecord record, DetectionPolicy policy, long nowMillis) {
         if (record.probeFailedWithin(RECENT_MILLIS, nowMillis)) {
             record.postponeReturn(policy.returnAfter().toMillis(), nowMillis);
             return;
         }
-        beginSlowStart(record, "its time out is over", nowMillis);
+        beginSlowStart(record, "the exclusion period ended", nowMillis);
     }
 
-    private void takeOut(Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
+    private void excludeSuspects(Map<Endpoint, TargetAssessment> assessments, long nowMillis) {
         List<TargetRecord> suspects = new ArrayList<>();
         for (TargetRecord record : mRecords.values()) {
-            if (isAgainst(record, verdicts.get(record.target().endpoint()), nowMillis)) {
+            if (isSuspect(record, assessments.get(record.target().endpoint()), nowMillis)) {
                 suspects.add(record);
             } else {
                 record.endHold();
             }
         }
-        // The worst go first, so that a floor that stops the rest keeps the least bad ones.
+        // The highest scores come first, so that the floor keeps the least faulty targets.
         suspects.sort(
                 Comparator.comparingDouble(
                                 (TargetRecord record) ->
-                                        verdicts.get(record.target().endpoint()).score())
+                                        assessments.get(record.target().endpoint()).score())
                         .reversed());
         for (TargetRecord record : suspects) {
-            takeOutOrHold(record, verdicts, nowMillis);
+            excludeOrHold(record, assessments, nowMillis);
         }
     }
 
-    private static boolean isAgainst(
-            TargetRecord record, TargetAssessment verdict, long nowMillis) {
-        boolean straggler = record.isStraggler(verdict.slow(), nowMillis);
+    private static boolean isSuspect(
+            TargetRecord record, TargetAssessment assessment, long nowMillis) {
+        boolean straggler = record.updateStraggler(assessment.slow(), nowMillis);
         return switch (record.state()) {
-            case ACTIVE -> verdict.failing() || straggler || verdict.failingLocally();
-            // A target that is new or was out may be slow at first: that is no failure.
-            case RETURNING -> verdict.failing() || verdict.failingLocally();
-            case AVOIDED_HERE -> verdict.failing();
+            case ACTIVE -> assessment.failing() || straggler || assessment.failingLocally();
+            // New and returning targets may be slow at first, so latency is ignored.
+            case RETURNING -> assessment.failing() || assessment.failingLocally();
+            case AVOIDED_HERE -> assessment.failing();
             default -> false;
         };
     }
 
-    private void takeOutOrHold(
-            TargetRecord record, Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
-        TargetAssessment verdict = verdicts.get(record.target().endpoint());
+    private void excludeOrHold(
+            TargetRecord record, Map<Endpoint, TargetAssessment> assessments, long nowMillis) {
+        TargetAssessment assessment = assessments.get(record.target().endpoint());
         int floor = mTemplate.floorTargets();
-        int healthy = knownHealthyWithout(record, verdicts, nowMillis);
-        if (record.state() != TargetState.AVOIDED_HERE && !mFloorRule.allows(healthy, floor)) {
-            hold(record, verdict, healthy, nowMillis);
+        int healthy = healthyTargetsExcept(record, assessments, nowMillis);
+        if (record.state() != TargetState.AVOIDED_HERE && !mFloorPolicy.allows(healthy, floor)) {
+            hold(record, assessment, healthy, nowMillis);
             return;
         }
         DetectionPolicy policy = mTemplate.detection();
-        if (verdict.failing() || !verdict.failingLocally()) {
-            record.takeOut(TargetState.EJECTED, policy.returnAfter().toMillis(), nowMillis);
+        if (assessment.failing() || !assessment.failingLocally()) {
+            record.exclude(TargetState.EJECTED, policy.returnAfter().toMillis(), nowMillis);
             recordExplanation(
                     nowMillis,
                     Action.EJECTED,
                     record,
-                    verdict.failing()
-                            ? "it fails more than its peers, seen from the cell"
-                            : "it is slower than its peers, seen from the cell",
-                    verdict.summary(),
-                    setting(verdict));
+                    assessment.failing()
+                            ? "it fails more than its peers, by the evidence of the cell"
+                            : "it is slower than its peers, by the evidence of the cell",
+                    assessment.summary(),
+                    setting(assessment));
             return;
         }
-        record.takeOut(TargetState.AVOIDED_HERE, AVOID_MILLIS, nowMillis);
+        record.exclude(TargetState.AVOIDED_HERE, AVOIDANCE_MILLIS, nowMillis);
         mTable.removeLocal(record.target().endpoint());
         recordExplanation(
                 nowMillis,
                 Action.AVOIDED,
                 record,
-                "it fails for this VM; the cell doesn't confirm it",
-                verdict.summary(),
-                setting(verdict));
+                "it fails for this VM, but the evidence of the cell does not confirm a fault",
+                assessment.summary(),
+                setting(assessment));
     }
 
-    private void hold(TargetRecord record, TargetAssessment verdict, int healthy, long nowMillis) {
+    private void hold(
+            TargetRecord record, TargetAssessment assessment, int healthy, long nowMillis) {
         if (!record.isHeld()) {
             recordExplanation(
                     nowMillis,
                     Action.FLOOR_HELD,
                     record,
-                    healthy + " others are known to be well",
-                    verdict.summary(),
+                    healthy + " other targets are known to be healthy",
+                    assessment.summary(),
                     "floorTargets=" + mTemplate.floorTargets());
         }
-        record.hold(verdict.failureShare());
+        record.hold(assessment.failureShare());
     }
 
-    private int knownHealthyWithout(
-            TargetRecord candidate, Map<Endpoint, TargetAssessment> verdicts, long nowMillis) {
+    private int healthyTargetsExcept(
+            TargetRecord excluded, Map<Endpoint, TargetAssessment> assessments, long nowMillis) {
         int healthy = 0;
         for (TargetRecord record : mRecords.values()) {
-            if (record != candidate
+            if (record != excluded
                     && record.state() == TargetState.ACTIVE
                     && record.succeededWithin(RECENT_MILLIS, nowMillis)
-                    && !verdicts.get(record.target().endpoint()).isSuspect()) {
+                    && !assessments.get(record.target().endpoint()).isSuspect()) {
                 healthy++;
             }
         }
         return healthy;
     }
 
-    private void slow(TargetRecord record, TargetAssessment verdict, long nowMillis) {
-        boolean slow = verdict.latencyRatio() >= SLOWED_FROM;
-        double weight = slow ? Math.max(LEAST_SPEED_WEIGHT, 1 / verdict.latencyRatio()) : 1;
+    private void updateSpeedWeight(
+            TargetRecord record, TargetAssessment assessment, long nowMillis) {
+        boolean slow = assessment.latencyRatio() >= MIN_SLOW_RATIO;
+        double weight = slow ? Math.max(MIN_SPEED_WEIGHT, 1 / assessment.latencyRatio()) : 1;
         if (slow && record.speedWeight() == 1 && record.state() == TargetState.ACTIVE) {
             recordExplanation(
                     nowMillis,
                     Action.SLOWED,
                     record,
                     "it is slower than its peers",
-                    verdict.summary(),
-                    setting(verdict));
+                    assessment.summary(),
+                    setting(assessment));
         }
         record.setSpeedWeight(weight);
     }
 
     /**
-     * Brings targets back early when others left and too few get work.
+     * Restores excluded targets early if fewer targets than the floor receive requests.
      *
-     * <p>Guards against a rolling restart on top of ejections: each leaving target shrinks the set
-     * though no ejection does. A doubtful target then is better than none.
+     * <p>Leaving targets can shrink the set below the floor, for example in a rolling restart.
      */
-    private void refill(long nowMillis) {
+    private void restoreToFloor(long nowMillis) {
         long active = mRecords.values().stream().filter(r -> r.state().receivesRequests()).count();
-        List<TargetRecord> out = new ArrayList<>(mRecords.values());
-        out.removeIf(record -> !isOut(record));
-        out.sort(Comparator.comparingLong(TargetRecord::returnAtMillis));
-        for (TargetRecord record : out) {
+        List<TargetRecord> excluded = new ArrayList<>(mRecords.values());
+        excluded.removeIf(record -> !isExcluded(record));
+        excluded.sort(Comparator.comparingLong(TargetRecord::returnAtMillis));
+        for (TargetRecord record : excluded) {
             if (active >= mTemplate.floorTargets()) {
                 return;
             }
-            beginSlowStart(record, "too few targets get work", nowMillis);
+            beginSlowStart(record, "too few targets are in service", nowMillis);
             active++;
         }
     }
 
-    private static boolean isOut(TargetRecord record) {
+    private static boolean isExcluded(TargetRecord record) {
         return record.state() == TargetState.EJECTED || record.state() == TargetState.AVOIDED_HERE;
     }
 
-    private String setting(TargetAssessment verdict) {
+    private String setting(TargetAssessment assessment) {
         DetectionPolicy policy = mTemplate.detection();
-        return verdict.failing() || verdict.failingLocally()
+        return assessment.failing() || assessment.failingLocally()
                 ? "falseEjectionTolerance="
                         + policy.falseEjectionTolerance()
                         + ", failureShare="
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceReport.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceReport.java
@@ -5,16 +5,15 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * What one VM of a cell tells the others about a service's targets.
+ * The request outcomes of a service's targets that a VM observed since its last report.
  *
- * <p>It holds only what happened since the last report. An empty one still says that this VM
- * reports, which the others need to know before they decide alone.
+ * <p>An empty report still shows the other VMs of the cell that this VM is reporting.
  *
- * @param observer the VM that saw it
+ * @param observer the reporting VM
  * @param availabilityZone the observer's availability zone
- * @param sequence grows by one with each report of this observer, so that a copy is counted once
+ * @param sequence increases by one with each report of this observer; identifies duplicates
  * @param service the service
- * @param evidence one entry for each target and kind with activity
+ * @param evidence one entry for each target and request kind with activity
  */
 public record EvidenceReport(
         VmIdentity observer,
@@ -23,7 +22,7 @@
         ServiceId service,
         List<TargetEvidence> evidence) {
 
-    /** Copies the list. */
+    /** Creates a report with an immutable copy of the evidence. */
     public EvidenceReport {
         evidence = List.copyOf(evidence);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/EvidenceTable.java
@@ -9,25 +9,23 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * The work that the VMs of a cell saw, by target, by the place that saw it, and by request kind.
+ * The request outcomes that a cell observed, by target, vantage point and request kind.
  *
- * <p>A place is a whole availability zone, or this VM alone. VMs of one zone are summed, so the
- * state grows with zones and not with the cell.
+ * <p>A vantage point is an availability zone or the local VM. The outcomes of all VMs of a zone are
+ * summed, so the state grows with the zones and not with the size of the cell.
  */
 final class EvidenceTable {
-    /** The place that stands for what this VM saw itself. */
+    /** The vantage point of the local VM. */
     static final String LOCAL_VM = "";
 
-    /** The kind under which failed probes are kept. */
+    /** The request kind of probes. */
     static final String PROBE_KIND = "#probe";
 
-    private final Map<Endpoint, Map<String, Map<String, WindowedCounts>>> mHistories =
-            new HashMap<>();
+    private final Map<Endpoint, Map<String, Map<String, WindowedCounts>>> mCounts = new HashMap<>();
 
-    void add(String place, TargetEvidence evidence, long nowMillis) {
-        mHistories
-                .computeIfAbsent(evidence.target(), key -> new TreeMap<>())
-                .computeIfAbsent(place, key -> new TreeMap<>())
+    void add(String vantagePoint, TargetEvidence evidence, long nowMillis) {
+        mCounts.computeIfAbsent(evidence.target(), key -> new TreeMap<>())
+                .computeIfAbsent(vantagePoint, key -> new TreeMap<>())
                 .computeIfAbsent(evidence.kind(), key -> new WindowedCounts())
                 .add(
                         evidence.successes(),
@@ -37,49 +35,48 @@
                         nowMillis);
     }
 
-    /** Forgets all that was seen of a target. */
+    /** Removes all outcomes of a target. */
     void remove(Endpoint target) {
-        mHistories.remove(target);
+        mCounts.remove(target);
     }
 
-    /** Forgets what this VM alone saw of a target; the zone's sums stay. */
+    /** Removes the local VM's outcomes of a target; the sums of the zones remain. */
     void removeLocal(Endpoint target) {
-        mHistories.getOrDefault(target, new TreeMap<>()).remove(LOCAL_VM);
+        mCounts.getOrDefault(target, new TreeMap<>()).remove(LOCAL_VM);
     }
 
-    /** Forgets all targets but the listed ones. */
+    /** Removes the outcomes of all targets that are not listed. */
     void retain(Set<Endpoint> listed) {
-        mHistories.keySet().retainAll(listed);
+        mCounts.keySet().retainAll(listed);
     }
 
-    /** Returns the kinds that were seen at a place. */
-    private Set<String> kinds(String place) {
+    private Set<String> kinds(String vantagePoint) {
         Set<String> kinds = new TreeSet<>();
-        for (Map<String, Map<String, WindowedCounts>> places : mHistories.values()) {
-            kinds.addAll(places.getOrDefault(place, Map.of()).keySet());
+        for (Map<String, Map<String, WindowedCounts>> vantagePoints : mCounts.values()) {
+            kinds.addAll(vantagePoints.getOrDefault(vantagePoint, Map.of()).keySet());
         }
         return kinds;
     }
 
-    /** Returns the windows at a place by kind. */
-    Map<String, Counts[][]> windows(String place, List<Endpoint> targets, long nowMillis) {
+    /** Returns the windows of each target at a vantage point, by request kind. */
+    Map<String, Counts[][]> windows(String vantagePoint, List<Endpoint> targets, long nowMillis) {
         Map<String, Counts[][]> windows = new TreeMap<>();
-        for (String kind : kinds(place)) {
-            windows.put(kind, windows(place, kind, targets, nowMillis));
+        for (String kind : kinds(vantagePoint)) {
+            windows.put(kind, windows(vantagePoint, kind, targets, nowMillis));
         }
         return windows;
     }
 
-    /** Returns the windows of a kind for each target, null where nothing was seen. */
-    private Counts[][] windows(String place, String kind, List<Endpoint> targets, long nowMillis) {
+    /** Returns the windows of each target; null for a target without outcomes. */
+    private Counts[][] windows(
+            String vantagePoint, String kind, List<Endpoint> targets, long nowMillis) {
         Counts[][] windows = new Counts[targets.size()][];
         for (int index = 0; index < windows.length; index++) {
-            WindowedCounts history =
-                    mHistories
-                            .getOrDefault(targets.get(index), Map.of())
-                            .getOrDefault(place, Map.of())
+            WindowedCounts counts =
+                    mCounts.getOrDefault(targets.get(index), Map.of())
+                            .getOrDefault(vantagePoint, Map.of())
                             .get(kind);
-            windows[index] = history == null ? null : history.windows(nowMillis);
+            windows[index] = counts == null ? null : counts.windows(nowMillis);
         }
         return windows;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/FailureSeverity.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/FailureSeverity.java
@@ -3,20 +3,20 @@
 import org.dahliapass.model.DetectionPolicy;
 
 /**
- * How much a sick target may fail: the test asks for each whether it explains the work better.
+ * The alternative hypotheses about the failure rate of a faulty target.
  *
- * <p>A test for a small share needs many failures, a test for a large one overlooks a small share;
- * the two together find both fast, at the price of a slightly higher bound.
+ * <p>A test for a small failure rate needs many samples, and a test for a large failure rate misses
+ * small ones. Testing both detects either quickly at the cost of a slightly higher bound.
  */
 enum FailureSeverity {
-    /** It fails the template's share of the work. */
+    /** Fails the template's failure share of the requests. */
     PARTIAL {
         @Override
         double failureShare(DetectionPolicy policy) {
             return policy.failureShare();
         }
     },
-    /** It fails most of the work. */
+    /** Fails most of the requests. */
     SEVERE {
         @Override
         double failureShare(DetectionPolicy policy) {
@@ -26,6 +26,6 @@
 
     private static final double SEVERE_SHARE = 0.7;
 
-    /** Returns the share of work, beyond the peers' rate, that a sick target fails. */
+    /** Returns the failure rate of a faulty target in addition to the rate of its peers, 0 to 1. */
     abstract double failureShare(DetectionPolicy policy);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/FailureTrigger.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/FailureTrigger.java
@@ -5,38 +5,41 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Tells cheaply, with each piece of work, whether the evidence should be weighed now.
+ * Triggers an early evaluation of the evidence when a target begins to fail.
  *
- * <p>It keeps one cumulative sum for each target, against a failure rate that is fixed between
- * weighings. It decides nothing: it only saves the wait for the next tick when a target begins to
- * fail most of its work.
+ * <p>Keeps a cumulative sum (CUSUM) for each target against a baseline that is fixed between
+ * evaluations. The trigger only shortens the wait for the next tick; it ejects no target.
  */
 final class FailureTrigger {
-    /** About two failures in a row where failures are rare. */
-    private static final double BOUND = 8;
+    /** About two consecutive failures if failures are rare. */
+    private static final double TRIGGER_SCORE = 8;
 
-    private static final double SICK_SHARE = 0.7;
+    private static final double FAULTY_FAILURE_SHARE = 0.7;
 
     private final Map<Endpoint, Double> mScores = new HashMap<>();
     private double mNullRate = 0.01;
 
-    /** Sets the failure rate that is normal at present, from all recent work. */
+    /** Sets the baseline failure rate from all recent outcomes. */
     void setBaseline(Counts recent) {
         mNullRate = LikelihoodRatioTest.nullRate(recent);
     }
 
-    /** Takes in work; returns whether the target looks as if it began to fail. */
-    boolean add(TargetEvidence evidence, boolean own) {
-        // Other VMs' regular reports tell of the past quarter of a second: good work in them must
-        // not hide failures that came meanwhile.
-        if (!own && evidence.failures() == 0) {
+    /**
+     * Adds outcomes and returns whether the target appears to have begun to fail.
+     *
+     * @param local whether the local VM observed the outcomes
+     */
+    boolean add(TargetEvidence evidence, boolean local) {
+        // The successes in periodic reports of other VMs are older than recent failures and must
+        // not offset them.
+        if (!local && evidence.failures() == 0) {
             return false;
         }
-        Counts work = new Counts();
-        work.add(evidence.successes(), evidence.failures(), 0, 0);
-        double step = LikelihoodRatioTest.failureScore(work, mNullRate, SICK_SHARE);
+        Counts counts = new Counts();
+        counts.add(evidence.successes(), evidence.failures(), 0, 0);
+        double step = LikelihoodRatioTest.failureScore(counts, mNullRate, FAULTY_FAILURE_SHARE);
         double score = Math.max(0, mScores.getOrDefault(evidence.target(), 0.0) + step);
         mScores.put(evidence.target(), score);
-        return evidence.failures() > 0 && score >= BOUND;
+        return evidence.failures() > 0 && score >= TRIGGER_SCORE;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/FloorPolicy.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/FloorPolicy.java
@@ -1,15 +1,15 @@
 package org.dahliapass.decisions.health;
 
-/** Whether the floor is kept; tests plant the fault that it isn't, and must then find it. */
+/** Whether ejections respect the floor; tests disable the floor to verify that they detect it. */
 enum FloorPolicy {
-    /** A target goes out only if enough others are known to be well. */
+    /** A target is ejected only if enough other targets are known to be healthy. */
     ENFORCED {
         @Override
         boolean allows(int knownHealthy, int floor) {
             return knownHealthy >= floor;
         }
     },
-    /** The planted fault: the floor is ignored. */
+    /** A fault for tests: the floor is not enforced. */
     IGNORED {
         @Override
         boolean allows(int knownHealthy, int floor) {
--- a/decisions/src/main/java/org/dahliapass/decisions/health/HealthReport.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/HealthReport.java
@@ -1,26 +1,26 @@
 package org.dahliapass.decisions.health;
 
-/** What a target says of itself; it lags and may mislead. */
+/** The status that a target reports about itself; may be delayed or wrong. */
 public enum HealthReport {
-    /** It takes work. */
+    /** Accepts new requests. */
     SERVING(false),
-    /** It has just started and will be slow or fail for a while. */
+    /** Recently started; may be slow or fail for a while. */
     COLD(false),
-    /** It finishes what it has and wants nothing new. */
+    /** Completes its requests in flight and accepts no new ones. */
     DRAINING(true),
-    /** It stops. */
+    /** Is shutting down. */
     LEAVING(true),
-    /** It says that it can't work: a hint only. */
+    /** Cannot serve requests; only a hint. */
     UNHEALTHY(false);
 
-    private final boolean mWantsNothingNew;
+    private final boolean mRejectsNewRequests;
 
-    HealthReport(boolean wantsNothingNew) {
-        mWantsNothingNew = wantsNothingNew;
+    HealthReport(boolean rejectsNewRequests) {
+        mRejectsNewRequests = rejectsNewRequests;
     }
 
-    /** Returns whether the target must get no new work. */
+    /** Returns whether the target must not receive new requests. */
     public boolean rejectsNewRequests() {
-        return mWantsNothingNew;
+        return mRejectsNewRequests;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/LikelihoodRatioTest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/LikelihoodRatioTest.java
@@ -1,85 +1,87 @@
 package org.dahliapass.decisions.health;
 
 /**
- * Wald's sequential probability ratio test on a target's work against its peers'.
+ * Wald's sequential probability ratio test of a target against its peers.
  *
- * <p>The score is the logarithm of how much likelier the seen work is if the target is sick than if
- * it is like its peers. The score is taken over every window that ends now and the highest counts
- * (Page's cumulative sum), so a target that was well for long is found as fast as a new one. While
- * a target is well, a bound of {@code b} is crossed less than once in {@code exp(b)} pieces of work
- * (Lorden). The bound is therefore the logarithm of the work in the time for which the false
- * ejection tolerance is promised, divided by that tolerance.
+ * <p>The score is the log-likelihood ratio of the observed outcomes under the hypotheses that the
+ * target is faulty and that it behaves like its peers. Taking the highest score over all windows
+ * that end now (Page's cumulative sum) detects a new fault of a long-healthy target without delay.
+ * A healthy target crosses a bound of {@code b} less than once per {@code exp(b)} requests
+ * (Lorden).
  */
 final class LikelihoodRatioTest {
-    /** Nothing is taken for more reliable than this, however long it went well. */
-    private static final double LOWEST_FAILURE_RATE = 0.005;
+    private static final double MIN_FAILURE_RATE = 0.005;
 
     /**
-     * Failures and successes that peers are credited with beyond what was seen.
-     *
-     * <p>Guards against the first moments of a fault that all targets share: the few peers seen so
-     * far may by chance all have done well. The credit is soon outweighed.
+     * Prior failures of the peers. The prior avoids false detections at the onset of a fault that
+     * affects all targets, while the sample of the peers is still small.
      */
     private static final double PRIOR_FAILURES = 1;
 
-    private static final double PRIOR_WORK = 2;
+    private static final double PRIOR_REQUESTS = 2;
 
-    /** How many standard deviations the others' failures may have been too few by chance. */
-    private static final double DOUBT_DEVIATIONS = 2;
+    private static final double CONFIDENCE_DEVIATIONS = 2;
 
-    private static final double HIGHEST_RATE = 0.98;
+    private static final double MAX_FAILURE_RATE = 0.98;
 
-    /** Latencies spread at least this much: the standard deviation of their logarithm. */
-    private static final double LOWEST_DEVIATION = 0.4;
+    /** The minimum standard deviation of the logarithm of the latency. */
+    private static final double MIN_LOG_LATENCY_DEVIATION = 0.4;
 
-    /** The least work for which a bound is set; less would make the first failures decide. */
-    private static final double LEAST_WORK = 100;
+    /** Keeps the first few failures from reaching the bound. */
+    private static final double MIN_REQUESTS_FOR_BOUND = 100;
 
     private LikelihoodRatioTest() {}
 
-    /** Returns the bound that a healthy target crosses with at most the tolerance's chance. */
-    static double bound(double tolerance, double piecesOfWork) {
-        return Math.log(Math.max(LEAST_WORK, piecesOfWork) / tolerance);
+    /**
+     * Returns the score that a healthy target reaches with at most a given probability.
+     *
+     * @param tolerance the probability of a false detection
+     * @param requests the number of requests that the tolerance applies to
+     */
+    static double bound(double tolerance, double requests) {
+        return Math.log(Math.max(MIN_REQUESTS_FOR_BOUND, requests) / tolerance);
     }
 
-    /** Returns the failure rate that peers' work shows. */
+    /** Returns the estimated failure rate of the peers. */
     static double nullRate(Counts peers) {
-        double rate = (peers.mFailures + PRIOR_FAILURES) / (peers.total() + PRIOR_WORK);
-        return Math.min(HIGHEST_RATE, Math.max(LOWEST_FAILURE_RATE, rate));
+        double rate = (peers.mFailures + PRIOR_FAILURES) / (peers.total() + PRIOR_REQUESTS);
+        return Math.min(MAX_FAILURE_RATE, Math.max(MIN_FAILURE_RATE, rate));
     }
 
     /**
-     * Returns the highest failure rate that the work of others leaves likely.
+     * Returns an upper confidence bound of the failure rate that other VMs observed.
      *
-     * <p>Guards against a fault that all share: others may not have failed yet by chance.
+     * <p>At the onset of a fault that affects all VMs, the others may not have observed failures
+     * yet.
      */
     static double nullRateUpperBound(Counts others) {
         double failures = others.mFailures + PRIOR_FAILURES;
-        double doubt = DOUBT_DEVIATIONS * Math.sqrt(failures);
-        return Math.min(HIGHEST_RATE, (failures + doubt) / (others.total() + PRIOR_WORK));
+        double margin = CONFIDENCE_DEVIATIONS * Math.sqrt(failures);
+        return Math.min(MAX_FAILURE_RATE, (failures + margin) / (others.total() + PRIOR_REQUESTS));
     }
 
-    /** Returns the score for failing more than the peers by {@code failureShare} of the work. */
-    static double failureScore(Counts own, double nullRate, double failureShare) {
-        double sickRate = nullRate + (1 - nullRate) * failureShare;
-        return own.mFailures * Math.log(sickRate / nullRate)
-                + own.allSuccesses() * Math.log((1 - sickRate) / (1 - nullRate));
+    /** Returns the score for a failure rate above the peers by {@code failureShare}. */
+    static double failureScore(Counts target, double nullRate, double failureShare) {
+        double faultyRate = nullRate + (1 - nullRate) * failureShare;
+        return target.mFailures * Math.log(faultyRate / nullRate)
+                + target.allSuccesses() * Math.log((1 - faultyRate) / (1 - nullRate));
     }
 
-    /** Returns the score for being slower than the peers by {@code slowFactor}. */
-    static double slownessScore(Counts own, Counts peers, double slowFactor) {
-        if (own.mSuccesses == 0 || peers.mSuccesses == 0) {
+    /** Returns the score for a latency of {@code slowFactor} times the latency of the peers. */
+    static double slownessScore(Counts target, Counts peers, double slowFactor) {
+        if (target.mSuccesses == 0 || peers.mSuccesses == 0) {
             return 0;
         }
         double shift = Math.log(slowFactor);
-        double excess = own.mLogSum - own.mSuccesses * (peers.meanLogLatency() + shift / 2);
+        double excess =
+                target.mLogLatencySum - target.mSuccesses * (peers.meanLogLatency() + shift / 2);
         return shift * excess / variance(peers);
     }
 
     /** Returns the variance of the logarithm of the latency. */
     static double variance(Counts peers) {
         double mean = peers.meanLogLatency();
-        double spread = peers.mLogSquareSum / peers.mSuccesses - mean * mean;
-        return Math.max(LOWEST_DEVIATION * LOWEST_DEVIATION, spread);
+        double variance = peers.mLogLatencySquareSum / peers.mSuccesses - mean * mean;
+        return Math.max(MIN_LOG_LATENCY_DEVIATION * MIN_LOG_LATENCY_DEVIATION, variance);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/Outcome.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/Outcome.java
@@ -1,20 +1,20 @@
 package org.dahliapass.decisions.health;
 
-/** How a piece of work that was sent to a target ended, and what that says of the target. */
+/** The outcome of a request that was sent to a target. */
 public enum Outcome {
-    /** A whole answer with a status below 500. */
+    /** A complete response with a status below 500. */
     SUCCESS(true, false),
-    /** A whole answer with a status of 500 or above. */
+    /** A complete response with a status of 500 or above. */
     FAILURE(false, true),
-    /** No whole answer within the deadline. */
+    /** No complete response within the deadline. */
     TIMEOUT(false, true),
     /** No connection could be opened. */
     CONNECT_FAILED(false, true),
-    /** The answer ended before its end. */
+    /** The response was truncated. */
     CUT_SHORT(false, true),
-    /** The target refused because it is full: it works, so this is no evidence of sickness. */
+    /** The target rejected the request because it is overloaded, which is not a fault. */
     REFUSED_SHED(false, false),
-    /** The caller or this VM gave up; the target is not to blame. */
+    /** The caller or this VM canceled the request. */
     CANCELLED(false, false);
 
     private final boolean mSuccess;
@@ -25,12 +25,12 @@
         mFailure = failure;
     }
 
-    /** Returns whether this speaks for the target. */
+    /** Returns whether this outcome is evidence of a healthy target. */
     public boolean isSuccess() {
         return mSuccess;
     }
 
-    /** Returns whether this speaks against the target or the path to it. */
+    /** Returns whether this outcome is evidence of a fault of the target or its network path. */
     public boolean isFailure() {
         return mFailure;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
@@ -9,117 +9,121 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Tells sick targets from failing paths, on the work that the VMs of a cell saw.
+ * Detects faulty targets from the evidence of a cell and distinguishes them from network faults.
  *
- * <p>Each availability zone's evidence is scored against the same zone's work on the other targets,
- * so a zone or VM with a bad network finds all targets alike and blames none. Then the scores are
- * added. A path fault shows as one zone that blames a target while the others do well with it: the
- * sum without the zone that blames most stays low. So a target counts as sick only if that rest,
- * too, speaks against it; two VMs of different zones have then seen it.
+ * <p>Targets are scored within each availability zone, so a zone with a network fault sees all
+ * targets alike and no outlier. The scores of the zones are then added. A fault of one zone's
+ * network path to a target raises the score of that zone only. A target is therefore considered
+ * faulty only if the sum without the highest zone is also high, which takes evidence from two
+ * zones.
  */
 final class OutlierDetector {
-    /** The part of the bound that the evidence must reach without the zone that blames most. */
+    /** The share of the bound that the score must reach without the highest zone. */
     private static final double CORROBORATION_SHARE = 0.4;
 
     private static final double HOUR_MILLIS = 3_600_000;
 
-    /** A straggler must measure at least this part of the slow factor. */
+    /** The share of the slow factor that the latency ratio of a straggler must reach. */
     private static final double SLOW_FACTOR_SHARE = 0.8;
 
-    /** The least good work, and standard deviations from the peers, for a latency ratio. */
-    private static final int LEAST_WORK_FOR_RATIO = 3;
+    private static final int MIN_SUCCESSES_FOR_RATIO = 3;
 
-    private static final double DEVIATIONS_FOR_RATIO = 4;
+    private static final double MIN_DEVIATIONS_FOR_RATIO = 4;
 
     private final DetectionPolicy mPolicy;
-    private final Map<String, VantagePointScores> mZones = new HashMap<>();
-    private final VantagePointScores mOwn;
-    private final boolean mOthersReport;
+    private final Map<String, VantagePointScores> mZoneScores = new HashMap<>();
+    private final VantagePointScores mLocalScores;
+    private final boolean mOtherZonesReporting;
 
     /**
-     * Scores the evidence.
+     * Scores all targets by the evidence.
      *
-     * @param zones the zones that saw work, this VM's own among them
-     * @param othersReport whether a VM of another zone reports at present
-     * @param baselineTargets the targets that tell what is normal
+     * @param zones the zones with evidence, including the local zone
+     * @param otherZonesReporting whether a VM of another zone is currently reporting
+     * @param baselineTargets the targets that the baseline is computed from
      */
     OutlierDetector(
             DetectionPolicy policy,
             EvidenceTable table,
             Collection<String> zones,
-            boolean othersReport,
+            boolean otherZonesReporting,
             List<Endpoint> targets,
             Set<Endpoint> baselineTargets,
             long nowMillis) {
         mPolicy = policy;
-        mOthersReport = othersReport;
-        Map<String, Counts[][]> everywhere = new HashMap<>();
+        mOtherZonesReporting = otherZonesReporting;
+        Map<String, Counts[][]> cellWindows = new HashMap<>();
         for (String zone : zones) {
-            Map<String, Counts[][]> seen = table.windows(zone, targets, nowMillis);
-            addTo(everywhere, seen);
-            mZones.put(zone, VantagePointScores.forZone(seen, targets, baselineTargets, policy));
+            Map<String, Counts[][]> zoneWindows = table.windows(zone, targets, nowMillis);
+            addTo(cellWindows, zoneWindows);
+            mZoneScores.put(
+                    zone,
+                    VantagePointScores.forZone(zoneWindows, targets, baselineTargets, policy));
         }
-        mOwn =
+        mLocalScores =
                 VantagePointScores.forLocalVm(
                         table.windows(EvidenceTable.LOCAL_VM, targets, nowMillis),
-                        everywhere,
+                        cellWindows,
                         targets,
                         baselineTargets,
                         policy);
     }
 
-    private static void addTo(Map<String, Counts[][]> everywhere, Map<String, Counts[][]> seen) {
-        seen.forEach(
+    private static void addTo(
+            Map<String, Counts[][]> cellWindows, Map<String, Counts[][]> zoneWindows) {
+        zoneWindows.forEach(
                 (kind, windows) -> {
                     Counts[][] sums =
-                            everywhere.computeIfAbsent(kind, key -> new Counts[windows.length][]);
+                            cellWindows.computeIfAbsent(kind, key -> new Counts[windows.length][]);
                     for (int index = 0; index < windows.length; index++) {
                         sums[index] = Counts.sum(sums[index], windows[index]);
                     }
                 });
     }
 
-    /** Returns what the evidence says of a target. */
+    /** Returns the assessment of a target at the time of this detector. */
     TargetAssessment assess(Endpoint target) {
-        Counts work = work(target, WindowedCounts.LONGEST_WINDOW);
-        double bound = bound(work.total());
-        Sum worst = worstFailure(target, bound);
-        double ownScore = mOwn.score(target).highestFailure();
+        Counts outcomes = outcomes(target, WindowedCounts.LONGEST_WINDOW);
+        double bound = bound(outcomes.total());
+        ZoneSum worst = worstFailure(target, bound);
+        double localScore = mLocalScores.score(target).maxFailure();
         return new TargetAssessment(
-                decides(worst, bound),
+                isConclusive(worst, bound),
                 isSlow(target, bound),
-                failsHere(target, ownScore),
+                failsLocally(target, localScore),
                 worst.mTotal,
-                ownScore,
+                localScore,
                 bound,
-                work(target, WindowedCounts.EIGHT_SECONDS).failureShare(),
-                presentLatencyRatio(target),
-                work);
+                outcomes(target, WindowedCounts.EIGHT_SECONDS).failureShare(),
+                recentLatencyRatio(target),
+                outcomes);
     }
 
-    private boolean failsHere(Endpoint target, double ownScore) {
-        // While nobody else reports, own evidence is the cell's: it ejects.
-        int ownWork = mOwn.score(target).window(WindowedCounts.LONGEST_WINDOW).work().total();
-        return mOthersReport && ownScore >= bound(ownWork);
+    private boolean failsLocally(Endpoint target, double localScore) {
+        // While no other zone reports, the local evidence is the evidence of the cell.
+        int localRequests =
+                mLocalScores.score(target).window(WindowedCounts.LONGEST_WINDOW).outcomes().total();
+        return mOtherZonesReporting && localScore >= bound(localRequests);
     }
 
-    private double bound(int piecesOfWork) {
-        double spans = HOUR_MILLIS / WindowedCounts.longestWindowMillis();
-        double single =
-                LikelihoodRatioTest.bound(mPolicy.falseEjectionTolerance(), piecesOfWork * spans);
-        // Each sickness is a test of its own, and each may err.
-        return single + Math.log(FailureSeverity.values().length);
+    private double bound(int requests) {
+        double windowsPerHour = HOUR_MILLIS / WindowedCounts.longestWindowMillis();
+        double boundPerTest =
+                LikelihoodRatioTest.bound(
+                        mPolicy.falseEjectionTolerance(), requests * windowsPerHour);
+        // Each severity is a separate test with its own false positives.
+        return boundPerTest + Math.log(FailureSeverity.values().length);
     }
 
-    /** Returns the highest sum that decides; if none does, the highest. */
-    private Sum worstFailure(Endpoint target, double bound) {
-        Sum worst = new Sum();
+    /** Returns the highest conclusive sum; the highest sum if none is conclusive. */
+    private ZoneSum worstFailure(Endpoint target, double bound) {
+        ZoneSum worst = new ZoneSum();
         for (int window = 0; window < WindowedCounts.WINDOWS; window++) {
-            for (FailureSeverity sickness : FailureSeverity.values()) {
-                Sum sum = failure(target, window, sickness);
-                boolean decides = decides(sum, bound);
-                boolean worstDecides = decides(worst, bound);
-                if (decides == worstDecides ? sum.mTotal > worst.mTotal : decides) {
+            for (FailureSeverity severity : FailureSeverity.values()) {
+                ZoneSum sum = failure(target, window, severity);
+                boolean conclusive = isConclusive(sum, bound);
+                boolean worstConclusive = isConclusive(worst, bound);
+                if (conclusive == worstConclusive ? sum.mTotal > worst.mTotal : conclusive) {
                     worst = sum;
                 }
             }
@@ -127,31 +131,31 @@
         return worst;
     }
 
-    private boolean decides(Sum sum, double bound) {
+    private boolean isConclusive(ZoneSum sum, double bound) {
         if (sum.mTotal < bound) {
             return false;
         }
-        // Guards against a one-way partition of one VM or zone, which looks like a sick target from
-        // there. While nobody else reports, nobody can contradict, and own evidence decides.
-        return !mOthersReport || sum.mTotal - sum.mHighest >= CORROBORATION_SHARE * bound;
+        // A healthy target looks faulty to a VM or zone behind a one-way partition, so another zone
+        // must confirm the fault if any other zone is reporting.
+        return !mOtherZonesReporting || sum.mTotal - sum.mMaximum >= CORROBORATION_SHARE * bound;
     }
 
     private boolean isSlow(Endpoint target, double bound) {
         for (int window = WindowedCounts.TWO_SECONDS; window < WindowedCounts.WINDOWS; window++) {
             if (latencyRatio(target, window) >= SLOW_FACTOR_SHARE * mPolicy.slowFactor()
-                    && decides(slowness(target, window), bound)) {
+                    && isConclusive(slowness(target, window), bound)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Returns the ratio in the shortest window that has enough work to tell. */
-    private double presentLatencyRatio(Endpoint target) {
+    /** Returns the latency ratio over the shortest window with enough successes. */
+    private double recentLatencyRatio(Endpoint target) {
         for (int window = WindowedCounts.ONE_SECOND;
                 window < WindowedCounts.EIGHT_SECONDS;
                 window++) {
-            if (work(target, window).mSuccesses >= LEAST_WORK_FOR_RATIO) {
+            if (outcomes(target, window).mSuccesses >= MIN_SUCCESSES_FOR_RATIO) {
                 return latencyRatio(target, window);
             }
         }
@@ -159,48 +163,51 @@
     }
 
     private double latencyRatio(Endpoint target, int window) {
-        double excessLog = 0;
+        double excessLogLatency = 0;
         double variance = 0;
         int successes = 0;
-        for (VantagePointScores zone : mZones.values()) {
+        for (VantagePointScores zone : mZoneScores.values()) {
             TargetScore.WindowScore score = zone.score(target).window(window);
-            excessLog += score.excessLog();
-            variance += score.excessVariance();
-            successes += score.work().mSuccesses;
+            excessLogLatency += score.excessLogLatency();
+            variance += score.excessLogLatencyVariance();
+            successes += score.outcomes().mSuccesses;
         }
-        boolean clear =
-                successes >= LEAST_WORK_FOR_RATIO
-                        && excessLog >= DEVIATIONS_FOR_RATIO * Math.sqrt(variance);
-        return clear ? Math.exp(excessLog / successes) : 1;
+        boolean significant =
+                successes >= MIN_SUCCESSES_FOR_RATIO
+                        && excessLogLatency >= MIN_DEVIATIONS_FOR_RATIO * Math.sqrt(variance);
+        return significant ? Math.exp(excessLogLatency / successes) : 1;
     }
 
-    private Counts work(Endpoint target, int window) {
-        Counts work = new Counts();
-        mZones.values().forEach(zone -> work.add(zone.score(target).window(window).work()));
-        return work;
+    private Counts outcomes(Endpoint target, int window) {
+        Counts outcomes = new Counts();
+        mZoneScores
+                .values()
+                .forEach(zone -> outcomes.add(zone.score(target).window(window).outcomes()));
+        return outcomes;
     }
 
-    private Sum failure(Endpoint target, int window, FailureSeverity sickness) {
-        Sum sum = new Sum();
-        mZones.values()
-                .forEach(zone -> sum.add(zone.score(target).window(window).failure(sickness)));
+    private ZoneSum failure(Endpoint target, int window, FailureSeverity severity) {
+        ZoneSum sum = new ZoneSum();
+        mZoneScores
+                .values()
+                .forEach(zone -> sum.add(zone.score(target).window(window).failure(severity)));
         return sum;
     }
 
-    private Sum slowness(Endpoint target, int window) {
-        Sum sum = new Sum();
-        mZones.values().forEach(zone -> sum.add(zone.score(target).window(window).slowness()));
+    private ZoneSum slowness(Endpoint target, int window) {
+        ZoneSum sum = new ZoneSum();
+        mZoneScores.values().forEach(zone -> sum.add(zone.score(target).window(window).slowness()));
         return sum;
     }
 
-    /** The zones' scores added up, and the highest of them. */
-    private static final class Sum {
+    /** The sum of the zones' scores and the highest of them. */
+    private static final class ZoneSum {
         private double mTotal;
-        private double mHighest;
+        private double mMaximum;
 
         private void add(double score) {
             mTotal += score;
-            mHighest = Math.max(mHighest, score);
+            mMaximum = Math.max(mMaximum, score);
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/PeerBaseline.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/PeerBaseline.java
@@ -4,48 +4,48 @@
 import java.util.Comparator;
 
 /**
- * What is normal for one kind of work at one place and window: the peers' work without the worst.
+ * A trimmed baseline of the peers for one request kind, vantage point and window.
  *
- * <p>The worst quarter is left out, so that a few sick targets don't make sickness look normal.
- * When all fail alike the rest still fails like them, so nobody stands out.
+ * <p>The worst quarter of the peers is excluded, so that a few faulty targets do not raise the
+ * baseline. If all targets fail alike, the baseline rises with them and no target is an outlier.
  */
 final class PeerBaseline {
-    private static final int LEFT_OUT_DIVISOR = 4;
+    private static final int TRIMMED_DIVISOR = 4;
 
     private final Counts mSum = new Counts();
-    private final Counts[] mSummed;
+    private final Counts[] mIncluded;
 
-    private PeerBaseline(Counts[] summed) {
-        mSummed = summed;
-        for (Counts counts : summed) {
+    private PeerBaseline(Counts[] included) {
+        mIncluded = included;
+        for (Counts counts : included) {
             mSum.add(counts);
         }
     }
 
-    /** Returns the normal failure rate's base: the quarter that fails most is left out. */
+    /** Returns the baseline of the failure rate, without the quarter that fails most. */
     static PeerBaseline forFailures(Counts[] peers) {
-        return without(peers, Comparator.comparingDouble(Counts::failureShare));
+        return trimmed(peers, Comparator.comparingDouble(Counts::failureShare));
     }
 
-    /** Returns the normal latency's base: the quarter that is slowest is left out. */
+    /** Returns the baseline of the latency, without the slowest quarter. */
     static PeerBaseline forLatency(Counts[] peers) {
-        return without(peers, Comparator.comparingDouble(Counts::meanLogLatency));
+        return trimmed(peers, Comparator.comparingDouble(Counts::meanLogLatency));
     }
 
-    private static PeerBaseline without(Counts[] peers, Comparator<Counts> order) {
+    private static PeerBaseline trimmed(Counts[] peers, Comparator<Counts> order) {
         Counts[] sorted = peers.clone();
         Arrays.sort(sorted, order);
-        int kept = sorted.length - sorted.length / LEFT_OUT_DIVISOR;
+        int kept = sorted.length - sorted.length / TRIMMED_DIVISOR;
         return new PeerBaseline(Arrays.copyOf(sorted, kept));
     }
 
-    /** Returns the peers' work without the target's own. */
-    Counts excluding(Counts own) {
+    /** Returns the baseline without the counts of one target. */
+    Counts excluding(Counts target) {
         Counts peers = new Counts();
         peers.add(mSum);
-        for (Counts counts : mSummed) {
-            if (counts == own) {
-                peers.subtract(own);
+        for (Counts counts : mIncluded) {
+            if (counts == target) {
+                peers.subtract(target);
             }
         }
         return peers;
--- a/decisions/src/main/java/org/dahliapass/decisions/health/ReportPacer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/ReportPacer.java
@@ -1,38 +1,41 @@
 package org.dahliapass.decisions.health;
 
 /**
- * Spaces the regular evidence reports of one service so that they keep to a budget of bytes.
+ * Paces the periodic evidence reports of one service to stay within a bandwidth budget.
  *
- * <p>Guards against reports that grow with the targets, the cell and the load until control costs
- * more than work; it would show as a network full of evidence. Failures aren't paced, they are told
- * at once: only successes and requests in flight wait.
+ * <p>Reports grow with the number of targets, the size of the cell and the load. Failures are
+ * reported at once and are not paced.
  */
 public final class ReportPacer {
     private static final long MILLIS_PER_SECOND = 1000;
 
     private final long mBytesPerSecond;
-    private final long mShortestMillis;
-    private long mNextMillis = Long.MIN_VALUE;
+    private final long mMinIntervalMillis;
+    private long mNextReportMillis = Long.MIN_VALUE;
 
     /**
-     * Starts with a report due.
+     * Creates a pacer with a report due at once.
      *
-     * @param bytesPerSecond what the reports of this service may cost, in bytes a second
-     * @param shortestMillis the least time between two reports, in milliseconds
+     * @param bytesPerSecond the bandwidth budget of this service's reports, in bytes per second
+     * @param minIntervalMillis the minimum time between two reports, in milliseconds
      */
-    public ReportPacer(long bytesPerSecond, long shortestMillis) {
+    public ReportPacer(long bytesPerSecond, long minIntervalMillis) {
         mBytesPerSecond = bytesPerSecond;
-        mShortestMillis = shortestMillis;
+        mMinIntervalMillis = minIntervalMillis;
     }
 
-    /** Returns whether the next regular report may be made. */
+    /** Returns whether the next periodic report is due. */
     public boolean isDue(long nowMillis) {
-        return nowMillis >= mNextMillis;
+        return nowMillis >= mNextReportMillis;
     }
 
-    /** Takes what a regular report cost, to all its receivers together. */
+    /**
+     * Delays the next report by the cost of a report that was sent.
+     *
+     * @param bytes the size of the report times the number of its receivers
+     */
     public void onReported(long bytes, long nowMillis) {
-        long paid = bytes * MILLIS_PER_SECOND / mBytesPerSecond;
-        mNextMillis = nowMillis + Math.max(mShortestMillis, paid);
+        long costMillis = bytes * MILLIS_PER_SECOND / mBytesPerSecond;
+        mNextReportMillis = nowMillis + Math.max(mMinIntervalMillis, costMillis);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/ServiceView.java
@@ -8,15 +8,15 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * An immutable snapshot of what a VM thinks of a service's targets; traffic threads read it.
+ * An immutable snapshot of the status of a service's targets as assessed by one VM.
  *
  * @param service the service
- * @param atMillis when it was taken, in milliseconds of the VM's clock
- * @param targets one status for each target of the template
+ * @param atMillis the time of the snapshot by the VM's clock, in milliseconds
+ * @param targets the status of each target of the template
  */
 public record ServiceView(ServiceId service, long atMillis, Map<Endpoint, TargetStatus> targets) {
 
-    /** Copies the map. */
+    /** Creates a snapshot with an immutable copy of the map. */
     public ServiceView {
         targets = Map.copyOf(targets);
     }
@@ -32,19 +32,19 @@
                                         Function.identity())));
     }
 
-    /** Returns the target's weight; 0 if the template doesn't list it. */
+    /** Returns the target's weight, 0 to 1; 0 if the template does not list the target. */
     public double weight(Endpoint target) {
         TargetStatus status = targets.get(target);
         return status == null ? 0 : status.weight();
     }
 
-    /** Returns whether work that must run at most once may be sent to the target. */
+    /** Returns whether the target may receive requests that must run at most once. */
     public boolean acceptsAtMostOnce(Endpoint target) {
         TargetStatus status = targets.get(target);
         return status != null && status.acceptsAtMostOnce();
     }
 
-    /** Returns how many targets may get new work. */
+    /** Returns the number of targets that may receive new requests. */
     public int activeTargets() {
         return (int)
                 targets.values().stream()
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetAssessment.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetAssessment.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * What the evidence says of one target.
+ * The assessment of one target from the evidence of the cell and of the local VM.
  *
- * @param failing it fails on the evidence of the cell
- * @param slow it is a straggler on the evidence of the cell
- * @param failingLocally it fails for this VM
- * @param score the highest failure score of the cell's evidence
- * @param localScore the highest failure score of this VM's evidence
- * @param bound the score from which a target counts as sick
- * @param failureShare the share of its work that failed of late
- * @param latencyRatio its present latency over its peers', 1 if no difference is clear
- * @param work the work of the longest window, all of the cell's
+ * @param failing whether the target fails by the evidence of the cell
+ * @param slow whether the target is a straggler by the evidence of the cell
+ * @param failingLocally whether the target fails by the evidence of the local VM
+ * @param score the highest failure score of the cell
+ * @param localScore the highest failure score of the local VM
+ * @param bound the score from which a target is considered faulty
+ * @param failureShare the recent share of failed requests, 0 to 1
+ * @param latencyRatio the recent latency relative to the peers; 1 if not significantly higher
+ * @param outcomes the outcomes in the cell over the longest window
  */
 record TargetAssessment(
         boolean failing,
@@ -24,9 +24,9 @@
         double bound,
         double failureShare,
         double latencyRatio,
-        Counts work) {
+        Counts outcomes) {
 
-    /** Returns whether the evidence, though it decides nothing, speaks against the target. */
+    /** Returns whether the target may be faulty, even if the evidence is not conclusive. */
     boolean isSuspect() {
         return score > bound / 2 || localScore > bound / 2 || failing || slow || failingLocally;
     }
@@ -38,8 +38,8 @@
                 score,
                 localScore,
                 bound,
-                work.mFailures,
-                work.total(),
+                outcomes.mFailures,
+                outcomes.total(),
                 latencyRatio);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
@@ -13,43 +13,45 @@
 import org.dahliapass.model.explain.Explanation;
 
 /**
- * Decides for one service on one VM which targets get work, and says why.
+ * Tracks the health of one service's targets on one VM and decides which targets receive requests.
  *
- * <p>Real work decides, pooled over the VMs of the cell. Probes count only where no work went well;
- * the targets' own reports never clear or condemn one that works.
+ * <p>Decisions are based on the request outcomes of all VMs of the cell. Probes count only if no
+ * request succeeded. The targets' own health reports never override request outcomes.
  *
- * <p>Not thread-safe: the VM's control thread owns it. {@link #view} is for all threads.
+ * <p>Not thread-safe; confined to the VM's control thread, except for {@link #view}.
  */
 public final class TargetHealth {
-    /** A VM that was silent for longer doesn't count as reporting. */
-    private static final long REPORTING_MILLIS = 10_000;
+    /** The maximum time between two reports of a VM that counts as reporting. */
+    private static final long REPORTING_TIMEOUT_MILLIS = 10_000;
 
-    /** Between ticks, evidence is neither weighed nor told more often than this. */
-    private static final long SHORTEST_PAUSE_MILLIS = 10;
+    /** The minimum time between two early evaluations or two urgent reports. */
+    private static final long MIN_URGENT_INTERVAL_MILLIS = 10;
 
-    /** The mean age of good work when a regular report tells of it. */
-    private static final long REPORT_AGE_MILLIS = 150;
+    /** The mean age of the successes in a periodic report. */
+    private static final long MEAN_REPORT_AGE_MILLIS = 150;
 
     private final VmIdentity mObserver;
     private final String mZone;
-    private final UnreportedEvidence mOwnWork = new UnreportedEvidence();
+    private final UnreportedEvidence mUnreported = new UnreportedEvidence();
     private final EvidenceTable mTable = new EvidenceTable();
-    private final EjectionController mLifecycle;
-    private final Map<VmIdentity, Long> mSequences = new HashMap<>();
-    private final Map<String, Long> mZoneHeardMillis = new TreeMap<>();
+    private final EjectionController mController;
+    private final Map<VmIdentity, Long> mLastSequences = new HashMap<>();
+    private final Map<String, Long> mZoneReportMillis = new TreeMap<>();
     private ServiceTemplate mTemplate;
-    private final FailureTrigger mScreen = new FailureTrigger();
+    private final FailureTrigger mTrigger = new FailureTrigger();
     private long mSequence;
     private boolean mUrgent;
-    private long mWeighedMillis = Long.MIN_VALUE / 2;
+    private long mEvaluatedMillis = Long.MIN_VALUE / 2;
     private long mUrgentReportMillis = Long.MIN_VALUE / 2;
     private volatile ServiceView mView;
 
     /**
-     * Creates the decisions of one VM on one service; all targets are taken for well at first.
+     * Creates a tracker with all targets of the template active.
      *
      * @param observer this VM
      * @param availabilityZone this VM's availability zone
+     * @param template the service's template
+     * @param nowMillis the current time, in milliseconds
      */
     public TargetHealth(
             VmIdentity observer,
@@ -63,81 +65,82 @@
             VmIdentity observer,
             String availabilityZone,
             ServiceTemplate template,
-            FloorPolicy floorRule,
+            FloorPolicy floorPolicy,
             long nowMillis) {
         mObserver = observer;
         mZone = availabilityZone;
         mTemplate = template;
-        mLifecycle = new EjectionController(template, floorRule, mTable, nowMillis);
-        mZoneHeardMillis.put(mZone, nowMillis);
+        mController = new EjectionController(template, floorPolicy, mTable, nowMillis);
+        mZoneReportMillis.put(mZone, nowMillis);
         publish(nowMillis);
     }
 
-    /** Returns the newest snapshot; any thread may call this. */
+    /** Returns the latest snapshot; safe to call from any thread. */
     public ServiceView view() {
         return mView;
     }
 
-    /** Returns what was done since the last call, oldest first, and forgets it. */
+    /** Returns and clears the explanations of all actions since the last call, oldest first. */
     public List<Explanation> takeExplanations() {
-        return mLifecycle.takeExplanations();
+        return mController.takeExplanations();
     }
 
-    /**
-     * Takes in an accepted revision: targets that it adds start slowly, those it drops are gone.
-     */
+    /** Applies a template revision: adds new targets in slow start and removes unlisted targets. */
     public void update(ServiceTemplate template, long nowMillis) {
         mTemplate = template;
-        mLifecycle.update(template, nowMillis);
-        mTable.retain(mLifecycle.targets());
+        mController.update(template, nowMillis);
+        mTable.retain(mController.targets());
         publish(nowMillis);
     }
 
     /**
-     * Takes in the end of a piece of this VM's work.
+     * Records the outcome of a request that this VM sent.
      *
+     * @param target the target that the request was sent to
      * @param kind the request kind's name
-     * @param latencyMillis from sending to the whole answer
+     * @param outcome the outcome of the request
+     * @param latencyMillis the time from sending the request to its outcome, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public void onOutcome(
             Endpoint target, String kind, Outcome outcome, long latencyMillis, long nowMillis) {
-        TargetRecord record = mLifecycle.record(target);
+        TargetRecord record = mController.record(target);
         if (record == null || !(outcome.isSuccess() || outcome.isFailure())) {
             return;
         }
-        addOwn(
+        addLocal(
                 record,
                 UnreportedEvidence.evidence(target, kind, outcome, latencyMillis),
                 nowMillis);
-        weighIfUrgent(nowMillis);
+        evaluateIfUrgent(nowMillis);
     }
 
-    /** Takes in what another VM of the cell saw. */
+    /** Records the report of another VM of the cell; ignores duplicates. */
     public void onPeerEvidence(EvidenceReport report, long nowMillis) {
-        long last = mSequences.getOrDefault(report.observer(), Long.MIN_VALUE);
-        // A datagram may arrive twice; counted twice, one failure would look like two.
-        if (report.sequence() <= last || report.observer().equals(mObserver)) {
+        long lastSequence = mLastSequences.getOrDefault(report.observer(), Long.MIN_VALUE);
+        // Datagrams may be duplicated.
+        if (report.sequence() <= lastSequence || report.observer().equals(mObserver)) {
             return;
         }
-        mSequences.put(report.observer(), report.sequence());
-        mZoneHeardMillis.put(report.availabilityZone(), nowMillis);
+        mLastSequences.put(report.observer(), report.sequence());
+        mZoneReportMillis.put(report.availabilityZone(), nowMillis);
         for (TargetEvidence evidence : report.evidence()) {
-            TargetRecord record = mLifecycle.record(evidence.target());
+            TargetRecord record = mController.record(evidence.target());
             if (record != null) {
-                addOfPeer(record, report.availabilityZone(), evidence, nowMillis);
-                weighIfUrgent(nowMillis);
+                addRemote(record, report.availabilityZone(), evidence, nowMillis);
+                evaluateIfUrgent(nowMillis);
             }
         }
     }
 
-    /** Takes in what a target says of itself. */
+    /** Handles the health report of a target. */
     public void onHealthReport(Endpoint target, HealthReport report, long nowMillis) {
-        TargetRecord record = mLifecycle.record(target);
+        TargetRecord record = mController.record(target);
         if (record == null) {
             return;
         }
         if (report.rejectsNewRequests()) {
-            onLeaving(target, "it says that it stops", nowMillis);
+            onLeaving(target, "the target reports that it is shutting down", nowMillis);
             return;
         }
         switch (report) {
@@ -148,29 +151,29 @@
     }
 
     /**
-     * Takes in a sign from any source that a target stops; it gets nothing new from now on.
+     * Marks a target as leaving, so that it receives no new requests.
      *
-     * @param cause which sign it was, in a short clause
+     * @param cause how the shutdown was detected, in a short clause
      */
     public void onLeaving(Endpoint target, String cause, long nowMillis) {
-        TargetRecord record = mLifecycle.record(target);
+        TargetRecord record = mController.record(target);
         if (record != null && record.markLeaving(nowMillis)) {
-            mLifecycle.recordExplanation(nowMillis, Action.LEAVING, record, cause, "", "");
+            mController.recordExplanation(nowMillis, Action.LEAVING, record, cause, "", "");
             publish(nowMillis);
         }
     }
 
-    /** Takes in the load, 0 to 1, that a target reports; it is passed on in the view as a hint. */
+    /** Records the load that a target reports, 0 to 1, as a hint in the view. */
     public void onLoadReport(Endpoint target, double load) {
-        TargetRecord record = mLifecycle.record(target);
+        TargetRecord record = mController.record(target);
         if (record != null) {
             record.setReportedLoad(load);
         }
     }
 
-    /** Takes in the end of a probe that this VM sent. */
+    /** Records the outcome of a probe that this VM sent. */
     public void onProbe(Endpoint target, boolean answered, long nowMillis) {
-        TargetRecord record = mLifecycle.record(target);
+        TargetRecord record = mController.record(target);
         if (record == null) {
             return;
         }
@@ -178,28 +181,29 @@
             record.recordFailedProbe(nowMillis);
         }
         Outcome outcome = answered ? Outcome.SUCCESS : Outcome.FAILURE;
-        addOwn(
+        addLocal(
                 record,
                 UnreportedEvidence.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1),
                 nowMillis);
     }
 
-    /** Returns what this VM saw since the last call, for the other VMs of the cell. */
+    /** Returns and clears the unreported evidence, for the other VMs of the cell. */
     public EvidenceReport takeReport(long nowMillis) {
-        return report(mOwnWork.take());
+        return report(mUnreported.take());
     }
 
     /**
-     * Returns what this VM saw of the targets that failed something, if it should be told at once.
+     * Returns and clears the unreported evidence of all targets with failures.
      *
-     * <p>Called after each failure. It is the cell's speed: without it, failures wait for the next
-     * regular report. At most one in 10 milliseconds is made.
+     * <p>Called after each failure, so that failures do not wait for the next periodic report.
+     * Returns empty if there are no failures or the last urgent report is less than 10 milliseconds
+     * old.
      */
     public Optional<EvidenceReport> takeUrgentReport(long nowMillis) {
-        if (nowMillis - mUrgentReportMillis < SHORTEST_PAUSE_MILLIS) {
+        if (nowMillis - mUrgentReportMillis < MIN_URGENT_INTERVAL_MILLIS) {
             return Optional.empty();
         }
-        List<TargetEvidence> failing = mOwnWork.takeWithFailures();
+        List<TargetEvidence> failing = mUnreported.takeWithFailures();
         if (failing.isEmpty()) {
             return Optional.empty();
         }
@@ -213,72 +217,75 @@
     }
 
     /**
-     * Weighs the evidence and decides; called every 250 milliseconds.
+     * Evaluates the evidence and updates the view; called every 250 milliseconds.
      *
-     * <p>Between ticks the evidence is weighed when a target seems to begin to fail.
+     * <p>The evidence is also evaluated between ticks if a target appears to begin to fail.
      */
     public void onTick(long nowMillis) {
-        weigh(nowMillis);
+        evaluate(nowMillis);
     }
 
-    private void weighIfUrgent(long nowMillis) {
-        if (mUrgent && nowMillis - mWeighedMillis >= SHORTEST_PAUSE_MILLIS) {
-            weigh(nowMillis);
+    private void evaluateIfUrgent(long nowMillis) {
+        if (mUrgent && nowMillis - mEvaluatedMillis >= MIN_URGENT_INTERVAL_MILLIS) {
+            evaluate(nowMillis);
         }
     }
 
-    private void weigh(long nowMillis) {
+    private void evaluate(long nowMillis) {
         mUrgent = false;
-        mWeighedMillis = nowMillis;
-        // First, as it drops old evidence: weighed once more, that would eject what just returned.
-        mLifecycle.restoreDueTargets(nowMillis);
+        mEvaluatedMillis = nowMillis;
+        // Must come first: it discards evidence that would eject the restored targets again.
+        mController.restoreDueTargets(nowMillis);
         OutlierDetector detector =
                 new OutlierDetector(
                         mTemplate.detection(),
                         mTable,
-                        new TreeSet<>(mZoneHeardMillis.keySet()),
-                        othersReport(nowMillis),
-                        List.copyOf(mLifecycle.targets()),
-                        mLifecycle.activeTargets(),
+                        new TreeSet<>(mZoneReportMillis.keySet()),
+                        otherZonesReporting(nowMillis),
+                        List.copyOf(mController.targets()),
+                        mController.activeTargets(),
                         nowMillis);
-        Map<Endpoint, TargetAssessment> verdicts = new TreeMap<>();
-        mLifecycle.targets().forEach(target -> verdicts.put(target, detector.assess(target)));
-        mLifecycle.decide(verdicts, nowMillis);
-        mScreen.setBaseline(recentWork(verdicts));
+        Map<Endpoint, TargetAssessment> assessments = new TreeMap<>();
+        mController.targets().forEach(target -> assessments.put(target, detector.assess(target)));
+        mController.decide(assessments, nowMillis);
+        mTrigger.setBaseline(recentOutcomes(assessments));
         publish(nowMillis);
     }
 
-    private static Counts recentWork(Map<Endpoint, TargetAssessment> verdicts) {
+    private static Counts recentOutcomes(Map<Endpoint, TargetAssessment> assessments) {
         Counts recent = new Counts();
-        verdicts.values().forEach(verdict -> recent.add(verdict.work()));
+        assessments.values().forEach(assessment -> recent.add(assessment.outcomes()));
         return recent;
     }
 
-    private void addOwn(TargetRecord record, TargetEvidence evidence, long nowMillis) {
+    private void addLocal(TargetRecord record, TargetEvidence evidence, long nowMillis) {
         if (record.state() == TargetState.COLD) {
             return;
         }
-        mOwnWork.add(evidence, nowMillis);
+        mUnreported.add(evidence, nowMillis);
         mTable.add(EvidenceTable.LOCAL_VM, evidence, nowMillis);
         mTable.add(mZone, evidence, nowMillis);
-        note(record, evidence, true, nowMillis);
+        updateRecord(record, evidence, true, nowMillis);
     }
 
-    private void addOfPeer(
+    private void addRemote(
             TargetRecord record, String zone, TargetEvidence evidence, long nowMillis) {
         if (record.state() == TargetState.COLD) {
             return;
         }
-        // Failures are told at once, good work later: taken for as new, it would outweigh them.
-        long seenMillis = evidence.failures() > 0 ? nowMillis : nowMillis - REPORT_AGE_MILLIS;
-        mTable.add(zone, evidence, seenMillis);
-        note(record, evidence, false, nowMillis);
+        // Failures are reported at once and successes later, so reports with successes only are
+        // backdated.
+        long observedMillis =
+                evidence.failures() > 0 ? nowMillis : nowMillis - MEAN_REPORT_AGE_MILLIS;
+        mTable.add(zone, evidence, observedMillis);
+        updateRecord(record, evidence, false, nowMillis);
     }
 
-    private void note(TargetRecord record, TargetEvidence evidence, boolean own, long nowMillis) {
+    private void updateRecord(
+            TargetRecord record, TargetEvidence evidence, boolean local, long nowMillis) {
         if (!evidence.kind().equals(EvidenceTable.PROBE_KIND)) {
             record.recordSuccesses(evidence.successes(), nowMillis);
-            mUrgent |= mScreen.add(evidence, own) && record.state().receivesRequests();
+            mUrgent |= mTrigger.add(evidence, local) && record.state().receivesRequests();
         }
     }
 
@@ -287,27 +294,28 @@
             return;
         }
         record.becomeCold(nowMillis);
-        mLifecycle.recordExplanation(
-                nowMillis, Action.COLD, record, "it says that it is starting", "", "");
+        mController.recordExplanation(
+                nowMillis, Action.COLD, record, "the target reports a cold start", "", "");
         publish(nowMillis);
     }
 
     private void onServing(TargetRecord record, long nowMillis) {
         if (record.state() == TargetState.COLD || record.canReturnFromLeaving(nowMillis)) {
-            mLifecycle.beginSlowStart(record, "it says that it serves", nowMillis);
+            mController.beginSlowStart(record, "the target reports that it is serving", nowMillis);
             publish(nowMillis);
         }
     }
 
-    private boolean othersReport(long nowMillis) {
-        return mZoneHeardMillis.entrySet().stream()
+    private boolean otherZonesReporting(long nowMillis) {
+        return mZoneReportMillis.entrySet().stream()
                 .anyMatch(
                         entry ->
                                 !entry.getKey().equals(mZone)
-                                        && nowMillis - entry.getValue() <= REPORTING_MILLIS);
+                                        && nowMillis - entry.getValue()
+                                                <= REPORTING_TIMEOUT_MILLIS);
     }
 
     private void publish(long nowMillis) {
-        mView = ServiceView.of(mTemplate.id(), nowMillis, mLifecycle.statuses(nowMillis));
+        mView = ServiceView.of(mTemplate.id(), nowMillis, mController.statuses(nowMillis));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetRecord.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetRecord.java
@@ -4,35 +4,34 @@
 import org.dahliapass.model.DetectionPolicy;
 import org.dahliapass.model.Target;
 
-/** The life of one target as one VM sees it: its state, since when, and what it may carry. */
+/** The mutable state of one target at one VM, with its weight and eligibility. */
 final class TargetRecord {
-    /** The weight with which a target begins again. */
-    private static final double FIRST_WEIGHT = 0.1;
+    private static final double INITIAL_WEIGHT = 0.1;
 
-    /** The least share that a failing target keeps while the floor holds it in service. */
-    private static final double LEAST_HELD_WEIGHT = 0.05;
+    /** The minimum weight of a failing target that the floor keeps in service. */
+    private static final double MIN_HELD_WEIGHT = 0.05;
 
-    /** A target must be slow for so long before it counts as a straggler; pauses are shorter. */
-    private static final long SLOW_MILLIS = 4_000;
+    /** Longer than a typical garbage collection pause. */
+    private static final long STRAGGLER_MILLIS = 4_000;
 
-    /** Good work that a returned target must have done before it carries guarded work. */
-    private static final int PROVING_SUCCESSES = 10;
+    /** The successes that a returning target needs before it receives at-most-once requests. */
+    private static final int MIN_SUCCESSES_FOR_AT_MOST_ONCE = 10;
 
-    private static final long FLAP_WINDOW_MILLIS = 600_000;
-    private static final int HIGHEST_DOUBLINGS = 5;
+    private static final long FLAPPING_WINDOW_MILLIS = 600_000;
+    private static final int MAX_DOUBLINGS = 5;
 
-    /** A health report that lags may still say "serving" of a target that has said it stops. */
+    /** A delayed health report may still say "serving" after the target began to shut down. */
     private static final long LEAVING_HOLD_MILLIS = 30_000;
 
-    private static final long LONGEST_COLD_MILLIS = 60_000;
-    private static final long COLD_AGAIN_MILLIS = 600_000;
+    private static final long MAX_COLD_MILLIS = 60_000;
+    private static final long MIN_COLD_INTERVAL_MILLIS = 600_000;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final Target mTarget;
     private final ArrayDeque<Long> mEjections = new ArrayDeque<>();
     private final ArrayDeque<Long> mAvoidances = new ArrayDeque<>();
     private TargetState mState;
-    private long mSinceMillis;
+    private long mStateSinceMillis;
     private long mReturnAtMillis;
     private long mLastSuccessMillis = NEVER;
     private long mLastLeavingMillis = NEVER;
@@ -48,7 +47,7 @@
     TargetRecord(Target target, TargetState state, long nowMillis) {
         mTarget = target;
         mState = state;
-        mSinceMillis = nowMillis;
+        mStateSinceMillis = nowMillis;
     }
 
     Target target() {
@@ -63,10 +62,10 @@
         return mHeld;
     }
 
-    /** Keeps it in service though it fails a share of its work: it gets less of it. */
+    /** Keeps a failing target in service because of the floor, with a reduced weight. */
     void hold(double failureShare) {
         mHeld = true;
-        mHeldWeight = Math.max(LEAST_HELD_WEIGHT, 1 - failureShare);
+        mHeldWeight = Math.max(MIN_HELD_WEIGHT, 1 - failureShare);
     }
 
     void endHold() {
@@ -74,8 +73,8 @@
         mHeldWeight = 1;
     }
 
-    /** Notes whether it is slow now; returns whether it has been for long enough to count. */
-    boolean isStraggler(boolean slow, long nowMillis) {
+    /** Records whether the target is slow and returns whether it has been slow for long enough. */
+    boolean updateStraggler(boolean slow, long nowMillis) {
         if (!slow) {
             mSlowSinceMillis = NEVER;
             return false;
@@ -83,7 +82,7 @@
         if (mSlowSinceMillis == NEVER) {
             mSlowSinceMillis = nowMillis;
         }
-        return nowMillis - mSlowSinceMillis >= SLOW_MILLIS;
+        return nowMillis - mSlowSinceMillis >= STRAGGLER_MILLIS;
     }
 
     double speedWeight() {
@@ -121,14 +120,14 @@
         return nowMillis - mLastSuccessMillis <= millis;
     }
 
-    /** Takes the target out for a time that is doubled for each earlier such time in the window. */
-    void takeOut(TargetState state, long baseMillis, long nowMillis) {
-        ArrayDeque<Long> earlier = state == TargetState.EJECTED ? mEjections : mAvoidances;
-        while (!earlier.isEmpty() && nowMillis - earlier.peekFirst() > FLAP_WINDOW_MILLIS) {
-            earlier.removeFirst();
+    /** Excludes the target for a time that doubles with each recent exclusion. */
+    void exclude(TargetState state, long baseMillis, long nowMillis) {
+        ArrayDeque<Long> recent = state == TargetState.EJECTED ? mEjections : mAvoidances;
+        while (!recent.isEmpty() && nowMillis - recent.peekFirst() > FLAPPING_WINDOW_MILLIS) {
+            recent.removeFirst();
         }
-        int doublings = Math.min(earlier.size(), HIGHEST_DOUBLINGS);
-        earlier.addLast(nowMillis);
+        int doublings = Math.min(recent.size(), MAX_DOUBLINGS);
+        recent.addLast(nowMillis);
         mReturnAtMillis = nowMillis + (baseMillis << doublings);
         enter(state, nowMillis);
     }
@@ -146,7 +145,7 @@
         enter(TargetState.ACTIVE, nowMillis);
     }
 
-    /** Returns whether this is the first sign that it stops. */
+    /** Enters the leaving state and returns whether the target was not leaving before. */
     boolean markLeaving(long nowMillis) {
         mLastLeavingMillis = nowMillis;
         if (mState == TargetState.LEAVING) {
@@ -156,15 +155,15 @@
         return true;
     }
 
-    /** Returns whether a report that it works again can be believed. */
+    /** Returns whether a report that a leaving target is serving again can be trusted. */
     boolean canReturnFromLeaving(long nowMillis) {
         return mState == TargetState.LEAVING
                 && nowMillis - mLastLeavingMillis >= LEAVING_HOLD_MILLIS;
     }
 
-    /** Returns whether a report that it is starting may be believed: once in a while only. */
+    /** Returns whether a report of a cold start is accepted, which is limited in frequency. */
     boolean canBecomeCold(long nowMillis) {
-        return nowMillis - mColdSinceMillis > COLD_AGAIN_MILLIS
+        return nowMillis - mColdSinceMillis > MIN_COLD_INTERVAL_MILLIS
                 && (mState == TargetState.ACTIVE
                         || mState == TargetState.RETURNING
                         || canReturnFromLeaving(nowMillis));
@@ -176,24 +175,25 @@
     }
 
     boolean isColdTimedOut(long nowMillis) {
-        return mState == TargetState.COLD && nowMillis - mSinceMillis > LONGEST_COLD_MILLIS;
+        return mState == TargetState.COLD && nowMillis - mStateSinceMillis > MAX_COLD_MILLIS;
     }
 
     boolean isSlowStartOver(DetectionPolicy policy, long nowMillis) {
-        return nowMillis - mSinceMillis >= policy.slowStart().toMillis();
+        return nowMillis - mStateSinceMillis >= policy.slowStart().toMillis();
     }
 
     TargetStatus status(DetectionPolicy policy, long nowMillis) {
         return new TargetStatus(
-                mTarget, mState, weight(policy, nowMillis), mayCarryGuarded(), mReportedLoad);
+                mTarget, mState, weight(policy, nowMillis), acceptsAtMostOnce(), mReportedLoad);
     }
 
-    private boolean mayCarryGuarded() {
+    private boolean acceptsAtMostOnce() {
         if (mHeld) {
             return false;
         }
         return mState == TargetState.ACTIVE
-                || (mState == TargetState.RETURNING && mSuccessesSinceReturn >= PROVING_SUCCESSES);
+                || (mState == TargetState.RETURNING
+                        && mSuccessesSinceReturn >= MIN_SUCCESSES_FOR_AT_MOST_ONCE);
     }
 
     private double weight(DetectionPolicy policy, long nowMillis) {
@@ -201,20 +201,20 @@
             return 0;
         }
         if (mState == TargetState.COLD) {
-            return FIRST_WEIGHT;
+            return INITIAL_WEIGHT;
         }
         double weight = mSpeedWeight * mHeldWeight;
-        return mState == TargetState.ACTIVE ? weight : weight * ramp(policy, nowMillis);
+        return mState == TargetState.ACTIVE ? weight : weight * slowStartWeight(policy, nowMillis);
     }
 
-    private double ramp(DetectionPolicy policy, long nowMillis) {
-        double slowStartMillis = Math.max(1, policy.slowStart().toMillis());
-        return Math.min(1, FIRST_WEIGHT + (nowMillis - mSinceMillis) / slowStartMillis);
+    private double slowStartWeight(DetectionPolicy policy, long nowMillis) {
+        double durationMillis = Math.max(1, policy.slowStart().toMillis());
+        return Math.min(1, INITIAL_WEIGHT + (nowMillis - mStateSinceMillis) / durationMillis);
     }
 
     private void enter(TargetState state, long nowMillis) {
         mState = state;
-        mSinceMillis = nowMillis;
+        mStateSinceMillis = nowMillis;
         endHold();
         mSlowSinceMillis = NEVER;
         mSpeedWeight = 1;
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetScore.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetScore.java
@@ -2,9 +2,9 @@
 
 import org.dahliapass.model.DetectionPolicy;
 
-/** The scores of one target at one place over each window, summed over the request kinds. */
+/** The scores of one target at one vantage point over each window, summed over request kinds. */
 final class TargetScore {
-    /** The scores of a target of which a place saw nothing. */
+    /** The scores of a target without observations. */
     static final TargetScore EMPTY = new TargetScore();
 
     private final WindowScore[] mWindows = new WindowScore[WindowedCounts.WINDOWS];
@@ -15,82 +15,85 @@
         }
     }
 
-    /** Returns the scores over one window. */
     WindowScore window(int window) {
         return mWindows[window];
     }
 
-    double highestFailure() {
-        double highest = 0;
+    double maxFailure() {
+        double max = 0;
         for (WindowScore window : mWindows) {
-            for (FailureSeverity sickness : FailureSeverity.values()) {
-                highest = Math.max(highest, window.failure(sickness));
+            for (FailureSeverity severity : FailureSeverity.values()) {
+                max = Math.max(max, window.failure(severity));
             }
         }
-        return highest;
+        return max;
     }
 
-    /** The scores over one window. */
+    /** The mutable scores over one window. */
     static final class WindowScore {
-        private final Counts mWork = new Counts();
-        private double mPartial;
-        private double mSevere;
-        private double mPartialProbes;
-        private double mSevereProbes;
-        private double mSlowness;
-        private double mExcessLog;
-        private double mExcessVariance;
-
-        void addProbes(Counts own, double nullRate, DetectionPolicy policy) {
-            // A gray target answers probes and fails work: a good probe never clears anybody.
-            mPartialProbes = Math.max(0, score(FailureSeverity.PARTIAL, own, nullRate, policy));
-            mSevereProbes = Math.max(0, score(FailureSeverity.SEVERE, own, nullRate, policy));
+        private final Counts mOutcomes = new Counts();
+        private double mPartialScore;
+        private double mSevereScore;
+        private double mPartialProbeScore;
+        private double mSevereProbeScore;
+        private double mSlownessScore;
+        private double mExcessLogLatency;
+        private double mExcessLogLatencyVariance;
+
+        void addProbes(Counts target, double nullRate, DetectionPolicy policy) {
+            // A target with a gray failure responds to probes, so only failed probes count.
+            mPartialProbeScore =
+                    Math.max(0, score(FailureSeverity.PARTIAL, target, nullRate, policy));
+            mSevereProbeScore =
+                    Math.max(0, score(FailureSeverity.SEVERE, target, nullRate, policy));
         }
 
-        void addFailures(Counts own, double nullRate, DetectionPolicy policy) {
-            mWork.add(own);
-            mPartial += score(FailureSeverity.PARTIAL, own, nullRate, policy);
-            mSevere += score(FailureSeverity.SEVERE, own, nullRate, policy);
+        void addFailures(Counts target, double nullRate, DetectionPolicy policy) {
+            mOutcomes.add(target);
+            mPartialScore += score(FailureSeverity.PARTIAL, target, nullRate, policy);
+            mSevereScore += score(FailureSeverity.SEVERE, target, nullRate, policy);
         }
 
         private static double score(
-                FailureSeverity sickness, Counts own, double nullRate, DetectionPolicy policy) {
-            return LikelihoodRatioTest.failureScore(own, nullRate, sickness.failureShare(policy));
+                FailureSeverity severity, Counts target, double nullRate, DetectionPolicy policy) {
+            return LikelihoodRatioTest.failureScore(
+                    target, nullRate, severity.failureShare(policy));
         }
 
-        void addLatency(Counts own, Counts peers, DetectionPolicy policy) {
+        void addLatency(Counts target, Counts peers, DetectionPolicy policy) {
             if (peers.mSuccesses == 0) {
                 return;
             }
-            mSlowness += LikelihoodRatioTest.slownessScore(own, peers, policy.slowFactor());
-            mExcessLog += own.mLogSum - own.mSuccesses * peers.meanLogLatency();
-            mExcessVariance += own.mSuccesses * LikelihoodRatioTest.variance(peers);
+            mSlownessScore += LikelihoodRatioTest.slownessScore(target, peers, policy.slowFactor());
+            mExcessLogLatency += target.mLogLatencySum - target.mSuccesses * peers.meanLogLatency();
+            mExcessLogLatencyVariance += target.mSuccesses * LikelihoodRatioTest.variance(peers);
         }
 
-        /** Returns the score for failing; failed probes count only where no work went well. */
-        double failure(FailureSeverity sickness) {
-            double work = sickness == FailureSeverity.PARTIAL ? mPartial : mSevere;
-            double probes = sickness == FailureSeverity.PARTIAL ? mPartialProbes : mSevereProbes;
-            return mWork.mSuccesses > 0 ? work : work + probes;
+        /** Returns the failure score; failed probes count only if no request succeeded. */
+        double failure(FailureSeverity severity) {
+            double requests = severity == FailureSeverity.PARTIAL ? mPartialScore : mSevereScore;
+            double probes =
+                    severity == FailureSeverity.PARTIAL ? mPartialProbeScore : mSevereProbeScore;
+            return mOutcomes.mSuccesses > 0 ? requests : requests + probes;
         }
 
         double slowness() {
-            return mSlowness;
+            return mSlownessScore;
         }
 
-        /** Returns the sum over good work of the logarithm of latency over the peers' mean. */
-        double excessLog() {
-            return mExcessLog;
+        /** Returns the sum over all successes of the log latency above the mean of the peers. */
+        double excessLogLatency() {
+            return mExcessLogLatency;
         }
 
-        /** Returns the variance that this sum has if the target is like its peers. */
-        double excessVariance() {
-            return mExcessVariance;
+        /** Returns the variance of this sum for a target that behaves like its peers. */
+        double excessLogLatencyVariance() {
+            return mExcessLogLatencyVariance;
         }
 
-        /** Returns the real work. */
-        Counts work() {
-            return mWork;
+        /** Returns the outcomes of requests, without probes. */
+        Counts outcomes() {
+            return mOutcomes;
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetState.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetState.java
@@ -1,28 +1,28 @@
 package org.dahliapass.decisions.health;
 
-/** Where a target stands for one VM. */
+/** The state of a target as assessed by one VM. */
 public enum TargetState {
-    /** Gets its share of work. */
+    /** Receives its full share of requests. */
     ACTIVE(true),
-    /** Works for others, but this VM's own path or work fails: this VM leaves it out. */
+    /** Excluded by this VM only, because its own requests fail while those of other VMs succeed. */
     AVOIDED_HERE(false),
-    /** Sick on the evidence of the cell. */
+    /** Excluded because it is faulty by the evidence of the cell. */
     EJECTED(false),
-    /** Was out or is new; gets a growing share. */
+    /** New or previously excluded; receives an increasing share of requests (slow start). */
     RETURNING(true),
-    /** Stops; gets nothing new whatever the floor. */
+    /** Shutting down; receives no new requests, regardless of the floor. */
     LEAVING(false),
-    /** Still starting; gets little work, and its failures don't count. */
+    /** Starting up; receives few requests, and its failures are not counted. */
     COLD(true);
 
-    private final boolean mGetsWork;
+    private final boolean mReceivesRequests;
 
-    TargetState(boolean getsWork) {
-        mGetsWork = getsWork;
+    TargetState(boolean receivesRequests) {
+        mReceivesRequests = receivesRequests;
     }
 
-    /** Returns whether new work may be sent to it. */
+    /** Returns whether new requests may be sent to a target in this state. */
     public boolean receivesRequests() {
-        return mGetsWork;
+        return mReceivesRequests;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetStatus.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetStatus.java
@@ -3,13 +3,13 @@
 import org.dahliapass.model.Target;
 
 /**
- * What a VM thinks of one target at one moment.
+ * The status of one target as assessed by one VM.
  *
  * @param target the target
- * @param state where it stands
- * @param weight its share of work against a healthy target, 0 to 1; 0 means nothing new
- * @param acceptsAtMostOnce whether work that must run at most once may be sent to it
- * @param reportedLoad the load that the target last reported, 0 to 1; a hint that may lag
+ * @param state the state of the target
+ * @param weight the target's load relative to a healthy target, 0 to 1; 0 for no new requests
+ * @param acceptsAtMostOnce whether the target may receive requests that must run at most once
+ * @param reportedLoad the load that the target last reported, 0 to 1; a hint that may be delayed
  */
 public record TargetStatus(
         Target target,
--- a/decisions/src/main/java/org/dahliapass/decisions/health/UnreportedEvidence.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/UnreportedEvidence.java
@@ -6,62 +6,62 @@
 import java.util.TreeMap;
 import org.dahliapass.model.Endpoint;
 
-/** What this VM saw and has not yet told the cell. */
+/** The outcomes that the local VM observed but has not yet reported to the cell. */
 final class UnreportedEvidence {
-    private final Map<Endpoint, Map<String, Untold>> mCounts = new TreeMap<>();
+    private final Map<Endpoint, Map<String, PendingCounts>> mCounts = new TreeMap<>();
 
-    /** Returns one piece of work as evidence. */
+    /** Returns the outcome of one request as evidence. */
     static TargetEvidence evidence(
             Endpoint target, String kind, Outcome outcome, long latencyMillis) {
         if (outcome.isFailure()) {
             return new TargetEvidence(target, kind, 0, 1, 0, 0);
         }
-        double log = Math.log((double) Math.max(1, latencyMillis));
-        return new TargetEvidence(target, kind, 1, 0, log, log * log);
+        double logLatency = Math.log((double) Math.max(1, latencyMillis));
+        return new TargetEvidence(target, kind, 1, 0, logLatency, logLatency * logLatency);
     }
 
     void add(TargetEvidence evidence, long nowMillis) {
         mCounts.computeIfAbsent(evidence.target(), key -> new TreeMap<>())
-                .computeIfAbsent(evidence.kind(), key -> new Untold())
+                .computeIfAbsent(evidence.kind(), key -> new PendingCounts())
                 .add(evidence, nowMillis);
     }
 
-    /** Returns all that the cell doesn't know yet. */
+    /** Returns and clears all unreported evidence. */
     List<TargetEvidence> take() {
-        List<TargetEvidence> taken = new ArrayList<>();
-        mCounts.forEach((target, kinds) -> addTo(taken, target, kinds));
+        List<TargetEvidence> evidence = new ArrayList<>();
+        mCounts.forEach((target, kinds) -> addTo(evidence, target, kinds));
         mCounts.clear();
-        return taken;
+        return evidence;
     }
 
-    /** Returns what the cell doesn't know yet of the targets that failed something. */
+    /** Returns and clears the unreported evidence of all targets with failures. */
     List<TargetEvidence> takeWithFailures() {
-        Map<Endpoint, Map<String, Untold>> failing = new TreeMap<>(mCounts);
+        Map<Endpoint, Map<String, PendingCounts>> failing = new TreeMap<>(mCounts);
         failing.values().removeIf(kinds -> !hasFailures(kinds));
         mCounts.keySet().removeAll(failing.keySet());
-        // With a target's failures go its successes: failures alone would look like all its work.
-        List<TargetEvidence> taken = new ArrayList<>();
-        failing.forEach((target, kinds) -> addTo(taken, target, kinds));
-        return taken;
+        // Failures without the target's successes would overstate its failure rate.
+        List<TargetEvidence> evidence = new ArrayList<>();
+        failing.forEach((target, kinds) -> addTo(evidence, target, kinds));
+        return evidence;
     }
 
-    private static boolean hasFailures(Map<String, Untold> kinds) {
-        return kinds.values().stream().anyMatch(untold -> untold.hasFailures());
+    private static boolean hasFailures(Map<String, PendingCounts> kinds) {
+        return kinds.values().stream().anyMatch(pending -> pending.hasFailures());
     }
 
     private static void addTo(
-            List<TargetEvidence> taken, Endpoint target, Map<String, Untold> kinds) {
+            List<TargetEvidence> evidence, Endpoint target, Map<String, PendingCounts> kinds) {
         kinds.forEach(
-                (kind, untold) -> {
-                    addTo(taken, target, kind, untold.before());
-                    addTo(taken, target, kind, untold.sinceFailure());
+                (kind, pending) -> {
+                    addTo(evidence, target, kind, pending.beforeFailure());
+                    addTo(evidence, target, kind, pending.sinceFailure());
                 });
     }
 
     private static void addTo(
-            List<TargetEvidence> taken, Endpoint target, String kind, Counts counts) {
+            List<TargetEvidence> evidence, Endpoint target, String kind, Counts counts) {
         if (counts.total() > 0) {
-            taken.add(evidence(target, kind, counts));
+            evidence.add(evidence(target, kind, counts));
         }
     }
 
@@ -71,69 +71,70 @@
                 kind,
                 counts.mSuccesses,
                 counts.mFailures,
-                counts.mLogSum,
-                counts.mLogSquareSum);
+                counts.mLogLatencySum,
+                counts.mLogLatencySquareSum);
     }
 
     /**
-     * Work of one kind on one target that the cell doesn't know yet.
+     * Unreported outcomes of one target and request kind.
      *
-     * <p>What went well longer ago than a moment before the first failure is told apart: it says
-     * how the target was before it may have fallen sick. The moment before belongs to the failure:
-     * after a pause a burst of answers comes at once, and its few failures alone would mislead.
+     * <p>Successes from before the first failure are reported separately, because they describe the
+     * target before a possible fault. Successes of the time slot just before the failure count with
+     * it: after a pause, many responses arrive at once and a few failures would stand out.
      */
-    private static final class Untold {
-        private static final long MOMENT_MILLIS = 50;
+    private static final class PendingCounts {
+        private static final long SLOT_MILLIS = 50;
 
         private final Counts mBefore = new Counts();
-        private final Counts mLastMoment = new Counts();
-        private final Counts mSince = new Counts();
-        private long mMoment;
+        private final Counts mPreviousSlot = new Counts();
+        private final Counts mCurrentSlot = new Counts();
+        private long mSlot;
 
         private void add(TargetEvidence evidence, long nowMillis) {
-            long moment = nowMillis / MOMENT_MILLIS;
-            if (mSince.mFailures == 0 && moment != mMoment) {
-                startMoment(moment);
+            long slot = nowMillis / SLOT_MILLIS;
+            // After a failure, the current slot remains open until the counts are taken.
+            if (mCurrentSlot.mFailures == 0 && slot != mSlot) {
+                startSlot(slot);
             }
-            mSince.add(
+            mCurrentSlot.add(
                     evidence.successes(),
                     evidence.failures(),
                     evidence.logLatencySum(),
                     evidence.logLatencySquareSum());
         }
 
-        private void startMoment(long moment) {
-            mBefore.add(mLastMoment);
-            mLastMoment.clear();
-            Counts successor = moment == mMoment + 1 ? mLastMoment : mBefore;
-            successor.add(mSince);
-            mSince.clear();
-            mMoment = moment;
+        private void startSlot(long slot) {
+            mBefore.add(mPreviousSlot);
+            mPreviousSlot.clear();
+            Counts destination = slot == mSlot + 1 ? mPreviousSlot : mBefore;
+            destination.add(mCurrentSlot);
+            mCurrentSlot.clear();
+            mSlot = slot;
         }
 
         private boolean hasFailures() {
-            return mSince.mFailures > 0;
+            return mCurrentSlot.mFailures > 0;
         }
 
-        /** Returns the work before the failure's moment, or all if nothing failed. */
-        private Counts before() {
-            Counts before = new Counts();
-            before.add(mBefore);
+        /** Returns the outcomes before the failure; all outcomes if there is no failure. */
+        private Counts beforeFailure() {
+            Counts outcomes = new Counts();
+            outcomes.add(mBefore);
             if (!hasFailures()) {
-                before.add(mLastMoment);
-                before.add(mSince);
+                outcomes.add(mPreviousSlot);
+                outcomes.add(mCurrentSlot);
             }
-            return before;
+            return outcomes;
         }
 
-        /** Returns the work from the moment before the first failure on. */
+        /** Returns the outcomes since the time slot before the first failure; empty without one. */
         private Counts sinceFailure() {
-            Counts since = new Counts();
+            Counts outcomes = new Counts();
             if (hasFailures()) {
-                since.add(mLastMoment);
-                since.add(mSince);
+                outcomes.add(mPreviousSlot);
+                outcomes.add(mCurrentSlot);
             }
-            return since;
+            return outcomes;
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/VantagePointScores.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/VantagePointScores.java
@@ -8,7 +8,7 @@
 import org.dahliapass.model.DetectionPolicy;
 import org.dahliapass.model.Endpoint;
 
-/** How each target does against its peers, in the work that one place saw. */
+/** The scores of all targets relative to their peers, as observed at one vantage point. */
 final class VantagePointScores {
     private final List<Endpoint> mTargets;
     private final Set<Endpoint> mBaselineTargets;
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Scores all targets on the work that an availability zone saw.
+     * Scores all targets by the outcomes that an availability zone observed.
      *
-     * @param windows the work by request kind
-     * @param baselineTargets the targets that tell what is normal
+     * @param windows the windows of each target, by request kind
+     * @param baselineTargets the targets that the baseline is computed from
      */
     static VantagePointScores forZone(
             Map<String, Counts[][]> windows,
@@ -34,38 +34,42 @@
             Set<Endpoint> baselineTargets,
             DetectionPolicy policy) {
         VantagePointScores scores = new VantagePointScores(targets, baselineTargets, policy);
-        windows.forEach((kind, seen) -> scores.addKind(kind, fillUp(seen), null));
+        windows.forEach(
+                (kind, targetWindows) ->
+                        scores.addKind(kind, assumeUnreportedSuccesses(targetWindows), null));
         return scores;
     }
 
     /**
-     * Scores all targets on the work that this VM saw.
+     * Scores all targets by the outcomes that the local VM observed.
      *
-     * <p>It is also held against what the other VMs see of the same target: if they do well with
-     * it, this VM's path is at fault, however many of its targets are behind that path.
+     * <p>Each target is also compared with the outcomes of the other VMs. If they succeed, the
+     * network path of the local VM is faulty, even if it affects most of the targets.
      *
-     * @param windows the work by request kind
-     * @param everywhere the work that all VMs saw, this one among them
+     * @param windows the windows of each target, by request kind
+     * @param cellWindows the windows of the whole cell, including the local VM
      */
     static VantagePointScores forLocalVm(
             Map<String, Counts[][]> windows,
-            Map<String, Counts[][]> everywhere,
+            Map<String, Counts[][]> cellWindows,
             List<Endpoint> targets,
             Set<Endpoint> baselineTargets,
             DetectionPolicy policy) {
         VantagePointScores scores = new VantagePointScores(targets, baselineTargets, policy);
-        windows.forEach((kind, seen) -> scores.addKind(kind, seen, everywhere.get(kind)));
+        windows.forEach(
+                (kind, targetWindows) ->
+                        scores.addKind(kind, targetWindows, cellWindows.get(kind)));
         return scores;
     }
 
     /**
-     * Adds the good work that short windows should hold but that is not told yet.
+     * Adds the successes that short windows should contain but that are not reported yet.
      *
-     * <p>Guards against a fault that all share: failures are told at once and good work late, so a
-     * short window of failures alone would make any target look sick.
+     * <p>Failures are reported at once and successes later, so short windows would otherwise
+     * contain only failures during a fault that affects all targets.
      */
-    private static Counts[][] fillUp(Counts[][] seen) {
-        for (Counts[] windows : seen) {
+    private static Counts[][] assumeUnreportedSuccesses(Counts[][] targetWindows) {
+        for (Counts[] windows : targetWindows) {
             for (int window = 0; windows != null && window < WindowedCounts.ONE_SECOND; window++) {
                 double expected =
                         windows[WindowedCounts.ONE_SECOND].total()
@@ -73,57 +77,58 @@
                 windows[window].assumeSuccesses((int) Math.round(expected));
             }
         }
-        return seen;
+        return targetWindows;
     }
 
-    /** Returns the target's scores; all zero if the place saw no work of it. */
+    /** Returns the target's scores; all zero without observations. */
     TargetScore score(Endpoint target) {
         return mScores.getOrDefault(target, TargetScore.EMPTY);
     }
 
-    private void addKind(String kind, Counts[][] seen, Counts[][] everywhere) {
+    private void addKind(String kind, Counts[][] targetWindows, Counts[][] cellWindows) {
         boolean probes = kind.equals(EvidenceTable.PROBE_KIND);
         for (int window = 0; window < WindowedCounts.WINDOWS; window++) {
-            Counts[] peers = peers(seen, window);
+            Counts[] peers = peers(targetWindows, window);
             PeerBaseline failures = PeerBaseline.forFailures(peers);
             PeerBaseline latency = probes ? failures : PeerBaseline.forLatency(peers);
-            for (int index = 0; index < seen.length; index++) {
-                if (seen[index] == null || seen[index][window].total() == 0) {
+            for (int index = 0; index < targetWindows.length; index++) {
+                if (targetWindows[index] == null || targetWindows[index][window].total() == 0) {
                     continue;
                 }
-                Counts own = seen[index][window];
-                double nullRate = LikelihoodRatioTest.nullRate(failures.excluding(own));
+                Counts target = targetWindows[index][window];
+                double nullRate = LikelihoodRatioTest.nullRate(failures.excluding(target));
                 TargetScore.WindowScore score = window(mTargets.get(index), window);
                 if (probes) {
-                    score.addProbes(own, nullRate, mPolicy);
+                    score.addProbes(target, nullRate, mPolicy);
                     continue;
                 }
-                score.addLatency(own, latency.excluding(own), mPolicy);
+                score.addLatency(target, latency.excluding(target), mPolicy);
                 score.addFailures(
-                        own,
-                        Math.min(nullRate, rateElsewhere(own, everywhere, index, window)),
+                        target,
+                        Math.min(nullRate, otherVmsFailureRate(target, cellWindows, index, window)),
                         mPolicy);
             }
         }
     }
 
-    private static double rateElsewhere(Counts own, Counts[][] everywhere, int index, int window) {
-        if (everywhere == null || everywhere[index] == null) {
+    private static double otherVmsFailureRate(
+            Counts local, Counts[][] cellWindows, int index, int window) {
+        if (cellWindows == null || cellWindows[index] == null) {
             return 1;
         }
         Counts others = new Counts();
-        others.add(everywhere[index][window]);
-        others.subtract(own);
+        others.add(cellWindows[index][window]);
+        others.subtract(local);
         return LikelihoodRatioTest.nullRateUpperBound(others);
     }
 
-    private Counts[] peers(Counts[][] seen, int window) {
+    private Counts[] peers(Counts[][] targetWindows, int window) {
         List<Counts> peers = new ArrayList<>();
-        for (int index = 0; index < seen.length; index++) {
-            if (seen[index] != null
-                    && seen[index][window].total() > 0
+        for (int index = 0; index < targetWindows.length; index++) {
+            if (targetWindows[index] != null
+                    && targetWindows[index][window].total() > 0
                     && mBaselineTargets.contains(mTargets.get(index))) {
-                peers.add(seen[index][window]);
+                peers.add(targetWindows[index][window]);
             }
         }
         return peers.toArray(new Counts[0]);
--- a/decisions/src/main/java/org/dahliapass/decisions/health/WindowedCounts.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/WindowedCounts.java
@@ -1,25 +1,24 @@
 package org.dahliapass.decisions.health;
 
 /**
- * The recent work of one kind on one target as seen from one place, over windows of growing length.
+ * Outcome counts of one target, request kind and vantage point over windows of increasing length.
  *
- * <p>A change may have begun at any of the windows' starts. Short windows use fine buckets, long
- * ones coarse buckets, so that the state stays small whatever the rate of work.
+ * <p>Short windows use fine buckets and long windows use coarse buckets, so the size of the state
+ * does not depend on the request rate.
  */
 final class WindowedCounts {
-    /** The number of windows. */
     static final int WINDOWS = 11;
 
-    /** The window of one second. */
+    /** The index of the window of one second. */
     static final int ONE_SECOND = 4;
 
-    /** The window of two seconds. */
+    /** The index of the window of two seconds. */
     static final int TWO_SECONDS = 5;
 
-    /** The window of eight seconds. */
+    /** The index of the window of eight seconds. */
     static final int EIGHT_SECONDS = 7;
 
-    /** The longest window. */
+    /** The index of the longest window. */
     static final int LONGEST_WINDOW = WINDOWS - 1;
 
     private static final long FINE_MILLIS = 50;
@@ -38,18 +37,23 @@
         return COARSE_WINDOWS[COARSE_WINDOWS.length - 1] * COARSE_MILLIS;
     }
 
-    /** Returns a short window's length in seconds; 0 for those of more than a second. */
+    /** Returns a window's length in seconds if it is shorter than a second; otherwise 0. */
     static double fractionOfSecond(int window) {
         return window >= ONE_SECOND ? 0 : FINE_WINDOWS[window] * FINE_MILLIS / 1_000.0;
     }
 
-    void add(int successes, int failures, double logSum, double logSquareSum, long nowMillis) {
-        mFine.bucket(nowMillis).add(successes, failures, logSum, logSquareSum);
-        mMedium.bucket(nowMillis).add(successes, failures, logSum, logSquareSum);
-        mCoarse.bucket(nowMillis).add(successes, failures, logSum, logSquareSum);
+    void add(
+            int successes,
+            int failures,
+            double logLatencySum,
+            double logLatencySquareSum,
+            long nowMillis) {
+        mFine.bucket(nowMillis).add(successes, failures, logLatencySum, logLatencySquareSum);
+        mMedium.bucket(nowMillis).add(successes, failures, logLatencySum, logLatencySquareSum);
+        mCoarse.bucket(nowMillis).add(successes, failures, logLatencySum, logLatencySquareSum);
     }
 
-    /** Returns the sums over each window that ends now, the shortest first. */
+    /** Returns the counts of each window that ends now, the shortest window first. */
     Counts[] windows(long nowMillis) {
         Counts[] sums = new Counts[WINDOWS];
         fill(mFine, FINE_WINDOWS, sums, 0, nowMillis);
@@ -60,13 +64,13 @@
 
     private static void fill(
             CountRing ring, int[] lengths, Counts[] sums, int offset, long nowMillis) {
-        Counts running = new Counts();
+        Counts sum = new Counts();
         int age = 0;
         for (int index = 0; index < lengths.length; index++) {
-            ring.addTo(running, age, lengths[index], nowMillis);
+            ring.addTo(sum, age, lengths[index], nowMillis);
             age = lengths[index];
             sums[offset + index] = new Counts();
-            sums[offset + index].add(running);
+            sums[offset + index].add(sum);
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/health/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which targets a VM uses, from real work seen by the whole cell. */
+/** Outlier detection and ejection of targets, based on request outcomes observed by a cell. */
 package org.dahliapass.decisions.health;
--- a/decisions/src/test/java/org/dahliapass/decisions/health/CellFixture.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/CellFixture.java
@@ -12,10 +12,10 @@
 import org.dahliapass.model.explain.Action;
 import org.dahliapass.model.explain.Explanation;
 
-/** The VMs of a cell with one service; reports reach the other VMs within the same tick. */
+/** A simulated cell with one service, whose reports reach all VMs within the same tick. */
 final class CellFixture {
     static final String KIND = "lookup";
-    private static final int LONGEST_ROUNDS = 1_000;
+    private static final int MAX_ROUNDS = 1_000;
     static final long TICK_MILLIS = 250;
     private static final double TOLERANCE = 0.001;
 
@@ -27,22 +27,22 @@
         this(vms, targets, FloorPolicy.ENFORCED);
     }
 
-    CellFixture(int vms, int targets, FloorPolicy floorRule) {
-        this(vms, template(targets), floorRule);
+    CellFixture(int vms, int targets, FloorPolicy floorPolicy) {
+        this(vms, template(targets), floorPolicy);
     }
 
     CellFixture(int vms, int targets, double tolerance) {
         this(vms, template(targets, tolerance), FloorPolicy.ENFORCED);
     }
 
-    private CellFixture(int vms, ServiceTemplate template, FloorPolicy floorRule) {
+    private CellFixture(int vms, ServiceTemplate template, FloorPolicy floorPolicy) {
         for (int vm = 0; vm < vms; vm++) {
             mVms.add(
                     new TargetHealth(
                             new VmIdentity("vm" + vm, 1),
                             "zone" + vm % 3,
                             template,
-                            floorRule,
+                            floorPolicy,
                             mNowMillis));
         }
     }
@@ -79,15 +79,15 @@
         return vm(vm).view().weight(endpoint(target));
     }
 
-    boolean explained(Action action) {
+    boolean hasExplanation(Action action) {
         return count(action) > 0;
     }
 
     long count(Action action) {
-        return mExplanations.stream().filter(each -> each.action() == action).count();
+        return mExplanations.stream().filter(explanation -> explanation.action() == action).count();
     }
 
-    /** Gives one piece of work to each target that has weight, from each VM, and ticks. */
+    /** Sends one request from each VM to each target with a positive weight, then ticks. */
     void round(BiFunction<Integer, Integer, Outcome> outcomes) {
         round(outcomes, (vm, target) -> 50L);
     }
@@ -111,7 +111,7 @@
         tick();
     }
 
-    /** Works well, but the first target takes this long. */
+    /** Runs rounds of successes in which the first target has a higher latency. */
     void slowRounds(int count, long latencyMillis) {
         for (int round = 0; round < count; round++) {
             round(
@@ -126,15 +126,16 @@
         }
     }
 
-    /** Works until the first VM has the first target in this state; returns the rounds it took. */
+    /** Runs rounds until the first target reaches a state at the first VM; returns their number. */
     int roundsUntil(TargetState state, BiFunction<Integer, Integer, Outcome> outcomes) {
-        for (int rounds = 0; rounds < LONGEST_ROUNDS; rounds++) {
+        for (int rounds = 0; rounds < MAX_ROUNDS; rounds++) {
             if (state(0, 0) == state) {
                 return rounds;
             }
             round(outcomes);
         }
-        throw new AssertionError("The target never became " + state + " in " + LONGEST_ROUNDS);
+        throw new AssertionError(
+                "state is " + state(0, 0) + " after " + MAX_ROUNDS + " rounds, expected " + state);
     }
 
     void tick() {
--- a/decisions/src/test/java/org/dahliapass/decisions/health/HealthPropertiesTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/HealthPropertiesTest.java
@@ -11,31 +11,31 @@
 import org.dahliapass.model.explain.Action;
 import org.testng.annotations.Test;
 
-/** Checks what must always hold of {@link TargetHealth}, under seeded random events. */
+/** Checks invariants of {@link TargetHealth} under seeded random events. */
 public class HealthPropertiesTest {
     private static final int SEEDS = 25;
     private static final int ROUNDS = 240;
 
     @Test
-    public void ejectionNeverCrossesTheFloorAndNothingGoesToLeavingTargets() {
+    public void ejectionsRespectTheFloorAndLeavingTargetsReceiveNoRequests() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            Optional<String> broken = new RandomEvents(seed, FloorPolicy.ENFORCED).run(ROUNDS);
-            assertEquals(broken, Optional.empty(), "seed " + seed);
+            Optional<String> violation = new RandomEvents(seed, FloorPolicy.ENFORCED).run(ROUNDS);
+            assertEquals(violation, Optional.empty(), "seed " + seed);
         }
     }
 
     @Test
-    public void plantedFaultInTheFloorIsFound() {
+    public void disabledFloorIsDetected() {
         boolean found = false;
         for (long seed = 0; seed < SEEDS && !found; seed++) {
             found = new RandomEvents(seed, FloorPolicy.IGNORED).run(ROUNDS).isPresent();
         }
-        assertTrue(found, "The random events never came near the floor.");
+        assertTrue(found, "no violation found with the floor disabled in " + SEEDS + " seeds");
     }
 
     @Test
-    public void serviceWhoseTargetsAllFailAlikeEjectsNobody() {
-        // Something behind all targets goes bad and well again at random, fully or in part.
+    public void targetsThatAllFailAlikeAreNotEjected() {
+        // A dependency of all targets fails at random, fully or partially.
         for (long seed = 0; seed < SEEDS; seed++) {
             RandomGenerator random = new Random(seed);
             CellFixture cell = new CellFixture(3, 12);
@@ -47,26 +47,26 @@
                 double rate = failureRate;
                 cell.round((vm, target) -> outcome(random, rate));
             }
-            assertFalse(cell.explained(Action.EJECTED), "seed " + seed);
+            assertFalse(cell.hasExplanation(Action.EJECTED), "seed " + seed);
         }
     }
 
     @Test
-    public void healthyTargetsAreEjectedLessOftenThanTheToleranceAllows() {
-        // 12 targets over 10 minutes are 2 target-hours a seed, each with 1% of its work failing.
+    public void falseEjectionsStayWithinTheTolerance() {
+        // 12 targets over 10 minutes are 2 target-hours per seed, with 1% of the requests failing.
         double tolerance = 0.25;
         double targetHours = 5 * 12 / 6.0;
         assertTrue(ejectionsOfHealthyTargets(tolerance, 5) <= tolerance * targetHours);
     }
 
     @Test
-    public void targetThatFailsByTheFailureShareIsEjectedAtTheSameTolerance() {
+    public void targetAtTheFailureShareIsEjectedAtTheSameTolerance() {
         for (long seed = 0; seed < 5; seed++) {
             RandomGenerator random = new Random(seed);
             CellFixture cell = new CellFixture(2, 12, 0.25);
             cell.rounds(40, (vm, target) -> outcome(random, 0.01));
             cell.rounds(40, (vm, target) -> outcome(random, target == 0 ? 0.3 : 0.01));
-            assertTrue(cell.explained(Action.EJECTED), "seed " + seed);
+            assertTrue(cell.hasExplanation(Action.EJECTED), "seed " + seed);
         }
     }
 
@@ -85,7 +85,7 @@
         return random.nextDouble() < failureRate ? Outcome.FAILURE : Outcome.SUCCESS;
     }
 
-    /** Random sickness, path faults and stops, with what each VM may then do. */
+    /** Applies random target faults, path faults and shutdowns, and checks the invariants. */
     private static final class RandomEvents {
         private static final int VMS = 3;
         private static final int TARGETS = 8;
@@ -96,24 +96,24 @@
         private final CellFixture mCell;
         private final double[] mFailureRates = new double[TARGETS];
         private final boolean[][] mPathDown = new boolean[VMS][TARGETS];
-        private final long[] mLeftMillis = new long[TARGETS];
+        private final long[] mLeavingMillis = new long[TARGETS];
         private final long[] mLastSuccessMillis = new long[TARGETS];
 
-        RandomEvents(long seed, FloorPolicy floorRule) {
+        RandomEvents(long seed, FloorPolicy floorPolicy) {
             mRandom = new Random(seed);
-            mCell = new CellFixture(VMS, TARGETS, floorRule);
+            mCell = new CellFixture(VMS, TARGETS, floorPolicy);
         }
 
-        /** Returns what was broken first, if anything. */
+        /** Returns the first violation; empty without one. */
         Optional<String> run(int rounds) {
             for (int round = 0; round < rounds; round++) {
-                change();
+                applyRandomEvent();
                 ServiceView[] before = views();
-                mCell.round(this::work);
+                mCell.round(this::outcomeOf);
                 for (int vm = 0; vm < VMS; vm++) {
-                    Optional<String> broken = check(vm, before[vm], mCell.vm(vm).view());
-                    if (broken.isPresent()) {
-                        return broken;
+                    Optional<String> violation = check(vm, before[vm], mCell.vm(vm).view());
+                    if (violation.isPresent()) {
+                        return violation;
                     }
                 }
             }
@@ -128,7 +128,7 @@
             return views;
         }
 
-        private Outcome work(int vm, int target) {
+        private Outcome outcomeOf(int vm, int target) {
             if (mPathDown[vm][target]) {
                 return Outcome.CONNECT_FAILED;
             }
@@ -139,49 +139,55 @@
             return outcome;
         }
 
-        private void change() {
+        private void applyRandomEvent() {
             int target = mRandom.nextInt(TARGETS);
             int vm = mRandom.nextInt(VMS);
             switch (mRandom.nextInt(24)) {
                 case 0, 1 -> mFailureRates[target] = mRandom.nextDouble();
                 case 2 -> mFailureRates[target] = 0;
                 case 3 -> mPathDown[vm][target] = !mPathDown[vm][target];
-                case 4 -> tell(target, HealthReport.SERVING);
-                case 5 -> tell(target, HealthReport.COLD);
+                case 4 -> report(target, HealthReport.SERVING);
+                case 5 -> report(target, HealthReport.COLD);
                 case 6 -> mCell.vm(vm).onProbe(endpoint(target), false, mCell.mNowMillis);
-                case 7 -> stopRarely(target);
+                case 7 -> drainOccasionally(target);
                 default -> {}
             }
         }
 
-        private void stopRarely(int target) {
+        private void drainOccasionally(int target) {
             if (mRandom.nextInt(4) == 0) {
-                mLeftMillis[target] = mCell.mNowMillis;
-                tell(target, HealthReport.DRAINING);
+                mLeavingMillis[target] = mCell.mNowMillis;
+                report(target, HealthReport.DRAINING);
             }
         }
 
-        private void tell(int target, HealthReport report) {
+        private void report(int target, HealthReport report) {
             mCell.mVms.forEach(vm -> vm.onHealthReport(endpoint(target), report, mCell.mNowMillis));
         }
 
         private Optional<String> check(int vm, ServiceView before, ServiceView after) {
-            boolean removed = false;
+            boolean excluded = false;
             int healthy = 0;
             for (int target = 0; target < TARGETS; target++) {
-                TargetState earlier = before.targets().get(endpoint(target)).state();
-                TargetState now = after.targets().get(endpoint(target)).state();
-                removed |= earlier.receivesRequests() && !now.receivesRequests();
+                TargetState previous = before.targets().get(endpoint(target)).state();
+                TargetState current = after.targets().get(endpoint(target)).state();
+                excluded |= previous.receivesRequests() && !current.receivesRequests();
                 boolean recent = mCell.mNowMillis - mLastSuccessMillis[target] <= RECENT_MILLIS;
-                healthy += now == TargetState.ACTIVE && recent ? 1 : 0;
-                if (mCell.mNowMillis - mLeftMillis[target] < LEAVING_HOLD_MILLIS
+                healthy += current == TargetState.ACTIVE && recent ? 1 : 0;
+                if (mCell.mNowMillis - mLeavingMillis[target] < LEAVING_HOLD_MILLIS
                         && after.weight(endpoint(target)) > 0) {
-                    return Optional.of("VM " + vm + " sends work to leaving target " + target);
+                    return Optional.of("VM " + vm + " sends requests to leaving target " + target);
                 }
             }
             int floor = CellFixture.template(TARGETS).floorTargets();
-            return removed && healthy < floor
-                    ? Optional.of("VM " + vm + " keeps " + healthy + " of a floor of " + floor)
+            return excluded && healthy < floor
+                    ? Optional.of(
+                            "VM "
+                                    + vm
+                                    + " excluded a target with "
+                                    + healthy
+                                    + " healthy targets, floor "
+                                    + floor)
                     : Optional.empty();
         }
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/health/ReportPacerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/ReportPacerTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** Checks that regular reports keep to their budget. */
+/** Tests {@link ReportPacer}. */
 public final class ReportPacerTest {
 
     @Test
@@ -14,7 +14,7 @@
     }
 
     @Test
-    public void smallReportsWaitForTheShortestPeriod() {
+    public void smallReportsWaitForTheMinimumInterval() {
         ReportPacer pacer = new ReportPacer(4096, 250);
         pacer.onReported(100, 1000);
         assertFalse(pacer.isDue(1249));
@@ -22,17 +22,15 @@
     }
 
     @Test
-    public void largeReportsWaitUntilTheyArePaidFor() {
+    public void largeReportsDelayTheNextReport() {
         ReportPacer pacer = new ReportPacer(4096, 250);
         pacer.onReported(8192, 1000);
         assertFalse(pacer.isDue(2999));
         assertTrue(pacer.isDue(3000));
     }
 
-    // Reports of any size, made whenever one is due, never cost more than the budget over a minute
-    // by more than one report.
     @Test
-    public void reportsNeverCostMoreThanTheBudget() {
+    public void reportsStayWithinTheBudgetPlusOneReport() {
         ReportPacer pacer = new ReportPacer(4096, 250);
         long bytes = 0;
         long largest = 0;
--- a/decisions/src/test/java/org/dahliapass/decisions/health/TargetHealthTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/health/TargetHealthTest.java
@@ -13,33 +13,29 @@
 /** Tests {@link TargetHealth}. */
 public class TargetHealthTest {
     @Test
-    public void targetThatFailsForAllIsEjectedByAll() {
-        // A user's lookups fail now and then. One target answers with errors to every VM. The cell
-        // pools what its VMs saw, and all of them take it out.
+    public void targetThatFailsForAllVmsIsEjectedByAllVms() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
-        cell.rounds(4, TargetHealthTest::firstFails);
+        cell.rounds(20, TargetHealthTest::allSucceed);
+        cell.rounds(4, TargetHealthTest::firstTargetFails);
         for (int vm = 0; vm < 6; vm++) {
             assertEquals(cell.state(vm, 0), TargetState.EJECTED);
             assertEquals(cell.vm(vm).view().activeTargets(), 9);
         }
-        assertTrue(cell.explained(Action.EJECTED));
+        assertTrue(cell.hasExplanation(Action.EJECTED));
     }
 
     @Test
-    public void targetThatIsWellStaysActive() {
+    public void healthyTargetStaysActive() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(100, TargetHealthTest::allWell);
+        cell.rounds(100, TargetHealthTest::allSucceed);
         assertEquals(cell.vm(0).view().activeTargets(), 10);
         assertEquals(cell.weight(0, 0), 1.0);
     }
 
     @Test
-    public void targetThatOneVmCannotReachIsAvoidedThereOnly() {
-        // One VM's packets to a target are lost; the target works for all others. That VM stops
-        // using it at once; for the cell it isn't sick.
+    public void targetUnreachableFromOneVmIsAvoidedOnlyThere() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.rounds(
                 8,
                 (vm, target) -> vm == 2 && target == 0 ? Outcome.CONNECT_FAILED : Outcome.SUCCESS);
@@ -49,67 +45,65 @@
     }
 
     @Test
-    public void targetThatOneZoneCannotReachIsEjectedNowhere() {
-        // A whole zone loses its way to a target. Its two VMs agree that it fails, but they share
-        // the path; the other zones still work with it.
+    public void targetUnreachableFromOneZoneIsNotEjected() {
+        // Two VMs of a zone share the failed network path; the other zones reach the target.
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.rounds(
                 30, (vm, target) -> vm % 3 == 0 && target == 0 ? Outcome.TIMEOUT : Outcome.SUCCESS);
-        assertFalse(cell.explained(Action.EJECTED));
+        assertFalse(cell.hasExplanation(Action.EJECTED));
         assertEquals(cell.state(1, 0), TargetState.ACTIVE);
     }
 
     @Test
-    public void vmThatHearsNobodyEjectsOnItsOwnEvidence() {
+    public void vmWithoutPeerReportsEjectsOnLocalEvidence() {
         CellFixture cell = new CellFixture(1, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
-        cell.rounds(12, TargetHealthTest::firstFails);
+        cell.rounds(20, TargetHealthTest::allSucceed);
+        cell.rounds(12, TargetHealthTest::firstTargetFails);
         assertEquals(cell.state(0, 0), TargetState.EJECTED);
     }
 
     @Test
-    public void probesThatAreAnsweredDoNotClearTargetThatFailsWork() {
-        // The target's probe handler is well while its work fails: the classic gray failure.
+    public void successfulProbesDoNotClearATargetThatFailsRequests() {
+        // Guards against gray failures: the probe handler works while requests fail.
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         for (int round = 0; round < 4; round++) {
             for (int probe = 0; probe < 20; probe++) {
                 cell.vm(0).onProbe(endpoint(0), true, cell.mNowMillis);
                 cell.vm(0).onHealthReport(endpoint(0), HealthReport.SERVING, cell.mNowMillis);
             }
-            cell.round(TargetHealthTest::firstFails);
+            cell.round(TargetHealthTest::firstTargetFails);
         }
         assertEquals(cell.state(0, 0), TargetState.EJECTED);
     }
 
     @Test
-    public void reportOfSicknessDoesNotOverruleWorkThatGoesWell() {
+    public void unhealthyReportDoesNotOverrideSuccessfulRequests() {
         CellFixture cell = new CellFixture(6, 10);
         for (int round = 0; round < 40; round++) {
             cell.vm(0).onHealthReport(endpoint(0), HealthReport.UNHEALTHY, cell.mNowMillis);
             cell.vm(0).onLoadReport(endpoint(0), 1.0);
-            cell.round(TargetHealthTest::allWell);
+            cell.round(TargetHealthTest::allSucceed);
         }
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
         assertEquals(cell.weight(0, 0), 1.0);
     }
 
     @Test
-    public void allTargetsThatFailAlikeStay() {
-        // A store behind all targets is down: each request fails wherever it goes. Taking targets
-        // out would only add load to the rest.
+    public void targetsThatAllFailAlikeAreNotEjected() {
+        // Guards against ejections during the outage of a dependency that all targets share.
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(40, TargetHealthTest::allWell);
+        cell.rounds(40, TargetHealthTest::allSucceed);
         cell.rounds(40, (vm, target) -> Outcome.FAILURE);
         assertEquals(cell.vm(0).view().activeTargets(), 10);
-        assertFalse(cell.explained(Action.EJECTED));
+        assertFalse(cell.hasExplanation(Action.EJECTED));
     }
 
     @Test
-    public void refusalsAndCancellationsAreNoEvidence() {
+    public void rejectionsAndCancellationsAreNoEvidence() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.rounds(
                 20,
                 (vm, target) -> {
@@ -122,33 +116,32 @@
     }
 
     @Test
-    public void floorHoldsSickTargetsWhenTooFewOthersAreWell() {
-        // Six of ten targets fail at once; the floor is six. The four that are well are fewer than
-        // the floor, so nobody is taken out, and the operators are told so.
+    public void floorHoldsFailingTargetsIfTooFewOthersAreHealthy() {
+        // The four healthy targets are fewer than the floor of six.
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.rounds(20, (vm, target) -> target < 6 ? Outcome.FAILURE : Outcome.SUCCESS);
         assertEquals(cell.vm(0).view().activeTargets(), 10);
-        assertTrue(cell.explained(Action.FLOOR_HELD));
+        assertTrue(cell.hasExplanation(Action.FLOOR_HELD));
     }
 
     @Test
-    public void stragglerGetsLessWorkBeforeItIsEjected() {
+    public void stragglerWeightIsReducedBeforeEjection() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         BiFunction<Integer, Integer, Long> twiceAsSlow = (vm, target) -> target == 0 ? 100L : 50L;
         for (int round = 0; round < 40; round++) {
-            cell.round(TargetHealthTest::allWell, twiceAsSlow);
+            cell.round(TargetHealthTest::allSucceed, twiceAsSlow);
         }
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
         assertEquals(cell.weight(0, 0), 0.5, 0.1);
-        assertTrue(cell.explained(Action.SLOWED));
+        assertTrue(cell.hasExplanation(Action.SLOWED));
     }
 
     @Test
-    public void targetSlowerThanTheSlowFactorIsEjectedOnceItStaysSlow() {
+    public void targetAboveTheSlowFactorIsEjectedOnceItStaysSlow() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.slowRounds(10, 250);
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
         assertTrue(cell.weight(0, 0) < 0.5);
@@ -157,18 +150,17 @@
     }
 
     @Test
-    public void targetThatPausesForMomentStays() {
-        // A target's garbage collector stops it for half a second. To take it out for that would
-        // cost its capacity for many times as long.
+    public void targetWithABriefPauseIsNotEjected() {
+        // Guards against ejections because of garbage collection pauses.
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.slowRounds(4, 500);
-        cell.rounds(40, TargetHealthTest::allWell);
-        assertFalse(cell.explained(Action.EJECTED));
+        cell.rounds(40, TargetHealthTest::allSucceed);
+        assertFalse(cell.hasExplanation(Action.EJECTED));
     }
 
     @Test
-    public void failuresAreToldAtOnceAndGoodWorkIsNot() {
+    public void urgentReportContainsOnlyTargetsWithFailures() {
         CellFixture cell = new CellFixture(1, 10);
         cell.vm(0).onOutcome(endpoint(1), KIND, Outcome.SUCCESS, 50, cell.mNowMillis);
         assertTrue(cell.vm(0).takeUrgentReport(cell.mNowMillis).isEmpty());
@@ -182,115 +174,112 @@
     }
 
     @Test
-    public void allTargetsThatTurnSlowTogetherKeepTheirShare() {
+    public void targetsThatAllBecomeSlowKeepTheirWeight() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(40, TargetHealthTest::allWell);
+        cell.rounds(40, TargetHealthTest::allSucceed);
         for (int round = 0; round < 40; round++) {
-            cell.round(TargetHealthTest::allWell, (vm, target) -> 500L);
+            cell.round(TargetHealthTest::allSucceed, (vm, target) -> 500L);
         }
         assertEquals(cell.vm(0).view().activeTargets(), 10);
         assertEquals(cell.weight(0, 0), 1.0);
     }
 
     @Test
-    public void leavingTargetGetsNothingWhateverTheFloorAndTheLaggingReports() {
-        // During a roll-out half of the targets drain. One's health report lags and still says
-        // that it serves; it must get nothing new all the same.
+    public void leavingTargetReceivesNoRequestsDespiteFloorAndDelayedReports() {
+        // Guards against requests to draining targets during a rollout.
         CellFixture cell = new CellFixture(1, 10);
         for (int target = 0; target < 8; target++) {
             cell.vm(0).onHealthReport(endpoint(target), HealthReport.DRAINING, cell.mNowMillis);
             assertEquals(cell.weight(0, target), 0.0);
         }
         cell.vm(0).onHealthReport(endpoint(0), HealthReport.SERVING, cell.mNowMillis + 5_000);
-        cell.rounds(4, TargetHealthTest::allWell);
+        cell.rounds(4, TargetHealthTest::allSucceed);
         assertEquals(cell.state(0, 0), TargetState.LEAVING);
         assertEquals(cell.vm(0).view().activeTargets(), 2);
     }
 
     @Test
-    public void targetThatWasRestartedComesBackSlowly() {
+    public void restartedTargetReturnsWithSlowStart() {
         CellFixture cell = new CellFixture(1, 10);
         cell.vm(0).onHealthReport(endpoint(0), HealthReport.LEAVING, cell.mNowMillis);
-        cell.rounds(140, TargetHealthTest::allWell);
+        cell.rounds(140, TargetHealthTest::allSucceed);
         cell.vm(0).onHealthReport(endpoint(0), HealthReport.SERVING, cell.mNowMillis);
         assertEquals(cell.state(0, 0), TargetState.RETURNING);
         assertEquals(cell.weight(0, 0), 0.1, 0.01);
     }
 
     @Test
-    public void returningTargetCarriesGuardedWorkOnlyOnceItHasProvedItself() {
+    public void returningTargetAcceptsAtMostOnceRequestsAfterEnoughSuccesses() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
-        cell.rounds(4, TargetHealthTest::firstFails);
-        cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
+        cell.rounds(4, TargetHealthTest::firstTargetFails);
+        cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allSucceed);
         assertFalse(cell.vm(0).view().acceptsAtMostOnce(endpoint(0)));
-        cell.rounds(3, TargetHealthTest::allWell);
+        cell.rounds(3, TargetHealthTest::allSucceed);
         assertTrue(cell.vm(0).view().acceptsAtMostOnce(endpoint(0)));
-        cell.rounds(25, TargetHealthTest::allWell);
+        cell.rounds(25, TargetHealthTest::allSucceed);
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
-        assertTrue(cell.explained(Action.RESTORED));
+        assertTrue(cell.hasExplanation(Action.RESTORED));
     }
 
     @Test
-    public void flappingTargetStaysOutLongerEachTime() {
-        // A target fails, is taken out, recovers, comes back and fails again. Each round trip costs
-        // requests, so the fleet waits twice as long before the next one.
+    public void exclusionTimeDoublesForFlappingTarget() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
-        cell.roundsUntil(TargetState.EJECTED, TargetHealthTest::firstFails);
-        int first = cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allWell);
-        cell.roundsUntil(TargetState.EJECTED, TargetHealthTest::firstFails);
-        int second = cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
+        cell.roundsUntil(TargetState.EJECTED, TargetHealthTest::firstTargetFails);
+        int first = cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allSucceed);
+        cell.roundsUntil(TargetState.EJECTED, TargetHealthTest::firstTargetFails);
+        int second = cell.roundsUntil(TargetState.RETURNING, TargetHealthTest::allSucceed);
         assertEquals(second, 2 * first);
     }
 
     @Test
-    public void failedProbeDelaysTheReturn() {
+    public void failedProbeDelaysReturnToService() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
-        cell.rounds(4, TargetHealthTest::firstFails);
-        cell.rounds(30, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
+        cell.rounds(4, TargetHealthTest::firstTargetFails);
+        cell.rounds(30, TargetHealthTest::allSucceed);
         cell.vm(0).onProbe(endpoint(0), false, cell.mNowMillis);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         assertEquals(cell.state(0, 0), TargetState.EJECTED);
         assertEquals(cell.state(1, 0), TargetState.RETURNING);
     }
 
     @Test
-    public void failuresOfTargetThatIsStartingDoNotCount() {
+    public void failuresDuringColdStartAreIgnored() {
         CellFixture cell = new CellFixture(6, 10);
-        cell.rounds(20, TargetHealthTest::allWell);
+        cell.rounds(20, TargetHealthTest::allSucceed);
         cell.mVms.forEach(vm -> vm.onHealthReport(endpoint(0), HealthReport.COLD, cell.mNowMillis));
-        cell.rounds(20, TargetHealthTest::firstFails);
+        cell.rounds(20, TargetHealthTest::firstTargetFails);
         assertEquals(cell.state(0, 0), TargetState.COLD);
         assertEquals(cell.weight(0, 0), 0.1);
     }
 
     @Test
-    public void targetThatClaimsToStartForeverIsJudgedInTheEnd() {
+    public void targetThatReportsColdStartForeverIsEjected() {
         CellFixture cell = new CellFixture(6, 10);
         for (int round = 0; round < 300; round++) {
             cell.mVms.forEach(
                     vm -> vm.onHealthReport(endpoint(0), HealthReport.COLD, cell.mNowMillis));
-            cell.round(TargetHealthTest::firstFails);
+            cell.round(TargetHealthTest::firstTargetFails);
         }
         assertEquals(cell.state(0, 0), TargetState.EJECTED);
     }
 
     @Test
-    public void reportThatArrivesTwiceCountsOnce() {
+    public void duplicateReportsCountOnce() {
         CellFixture cell = new CellFixture(2, 10);
         cell.vm(1).onOutcome(endpoint(0), KIND, Outcome.FAILURE, 5, cell.mNowMillis);
         EvidenceReport report = cell.vm(1).takeReport(cell.mNowMillis);
         for (int copy = 0; copy < 100; copy++) {
             cell.vm(0).onPeerEvidence(report, cell.mNowMillis);
         }
-        cell.rounds(3, TargetHealthTest::allWell);
+        cell.rounds(3, TargetHealthTest::allSucceed);
         assertEquals(cell.state(0, 0), TargetState.ACTIVE);
     }
 
     @Test
-    public void reportHoldsOnlyWhatIsNew() {
+    public void reportContainsOnlyUnreportedEvidence() {
         CellFixture cell = new CellFixture(1, 10);
         cell.vm(0).onOutcome(endpoint(3), KIND, Outcome.SUCCESS, 50, cell.mNowMillis);
         cell.vm(0).onOutcome(endpoint(3), KIND, Outcome.TIMEOUT, 900, cell.mNowMillis + 200);
@@ -304,7 +293,7 @@
     }
 
     @Test
-    public void revisionDropsAndAddsTargets() {
+    public void templateRevisionRemovesAndAddsTargets() {
         CellFixture cell = new CellFixture(1, 10);
         cell.vm(0).update(CellFixture.template(9), cell.mNowMillis);
         assertEquals(cell.weight(0, 9), 0.0);
@@ -312,11 +301,11 @@
         assertEquals(cell.state(0, 9), TargetState.RETURNING);
     }
 
-    private static Outcome allWell(int vm, int target) {
+    private static Outcome allSucceed(int vm, int target) {
         return Outcome.SUCCESS;
     }
 
-    private static Outcome firstFails(int vm, int target) {
+    private static Outcome firstTargetFails(int vm, int target) {
         return target == 0 ? Outcome.FAILURE : Outcome.SUCCESS;
     }
 }
