--- a/model/src/main/java/org/dahliapass/model/DetectionPolicy.java
+++ b/model/src/main/java/org/dahliapass/model/DetectionPolicy.java
@@ -3,14 +3,13 @@
 import java.time.Duration;
 
 /**
- * How sure the fleet must be before it takes a target out.
+ * The settings of outlier detection and ejection.
  *
- * @param falseEjectionTolerance the chance, per hour of one target's work, of taking that target
- *     out although it is healthy
- * @param failureShare the share of failing work from which a target counts as sick
- * @param slowFactor a target this many times slower than its peers counts as sick
- * @param returnAfter how long a target stays out before it is tried again; grows while it flaps
- * @param slowStart how long a returned target takes to get its full share of work
+ * @param falseEjectionTolerance the probability per hour that a healthy target is ejected
+ * @param failureShare the share of failed requests from which a target is considered faulty, 0 to 1
+ * @param slowFactor the latency relative to its peers from which a target is considered faulty
+ * @param returnAfter the initial ejection time; increases while the target flaps
+ * @param slowStart the time in which the load of a returning target increases to its full share
  */
 public record DetectionPolicy(
         double falseEjectionTolerance,
--- a/model/src/main/java/org/dahliapass/model/Endpoint.java
+++ b/model/src/main/java/org/dahliapass/model/Endpoint.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * An address by IP number and port.
+ * An IP address and port.
  *
- * @param host the IP number
+ * @param host the IP address
  * @param port the TCP or UDP port, 1 to 65535
  */
 public record Endpoint(String host, int port) implements Comparable<Endpoint> {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** Reads an address written as {@code host:port}; empty if it isn't one. */
+    /** Parses an endpoint of the form {@code host:port}; returns empty for any other format. */
     public static Optional<Endpoint> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
@@ -19,7 +19,7 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port > 0 && port <= HIGHEST_PORT
+            return port > 0 && port <= MAX_PORT
                     ? Optional.of(new Endpoint(text.substring(0, colon), port))
                     : Optional.empty();
         } catch (NumberFormatException expected) {
--- a/model/src/main/java/org/dahliapass/model/Idempotency.java
+++ b/model/src/main/java/org/dahliapass/model/Idempotency.java
@@ -1,15 +1,15 @@
 package org.dahliapass.model;
 
-/** Whether a request may run more than once. */
+/** The execution guarantee of a request. */
 public enum Idempotency {
-    /** May run any number of times; may be retried and hedged. */
+    /** May run any number of times, so it may be retried and hedged. */
     IDEMPOTENT {
         @Override
         public boolean isRepeatable() {
             return true;
         }
     },
-    /** Runs at most once under its idempotency key; never retried once a try may have run. */
+    /** Runs at most once per idempotency key; not retried after an attempt that may have run. */
     AT_MOST_ONCE {
         @Override
         public boolean isRepeatable() {
@@ -17,6 +17,6 @@
         }
     };
 
-    /** Returns whether a try whose outcome is unknown may be followed by another. */
+    /** Returns whether a request may be repeated after an attempt with an unknown outcome. */
     public abstract boolean isRepeatable();
 }
--- a/model/src/main/java/org/dahliapass/model/PathPattern.java
+++ b/model/src/main/java/org/dahliapass/model/PathPattern.java
@@ -5,37 +5,38 @@
 import java.util.regex.Pattern;
 
 /**
- * A path as a template writes it.
+ * A path pattern of a template.
  *
- * @param path the path, or its beginning up to and with a slash
- * @param prefix whether all paths that begin so are meant
+ * @param path the path, or a path prefix that ends with a slash
+ * @param prefix whether {@code path} is a prefix
  */
 record PathPattern(String path, boolean prefix) {
-    /** What may stand where a path without an ending in {@code **} is wanted. */
+    /** The expected format of a literal path, for error messages. */
     static final String LITERAL_FORMAT =
-            "a path such as /health of letters, digits and / - . _ ~, without empty, . or .. parts";
+            "a path such as /health of letters, digits and / - . _ ~,"
+                    + " without empty, . or .. segments";
 
-    /** What may stand where a path or a beginning of paths is wanted. */
+    /** The expected format of a path pattern, for error messages. */
     static final String FORMAT = LITERAL_FORMAT + "; it may end in /**";
 
     private static final Pattern CHARACTERS = Pattern.compile("/[A-Za-z0-9/._~-]*");
-    private static final String ANY_REST = "**";
+    private static final String WILDCARD = "**";
 
-    /** Reads a path; empty if it isn't one. */
+    /** Parses a path pattern; returns empty if the format is invalid. */
     static Optional<PathPattern> parse(String text) {
-        boolean prefix = text.endsWith("/" + ANY_REST);
-        String path = prefix ? text.substring(0, text.length() - ANY_REST.length()) : text;
-        return parseLiteral(path).map(plain -> new PathPattern(plain, prefix));
+        boolean prefix = text.endsWith("/" + WILDCARD);
+        String path = prefix ? text.substring(0, text.length() - WILDCARD.length()) : text;
+        return parseLiteral(path).map(literal -> new PathPattern(literal, prefix));
     }
 
-    /** Reads a path that stands for itself only; empty if it isn't one. */
+    /** Parses a path without a wildcard; returns empty if the format is invalid. */
     static Optional<String> parseLiteral(String text) {
         if (!CHARACTERS.matcher(text).matches() || text.contains("//")) {
             return Optional.empty();
         }
         boolean relative =
                 Arrays.stream(text.split("/"))
-                        .anyMatch(part -> part.equals(".") || part.equals(".."));
+                        .anyMatch(segment -> segment.equals(".") || segment.equals(".."));
         return relative ? Optional.empty() : Optional.of(text);
     }
 }
--- a/model/src/main/java/org/dahliapass/model/RequestDigest.java
+++ b/model/src/main/java/org/dahliapass/model/RequestDigest.java
@@ -7,23 +7,23 @@
 import java.util.HexFormat;
 
 /**
- * Identifies requests that are alike: the same method, host, path, credentials and body.
+ * A digest that identifies identical requests by method, host, path, credentials and body.
  *
- * <p>The first half of a SHA-256, so that nobody can make a request that is taken for another
- * caller's.
+ * <p>The digest is the first half of a SHA-256 hash, so that callers cannot forge the digest of
+ * another request.
  *
- * @param high the first eight bytes
- * @param low the next eight bytes
+ * @param high the first eight bytes, big-endian
+ * @param low the next eight bytes, big-endian
  */
 public record RequestDigest(long high, long low) {
     /**
-     * Digests a request.
+     * Returns the digest of a request.
      *
-     * @param method its method
-     * @param authority its host
-     * @param path its path and query as the caller sent them
-     * @param credentials what proves who the caller is; empty if nothing does
-     * @param body its whole body; its position stays as it is
+     * @param method the HTTP method
+     * @param authority the host, with the port if there is one
+     * @param path the path and query as sent by the caller
+     * @param credentials the caller's credentials; empty if there are none
+     * @param body the complete body; its position is not changed
      */
     public static RequestDigest of(
             String method, String authority, String path, String credentials, ByteBuffer body) {
@@ -37,7 +37,7 @@
         return new RequestDigest(bytes.getLong(), bytes.getLong());
     }
 
-    /** The length goes first, so that no two ways to split the same text are alike. */
+    /** Adds a length-prefixed text, so that different field boundaries give different digests. */
     private static void update(MessageDigest digest, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
@@ -48,25 +48,27 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("Each Java runtime has SHA-256.", impossible);
+            throw new IllegalStateException(
+                    "SHA-256 is not available in this Java runtime", impossible);
         }
     }
 
     /**
-     * Reads a digest from its 32 hexadecimal digits.
+     * Parses a digest from 32 hexadecimal digits.
      *
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another format
      */
     public static RequestDigest parse(String hex) {
         byte[] bytes = HexFormat.of().parseHex(hex);
         if (bytes.length != 2 * Long.BYTES) {
-            throw new IllegalArgumentException("A digest has 32 hexadecimal digits: " + hex);
+            throw new IllegalArgumentException(
+                    "expected a digest of 32 hexadecimal digits, got: " + hex);
         }
         ByteBuffer halves = ByteBuffer.wrap(bytes);
         return new RequestDigest(halves.getLong(), halves.getLong());
     }
 
-    /** Returns the digest as 32 hexadecimal digits. */
+    /** Returns the digest as 32 lower-case hexadecimal digits. */
     public String hex() {
         HexFormat format = HexFormat.of();
         return format.toHexDigits(high) + format.toHexDigits(low);
--- a/model/src/main/java/org/dahliapass/model/RequestKind.java
+++ b/model/src/main/java/org/dahliapass/model/RequestKind.java
@@ -6,23 +6,24 @@
 import org.dahliapass.model.burn.Outcome;
 
 /**
- * What a customer's template says of one kind of request to one service.
+ * The settings of one kind of request to a service in a customer's template.
  *
  * @param name the kind's name, unique within the service
  * @param method the HTTP method
- * @param pathPrefix the path, or the path's beginning if it ended in {@code **} in the file
- * @param prefix whether {@code pathPrefix} matches by beginning
- * @param idempotency whether it may run more than once
- * @param deadline after this time from arrival the answer is of no use
- * @param patience how long a request may wait for a slot before it is refused
- * @param lateAfter an answer that begins later than this counts as late in the burn report
- * @param maximumBodyBytes a larger request body is refused
- * @param ratePerSecond requests a second this customer may send per VM of the cell; 0 for no limit
- * @param retryShare retries allowed, as a share of first tries; 0 for none
- * @param hedgeAfter a second try is started after this time; zero for never
- * @param bulky whether answers are large: they use a separate share of the slots
- * @param objective the share of requests that shall be good, for the burn report
- * @param badOutcomes the outcomes that count against the objective
+ * @param pathPrefix the path, or the path prefix if the path ended in {@code **} in the template
+ * @param prefix whether {@code pathPrefix} is a prefix
+ * @param idempotency the execution guarantee of the request
+ * @param deadline the time from arrival after which a response is no longer useful
+ * @param patience the maximum time in the queue before the request is rejected
+ * @param lateAfter the time after which a response counts as late in the error budget report
+ * @param maximumBodyBytes the maximum size of the request body, in bytes
+ * @param ratePerSecond this customer's rate limit per VM of the cell, in requests per second; 0 for
+ *     no limit
+ * @param retryShare the retry budget as a share of first attempts; 0 for no retries
+ * @param hedgeAfter the delay before a hedged attempt; zero for no hedging
+ * @param bulky whether responses are large and use a separate share of the slots
+ * @param objective the service-level objective as a share of good requests, 0 to 1
+ * @param badOutcomes the outcomes that consume the error budget
  */
 public record RequestKind(
         String name,
@@ -42,12 +43,12 @@
         Set<Outcome> badOutcomes) {
     private static final Set<Outcome> ALL_BAD = EnumSet.complementOf(EnumSet.of(Outcome.GOOD));
 
-    /** Copies the set. */
+    /** Creates a kind with an immutable copy of the set. */
     public RequestKind {
         badOutcomes = Set.copyOf(badOutcomes);
     }
 
-    /** Creates a kind for which every outcome but {@link Outcome#GOOD} is bad. */
+    /** Creates a kind for which all outcomes except {@link Outcome#GOOD} are bad. */
     public RequestKind(
             String name,
             String method,
@@ -81,12 +82,12 @@
                 ALL_BAD);
     }
 
-    /** Returns whether an outcome counts against the objective. */
+    /** Returns whether an outcome consumes the error budget. */
     public boolean isBad(Outcome outcome) {
         return badOutcomes.contains(outcome);
     }
 
-    /** Returns the same kind as one that runs at most once, without retries and hedges. */
+    /** Returns a copy of this kind that runs at most once, without retries and hedging. */
     public RequestKind asAtMostOnce() {
         return new RequestKind(
                 name,
@@ -106,7 +107,7 @@
                 badOutcomes);
     }
 
-    /** Returns whether a request of this method and path is of this kind. */
+    /** Returns whether a request with a method and path is of this kind. */
     public boolean matches(String requestMethod, String requestPath) {
         if (!method.equals(requestMethod)) {
             return false;
--- a/model/src/main/java/org/dahliapass/model/ServiceId.java
+++ b/model/src/main/java/org/dahliapass/model/ServiceId.java
@@ -4,7 +4,7 @@
  * The fleet-wide identity of a service.
  *
  * @param provider the customer whose template lists the targets
- * @param name the service's name within that template
+ * @param name the service's name, unique within that template
  */
 public record ServiceId(String provider, String name) implements Comparable<ServiceId> {
 
--- a/model/src/main/java/org/dahliapass/model/ServiceTemplate.java
+++ b/model/src/main/java/org/dahliapass/model/ServiceTemplate.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * What a customer's template says of one service.
+ * The settings of one service in a customer's template.
  *
- * <p>A service belongs to the customer whose template lists its targets; other customers name that
- * customer as its provider and bring only their own request kinds.
+ * <p>The provider of a service is the customer whose template lists its targets. Templates of other
+ * customers refer to the provider and define only their own request kinds.
  *
  * @param name the service's name, unique within its provider
  * @param provider the customer whose template lists the targets
  * @param targets the targets; empty if another customer provides the service
- * @param slotsPerTarget requests that a target works on at once
- * @param connectionsPerTarget connections that a target accepts from the whole fleet
- * @param floorShare the share of targets that must stay in service whatever the evidence
+ * @param slotsPerTarget the number of requests that a target handles concurrently
+ * @param connectionsPerTarget the number of connections that a target accepts from the whole fleet
+ * @param floorShare the minimum share of targets in service, regardless of evidence, 0 to 1
  * @param cellSize the number of VMs that serve this service
  * @param healthPath the path of the targets' health report
  * @param loadPath the path of the targets' load report
- * @param detection how sure the fleet must be before it takes a target out
- * @param kinds the request kinds, tried in this order
+ * @param detection the settings of outlier detection and ejection
+ * @param kinds the request kinds, in matching order
  */
 public record ServiceTemplate(
         String name,
@@ -35,7 +35,7 @@
         List<RequestKind> kinds) {
     private static final double ROUNDING_ERROR = 1e-9;
 
-    /** Copies the lists. */
+    /** Creates a template with immutable copies of the lists. */
     public ServiceTemplate {
         targets = List.copyOf(targets);
         kinds = List.copyOf(kinds);
@@ -46,18 +46,14 @@
         return new ServiceId(provider, name);
     }
 
-    /** Returns the first kind that a request of this method and path is of. */
+    /** Returns the first kind that matches a method and path; empty if none matches. */
     public Optional<RequestKind> kindOf(String method, String path) {
         return kinds.stream().filter(kind -> kind.matches(method, path)).findFirst();
     }
 
-    /**
-     * Returns how many targets must stay in service: the floor's share, rounded up.
-     *
-     * <p>Guards against binary fractions: 55% of 100 targets multiplies to a little more than 55,
-     * which would show as a floor of 56. Taking off less than any real share gives keeps it at 55.
-     */
+    /** Returns the minimum number of targets in service: the floor's share, rounded up. */
     public int floorTargets() {
+        // The product may exceed a whole number because of floating-point rounding.
         return (int) Math.ceil(floorShare * targets.size() - ROUNDING_ERROR);
     }
 }
--- a/model/src/main/java/org/dahliapass/model/TargetInstance.java
+++ b/model/src/main/java/org/dahliapass/model/TargetInstance.java
@@ -1,24 +1,28 @@
 package org.dahliapass.model;
 
 /**
- * One start of a target and where it is reached: what a request is sent to.
+ * One incarnation of a target and its address.
  *
- * <p>An address alone says nothing of who answers there, since addresses are used again by other
- * services.
+ * <p>The address alone does not identify a target, because addresses are reused by other services.
  *
- * @param endpoint where it is reached
- * @param name its name, which requests to it state, so that any other target refuses them
- * @param incarnation tells this start from earlier ones of the same name
+ * @param endpoint the address of the target
+ * @param name the target's name, sent with each request, so that other targets can reject it
+ * @param incarnation distinguishes this start of the target from earlier starts; not empty
  */
 public record TargetInstance(Endpoint endpoint, String name, String incarnation) {
-    /** Refuses a target without a name. */
+    /**
+     * Creates an instance.
+     *
+     * @throws IllegalArgumentException if the name or the incarnation is empty
+     */
     public TargetInstance {
         if (name.isEmpty() || incarnation.isEmpty()) {
-            throw new IllegalArgumentException("The target at " + endpoint + " has no name.");
+            throw new IllegalArgumentException(
+                    "target at " + endpoint + " has an empty name or incarnation");
         }
     }
 
-    /** Returns a target that has no name but its address, which is never used again. */
+    /** Returns a target that is identified by its address, which must not be reused. */
     public static TargetInstance atFixedAddress(Endpoint endpoint) {
         return new TargetInstance(endpoint, endpoint.toString(), endpoint.toString());
     }
--- a/model/src/main/java/org/dahliapass/model/TemplateParser.java
+++ b/model/src/main/java/org/dahliapass/model/TemplateParser.java
@@ -14,22 +14,22 @@
 import org.dahliapass.kernel.SettingsException;
 
 /**
- * Reads a customer's template from INI text and reports all its problems at once.
+ * Parses a customer's template from INI text and reports all problems at once.
  *
  * <p>The text has one section {@code [template]} with the key {@code customer}, one section {@code
  * [service NAME]} for each service, and one section {@code [kind SERVICE NAME]} for each kind of
  * request. {@link ServiceReader} and {@link KindReader} list the keys, their bounds and their
- * defaults. Names are letters, digits and hyphens. A comment takes a line of its own, which begins
- * with a semicolon; a value goes on in the next line after a backslash. Kinds are tried in the
- * order of the file.
+ * defaults. Names consist of letters, digits and hyphens. A comment is a separate line that begins
+ * with a semicolon. A backslash at the end of a line continues the value in the next line. Kinds
+ * match in the order of the file.
  */
 public final class TemplateParser {
-    /** What may stand where a customer, a service, a kind or an availability zone is named. */
+    /** The expected format of names, for error messages. */
     static final String NAME_FORMAT = "1 to 63 letters, digits and hyphens";
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9-]{1,63}");
-    private static final int SERVICE_WORDS = 1;
-    private static final int KIND_WORDS = 2;
+    private static final int SERVICE_QUALIFIERS = 1;
+    private static final int KIND_QUALIFIERS = 2;
 
     private final IniFile mFile;
     private final Map<String, IniSection> mServiceSections = new LinkedHashMap<>();
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Reads a template.
+     * Parses a template.
      *
-     * @param fileName what problems call the file
+     * @param fileName the file name in error messages
      * @param text the INI text
-     * @throws SettingsException with all problems: missing, unknown, out of range, contradictory
+     * @throws SettingsException with all problems, if the template is invalid
      */
     public static Template parse(String fileName, String text) {
         TemplateParser parser = new TemplateParser(IniFile.parse(fileName, text));
@@ -53,21 +53,22 @@
         return template;
     }
 
-    /** Returns the text if it is a name. */
+    /** Returns the text if it is a valid name; otherwise empty. */
     static Optional<String> parseName(String text) {
         return Optional.of(text).filter(name -> NAME.matcher(name).matches());
     }
 
     private Template readTemplate() {
-        IniSection head = mFile.section("template");
-        String customer = head.value("customer", NAME_FORMAT, TemplateParser::parseName, "");
+        IniSection templateSection = mFile.section("template");
+        String customer =
+                templateSection.value("customer", NAME_FORMAT, TemplateParser::parseName, "");
         collectServices();
         collectKinds();
-        Set<Endpoint> seen = new HashSet<>();
+        Set<Endpoint> knownEndpoints = new HashSet<>();
         List<ServiceTemplate> services = new ArrayList<>();
         for (Map.Entry<String, IniSection> entry : mServiceSections.entrySet()) {
             List<RequestKind> kinds = kindsOf(entry.getKey(), entry.getValue());
-            ServiceReader reader = new ServiceReader(entry.getValue(), customer, seen);
+            ServiceReader reader = new ServiceReader(entry.getValue(), customer, knownEndpoints);
             services.add(reader.read(entry.getKey(), kinds));
         }
         return new Template(customer, services);
@@ -75,13 +76,14 @@
 
     private void collectServices() {
         for (IniSection section : mFile.sectionsWithPrefix("service")) {
-            List<String> words = section.qualifiers();
-            if (!areNames(words, SERVICE_WORDS)) {
-                section.reportProblem("", "a wrong section name", "[service NAME]");
+            List<String> qualifiers = section.qualifiers();
+            if (!areNames(qualifiers, SERVICE_QUALIFIERS)) {
+                section.reportProblem("", "an invalid section name", "[service NAME]");
                 continue;
             }
-            if (mServiceSections.putIfAbsent(words.get(0), section) != null) {
-                section.reportProblem("", "a second section of this service", "one");
+            if (mServiceSections.putIfAbsent(qualifiers.get(0), section) != null) {
+                section.reportProblem(
+                        "", "a duplicate section for this service", "one section per service");
             }
         }
         if (mServiceSections.isEmpty()) {
@@ -91,20 +93,20 @@
 
     private void collectKinds() {
         for (IniSection section : mFile.sectionsWithPrefix("kind")) {
-            List<String> words = section.qualifiers();
-            if (!areNames(words, KIND_WORDS)) {
-                section.reportProblem("", "a wrong section name", "[kind SERVICE NAME]");
+            List<String> qualifiers = section.qualifiers();
+            if (!areNames(qualifiers, KIND_QUALIFIERS)) {
+                section.reportProblem("", "an invalid section name", "[kind SERVICE NAME]");
                 continue;
             }
-            String service = words.get(0);
+            String service = qualifiers.get(0);
             if (!mServiceSections.containsKey(service)) {
                 section.reportProblem(
                         "",
-                        "the service '" + service + "', which has no section",
-                        "a service that has a section [service " + service + "]");
+                        "the undefined service '" + service + "'",
+                        "a service with a section [service " + service + "]");
             }
             KindGroup group = mKinds.computeIfAbsent(service, ignored -> new KindGroup());
-            group.add(section, new KindReader(section).read(words.get(1)));
+            group.add(section, new KindReader(section).read(qualifiers.get(1)));
         }
     }
 
@@ -120,19 +122,20 @@
         return group.kinds();
     }
 
-    private static boolean areNames(List<String> words, int count) {
-        return words.size() == count
-                && words.stream().allMatch(word -> parseName(word).isPresent());
+    private static boolean areNames(List<String> qualifiers, int count) {
+        return qualifiers.size() == count
+                && qualifiers.stream().allMatch(qualifier -> parseName(qualifier).isPresent());
     }
 
-    /** The kinds of one service, checked against each other. */
+    /** The kinds of one service, with a check that each kind is reachable. */
     private static final class KindGroup {
         private final Set<String> mNames = new LinkedHashSet<>();
         private final List<RequestKind> mKinds = new ArrayList<>();
 
         void add(IniSection section, RequestKind kind) {
             if (!mNames.add(kind.name())) {
-                section.reportProblem("", "a second section of this kind", "one");
+                section.reportProblem(
+                        "", "a duplicate section for this kind", "one section per kind");
                 return;
             }
             if (section.isValid()) {
@@ -157,17 +160,17 @@
 
         private static void reportCovered(
                 IniSection section, RequestKind earlier, RequestKind kind) {
-            boolean same =
+            boolean samePath =
                     earlier.prefix() == kind.prefix()
                             && earlier.pathPrefix().equals(kind.pathPrefix());
-            String met =
-                    same
+            String actual =
+                    samePath
                             ? "the method and path of kind '" + earlier.name() + "'"
-                            : "a path that no request reaches, as the earlier kind '"
+                            : "a path that is unreachable because the earlier kind '"
                                     + earlier.name()
                                     + "' covers it";
             section.reportProblem(
-                    "path", met, "a path of its own, or this section before that kind's");
+                    "path", actual, "a path that is not covered, or this section before the other");
         }
     }
 }
--- a/model/src/main/java/org/dahliapass/model/Vm.java
+++ b/model/src/main/java/org/dahliapass/model/Vm.java
@@ -1,12 +1,12 @@
 package org.dahliapass.model;
 
 /**
- * An entry VM as the others know it.
+ * An entry VM as known to the other VMs.
  *
- * @param identity its name and incarnation
+ * @param identity the VM's name and incarnation
  * @param availabilityZone the name of its availability zone
- * @param callerEndpoint where callers reach it (HTTP)
- * @param peerEndpoint where other VMs reach it (TCP and UDP, the same port)
+ * @param callerEndpoint the HTTP address for callers
+ * @param peerEndpoint the address for other VMs; TCP and UDP use the same port
  */
 public record Vm(
         VmIdentity identity,
--- a/model/src/main/java/org/dahliapass/model/VmIdentity.java
+++ b/model/src/main/java/org/dahliapass/model/VmIdentity.java
@@ -3,14 +3,18 @@
 import java.util.Optional;
 
 /**
- * One life of one VM: a VM that is started again has the same name and a higher incarnation.
+ * The identity of one process incarnation of a VM.
  *
- * @param name the VM's name, unique in the fleet; letters, digits and hyphens
- * @param incarnation grows with each start of the VM's process; never reused
+ * @param name the VM's name, unique in the fleet; letters, digits and hyphens; kept over restarts
+ * @param incarnation a number that increases with each start of the process; never reused
  */
 public record VmIdentity(String name, long incarnation) implements Comparable<VmIdentity> {
 
-    /** Reads an identity written as {@code name~incarnation}, the incarnation in base 36. */
+    /**
+     * Parses an identity of the form {@code name~incarnation} with the incarnation in base 36.
+     *
+     * <p>Returns empty if the text has another format.
+     */
     public static Optional<VmIdentity> parse(String text) {
         int tilde = text.indexOf('~');
         if (tilde <= 0) {
--- a/model/src/main/java/org/dahliapass/model/burn/BucketRing.java
+++ b/model/src/main/java/org/dahliapass/model/burn/BucketRing.java
@@ -2,58 +2,63 @@
 
 import java.util.Arrays;
 
-/** Counts per span of time, for a fixed number of spans; newer spans overwrite the oldest. */
+/** A ring buffer of outcome counts per time bucket, which overwrites the oldest bucket. */
 final class BucketRing {
     private static final int OUTCOMES = Outcome.values().length;
     private static final int COUNTERS = OUTCOMES + 1;
     private static final long EMPTY = -1;
 
-    private final long mWidthMillis;
-    private final long[] mNumbers;
+    private final long mBucketMillis;
+    private final long[] mBucketNumbers;
     private final int[] mCounts;
 
-    BucketRing(long widthMillis, int size) {
-        mWidthMillis = widthMillis;
-        mNumbers = new long[size];
+    BucketRing(long bucketMillis, int size) {
+        mBucketMillis = bucketMillis;
+        mBucketNumbers = new long[size];
         mCounts = new int[size * COUNTERS];
-        Arrays.fill(mNumbers, EMPTY);
+        Arrays.fill(mBucketNumbers, EMPTY);
     }
 
-    /** Counts one request; one that is older than the ring reaches is left out. */
+    /** Counts one request; ignores a request that is older than the oldest bucket. */
     void add(Outcome outcome, boolean bad, long nowMillis) {
-        long number = nowMillis / mWidthMillis;
-        int slot = (int) (number % mNumbers.length);
-        if (number < mNumbers[slot]) {
+        long number = nowMillis / mBucketMillis;
+        int slot = (int) (number % mBucketNumbers.length);
+        if (number < mBucketNumbers[slot]) {
             return;
         }
-        if (number > mNumbers[slot]) {
-            mNumbers[slot] = number;
+        if (number > mBucketNumbers[slot]) {
+            mBucketNumbers[slot] = number;
             Arrays.fill(mCounts, slot * COUNTERS, (slot + 1) * COUNTERS, 0);
         }
         mCounts[slot * COUNTERS + outcome.index()]++;
         mCounts[slot * COUNTERS + OUTCOMES] += bad ? 1 : 0;
     }
 
-    /** Gives each span with requests that starts at or after one time and before another. */
-    void forEach(long fromMillis, long toMillis, SpanVisitor visitor) {
-        for (int slot = 0; slot < mNumbers.length; slot++) {
-            long start = mNumbers[slot] * mWidthMillis;
-            if (mNumbers[slot] != EMPTY && start >= fromMillis && start < toMillis) {
-                visitor.visit(new Span(slot), start, mWidthMillis);
+    /**
+     * Visits each bucket with requests that starts in a time range.
+     *
+     * @param fromMillis the start of the range, inclusive
+     * @param toMillis the end of the range, exclusive
+     */
+    void forEach(long fromMillis, long toMillis, BucketVisitor visitor) {
+        for (int slot = 0; slot < mBucketNumbers.length; slot++) {
+            long start = mBucketNumbers[slot] * mBucketMillis;
+            if (mBucketNumbers[slot] != EMPTY && start >= fromMillis && start < toMillis) {
+                visitor.visit(new Bucket(slot), start, mBucketMillis);
             }
         }
     }
 
-    /** Takes one span. */
-    interface SpanVisitor {
-        void visit(Span span, long startMillis, long widthMillis);
+    /** A callback for the buckets of a ring. */
+    interface BucketVisitor {
+        void visit(Bucket bucket, long startMillis, long bucketMillis);
     }
 
-    /** The counts of one span; valid only while it is visited. */
-    final class Span {
+    /** A view of the counts of one bucket; valid only during the visit. */
+    final class Bucket {
         private final int mSlot;
 
-        private Span(int slot) {
+        private Bucket(int slot) {
             mSlot = slot;
         }
 
--- a/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetBucket.java
+++ b/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetBucket.java
@@ -1,21 +1,21 @@
 package org.dahliapass.model.burn;
 
 /**
- * How the requests of one kind ended in one span of time on one VM.
+ * The request outcomes of one kind in one time bucket on one VM.
  *
- * @param customer the customer that asked
+ * @param customer the customer that sent the requests
  * @param service the service's name in that customer's template
  * @param kind the request kind's name
- * @param objective the share of requests that shall be good, from the newest template
- * @param startMillis the span's start by the VM's clock
- * @param widthMillis the span's length; the newest span may still be running
- * @param good requests that ended {@link Outcome#GOOD}
- * @param failed requests that ended {@link Outcome#FAILED}
- * @param refused requests that ended {@link Outcome#REFUSED}
- * @param unknown requests that ended {@link Outcome#UNKNOWN}
- * @param late requests that ended {@link Outcome#LATE}
- * @param cut requests that ended {@link Outcome#CUT}
- * @param bad requests that counted against the objective by the template of their time
+ * @param objective the service-level objective of the latest template, 0 to 1
+ * @param startMillis the start of the bucket by the VM's clock, in milliseconds
+ * @param widthMillis the length of the bucket, in milliseconds; the latest bucket may be incomplete
+ * @param good requests with the outcome {@link Outcome#GOOD}
+ * @param failed requests with the outcome {@link Outcome#FAILED}
+ * @param refused requests with the outcome {@link Outcome#REFUSED}
+ * @param unknown requests with the outcome {@link Outcome#UNKNOWN}
+ * @param late requests with the outcome {@link Outcome#LATE}
+ * @param cut requests with the outcome {@link Outcome#CUT}
+ * @param bad requests that consumed the error budget by the template in force at their time
  */
 public record ErrorBudgetBucket(
         String customer,
@@ -32,7 +32,7 @@
         long cut,
         long bad) {
 
-    /** Returns how many requests ended so. */
+    /** Returns the number of requests with an outcome. */
     public long count(Outcome outcome) {
         return outcome.countIn(this);
     }
--- a/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetSnapshot.java
+++ b/model/src/main/java/org/dahliapass/model/burn/ErrorBudgetSnapshot.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * All that one VM tells the burn report.
+ * The recorded request outcomes of one VM, for the error budget report.
  *
  * @param vm the VM's identity
- * @param sinceMillis when the VM began to remember, by its own clock
- * @param nowMillis the time of this answer, by its own clock
- * @param uncounted requests that weren't counted because the memory for kinds was full
- * @param buckets the spans in which requests ended
+ * @param sinceMillis when the VM began to record, by its own clock, in milliseconds
+ * @param nowMillis the time of this snapshot by the VM's clock, in milliseconds
+ * @param uncounted requests that were not counted because the history was full
+ * @param buckets the time buckets with requests
  */
 public record ErrorBudgetSnapshot(
         String vm,
@@ -18,7 +18,7 @@
         long uncounted,
         List<ErrorBudgetBucket> buckets) {
 
-    /** Copies the list; a missing one reads as empty. */
+    /** Creates a snapshot with an immutable copy of the buckets; null counts as empty. */
     public ErrorBudgetSnapshot {
         buckets = buckets == null ? List.of() : List.copyOf(buckets);
     }
--- a/model/src/main/java/org/dahliapass/model/burn/Outcome.java
+++ b/model/src/main/java/org/dahliapass/model/burn/Outcome.java
@@ -1,43 +1,43 @@
 package org.dahliapass.model.burn;
 
-/** How one request ended, as its caller saw it. */
+/** The outcome of a request as observed by its caller. */
 public enum Outcome {
-    /** The whole answer went out in time. */
+    /** The complete response was sent in time. */
     GOOD(0) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
             return bucket.good();
         }
     },
-    /** The caller got an error of the target's, whole. */
+    /** A complete error response of the target was sent. */
     FAILED(1) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
             return bucket.failed();
         }
     },
-    /** The caller was told that the request was not run. */
+    /** The request was rejected and did not run. */
     REFUSED(2) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
             return bucket.refused();
         }
     },
-    /** The caller was told that nobody knows whether the request ran. */
+    /** The caller was informed that the request may or may not have run. */
     UNKNOWN(3) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
             return bucket.unknown();
         }
     },
-    /** The whole answer went out, but began later than the template allows. */
+    /** The complete response was sent, but began later than the template allows. */
     LATE(4) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
             return bucket.late();
         }
     },
-    /** The answer's body ended early. */
+    /** The response body was truncated. */
     CUT(5) {
         @Override
         long countIn(ErrorBudgetBucket bucket) {
@@ -45,17 +45,17 @@
         }
     };
 
-    private final int mPosition;
+    private final int mIndex;
 
-    Outcome(int position) {
-        mPosition = position;
+    Outcome(int index) {
+        mIndex = index;
     }
 
-    /** Returns this outcome's place among the counters of a span, from 0 without gaps. */
+    /** Returns the index of this outcome's counter, starting at 0 without gaps. */
     int index() {
-        return mPosition;
+        return mIndex;
     }
 
-    /** Returns how many requests of a bucket ended so. */
+    /** Returns the number of requests with this outcome in a bucket. */
     abstract long countIn(ErrorBudgetBucket bucket);
 }
--- a/model/src/main/java/org/dahliapass/model/burn/OutcomeHistory.java
+++ b/model/src/main/java/org/dahliapass/model/burn/OutcomeHistory.java
@@ -9,42 +9,43 @@
 import java.util.function.Predicate;
 
 /**
- * Remembers how requests ended, for six hours and in bounded memory.
+ * A bounded history of request outcomes over the last six hours.
  *
- * <p>The last five to ten minutes are kept in spans of {@link #FINE_WIDTH}, older ones in spans of
- * {@link #COARSE_WIDTH}. Memory is at most about 5 KB for each request kind in use. Safe from any
- * thread: traffic threads record, one short step under a lock.
+ * <p>The last five to ten minutes are kept in buckets of {@link #FINE_WIDTH}, older outcomes in
+ * buckets of {@link #COARSE_WIDTH}. Each request kind in use takes about 5 KB of memory.
+ *
+ * <p>Thread-safe.
  */
 public final class OutcomeHistory {
-    /** The length of a newer span. */
+    /** The length of the buckets for recent outcomes. */
     public static final Duration FINE_WIDTH = Duration.ofSeconds(10);
 
-    /** The length of an older span. */
+    /** The length of the buckets for older outcomes. */
     public static final Duration COARSE_WIDTH = Duration.ofMinutes(5);
 
-    /** How far back the ledger reaches. */
+    /** How long outcomes are retained. */
     public static final Duration RETENTION = Duration.ofHours(6);
 
     private static final long FINE_MILLIS = FINE_WIDTH.toMillis();
     private static final long COARSE_MILLIS = COARSE_WIDTH.toMillis();
-    private static final int FINE_SPANS = 60;
-    private static final int COARSE_SPANS = (int) (RETENTION.toMillis() / COARSE_MILLIS) + 1;
+    private static final int FINE_BUCKETS = 60;
+    private static final int COARSE_BUCKETS = (int) (RETENTION.toMillis() / COARSE_MILLIS) + 1;
 
-    private final int mMostSeries;
+    private final int mMaxSeries;
     private final Map<Key, Series> mSeries = new LinkedHashMap<>(16, 0.75f, true);
     private long mUncounted;
 
     /**
-     * Creates an empty ledger.
+     * Creates an empty history.
      *
-     * @param mostSeries how many triples of customer, service and kind it remembers at most;
-     *     further ones are left out and counted in {@link #uncounted()}
+     * @param maxSeries the maximum number of triples of customer, service and kind; requests of
+     *     further triples are only counted in {@link #uncounted()}
      */
-    public OutcomeHistory(int mostSeries) {
-        mMostSeries = mostSeries;
+    public OutcomeHistory(int maxSeries) {
+        mMaxSeries = maxSeries;
     }
 
-    /** Counts one request; all that isn't {@link Outcome#GOOD} counts against the objective. */
+    /** Records one request; all outcomes except {@link Outcome#GOOD} consume the error budget. */
     public void record(
             String customer,
             String service,
@@ -56,11 +57,11 @@
     }
 
     /**
-     * Counts one request.
+     * Records one request.
      *
-     * @param objective the share of requests that shall be good
-     * @param bad whether the outcome counts against the objective
-     * @param nowMillis the VM's time
+     * @param objective the service-level objective as a share of good requests, 0 to 1
+     * @param bad whether the outcome consumes the error budget
+     * @param nowMillis the time by the VM's clock, in milliseconds
      */
     public synchronized void record(
             String customer,
@@ -73,7 +74,7 @@
         Key key = new Key(customer, service, kind);
         Series series = mSeries.get(key);
         if (series == null) {
-            if (!makeRoom(nowMillis)) {
+            if (!ensureCapacity(nowMillis)) {
                 mUncounted++;
                 return;
             }
@@ -86,29 +87,29 @@
         series.mCoarse.add(outcome, bad, nowMillis);
     }
 
-    /** Returns how many requests were left out because the ledger was full. */
+    /** Returns the number of requests that were not recorded because the history was full. */
     public synchronized long uncounted() {
         return mUncounted;
     }
 
-    /** Returns all spans with requests. */
+    /** Returns all buckets with requests. */
     public List<ErrorBudgetBucket> buckets(long nowMillis) {
         return buckets(nowMillis, customer -> true);
     }
 
-    /** Returns the spans with requests of the customers that are asked for. */
+    /** Returns the buckets with requests of the customers that match a predicate. */
     public synchronized List<ErrorBudgetBucket> buckets(
             long nowMillis, Predicate<String> customers) {
-        long oldestFine = (nowMillis / FINE_MILLIS - FINE_SPANS + 1) * FINE_MILLIS;
+        long oldestFine = (nowMillis / FINE_MILLIS - FINE_BUCKETS + 1) * FINE_MILLIS;
         long boundary = -Math.floorDiv(-oldestFine, COARSE_MILLIS) * COARSE_MILLIS;
-        long oldestCoarse = (nowMillis / COARSE_MILLIS - COARSE_SPANS + 1) * COARSE_MILLIS;
+        long oldestCoarse = (nowMillis / COARSE_MILLIS - COARSE_BUCKETS + 1) * COARSE_MILLIS;
         List<ErrorBudgetBucket> buckets = new ArrayList<>();
         mSeries.forEach(
                 (key, series) -> {
                     if (customers.test(key.customer())) {
-                        BucketRing.SpanVisitor collector =
-                                (span, start, width) ->
-                                        buckets.add(bucket(key, series, span, start, width));
+                        BucketRing.BucketVisitor collector =
+                                (counts, start, width) ->
+                                        buckets.add(bucket(key, series, counts, start, width));
                         series.mCoarse.forEach(oldestCoarse, boundary, collector);
                         series.mFine.forEach(boundary, Long.MAX_VALUE, collector);
                     }
@@ -116,22 +117,22 @@
         return buckets;
     }
 
-    /** Forgets the series used longest ago if it is out of reach; returns whether there is room. */
-    private boolean makeRoom(long nowMillis) {
-        if (mSeries.size() < mMostSeries) {
+    /** Evicts the least recently used series if it expired; returns whether there is capacity. */
+    private boolean ensureCapacity(long nowMillis) {
+        if (mSeries.size() < mMaxSeries) {
             return true;
         }
-        Iterator<Series> oldestFirst = mSeries.values().iterator();
-        if (!oldestFirst.hasNext()
-                || nowMillis - oldestFirst.next().mLastMillis <= RETENTION.toMillis()) {
+        Iterator<Series> eldestFirst = mSeries.values().iterator();
+        if (!eldestFirst.hasNext()
+                || nowMillis - eldestFirst.next().mLastMillis <= RETENTION.toMillis()) {
             return false;
         }
-        oldestFirst.remove();
+        eldestFirst.remove();
         return true;
     }
 
     private static ErrorBudgetBucket bucket(
-            Key key, Series series, BucketRing.Span span, long startMillis, long widthMillis) {
+            Key key, Series series, BucketRing.Bucket counts, long startMillis, long widthMillis) {
         return new ErrorBudgetBucket(
                 key.customer(),
                 key.service(),
@@ -139,21 +140,21 @@
                 series.mObjective,
                 startMillis,
                 widthMillis,
-                span.count(Outcome.GOOD),
-                span.count(Outcome.FAILED),
-                span.count(Outcome.REFUSED),
-                span.count(Outcome.UNKNOWN),
-                span.count(Outcome.LATE),
-                span.count(Outcome.CUT),
-                span.bad());
+                counts.count(Outcome.GOOD),
+                counts.count(Outcome.FAILED),
+                counts.count(Outcome.REFUSED),
+                counts.count(Outcome.UNKNOWN),
+                counts.count(Outcome.LATE),
+                counts.count(Outcome.CUT),
+                counts.bad());
     }
 
     private record Key(String customer, String service, String kind) {}
 
-    /** The counts of one request kind. */
+    /** The outcome counts of one request kind. */
     private static final class Series {
-        private final BucketRing mFine = new BucketRing(FINE_MILLIS, FINE_SPANS);
-        private final BucketRing mCoarse = new BucketRing(COARSE_MILLIS, COARSE_SPANS);
+        private final BucketRing mFine = new BucketRing(FINE_MILLIS, FINE_BUCKETS);
+        private final BucketRing mCoarse = new BucketRing(COARSE_MILLIS, COARSE_BUCKETS);
         private double mObjective;
         private long mLastMillis;
     }
--- a/model/src/main/java/org/dahliapass/model/burn/package-info.java
+++ b/model/src/main/java/org/dahliapass/model/burn/package-info.java
@@ -1,2 +1,2 @@
-/** What a VM remembers of the answers that it gave, for the report on service-level burn. */
+/** The recorded request outcomes of a VM, for the error budget report. */
 package org.dahliapass.model.burn;
--- a/model/src/main/java/org/dahliapass/model/explain/Action.java
+++ b/model/src/main/java/org/dahliapass/model/explain/Action.java
@@ -1,34 +1,34 @@
 package org.dahliapass.model.explain;
 
-/** What the fleet did by itself. */
+/** An automatic action of the fleet. */
 public enum Action {
-    /** A target was taken out on the cell's evidence. */
-    EJECTED("taken out"),
-    /** This VM alone stopped using a target that fails only on its own path. */
+    /** A target was ejected because of the cell's evidence. */
+    EJECTED("ejected"),
+    /** This VM stopped using a target that fails only for this VM. */
     AVOIDED("avoided by this VM"),
-    /** A target that was out gets work again, slowly. */
-    RETURNING("tried again"),
-    /** A target has its full share of work again. */
-    RESTORED("brought back"),
-    /** A target gets a smaller share of work because it is slow. */
-    SLOWED("given less work"),
-    /** A target with bad evidence stayed in, because the floor forbade taking it out. */
+    /** A target begins to receive requests with slow start. */
+    RETURNING("returning to service"),
+    /** A target receives its full share of requests again. */
+    RESTORED("restored"),
+    /** The weight of a slow target was reduced. */
+    SLOWED("reduced in weight"),
+    /** A failing target was not ejected because of the floor. */
     FLOOR_HELD("kept in service by the floor"),
-    /** A target said that it stops; it gets nothing new. */
+    /** A target is shutting down and receives no new requests. */
     LEAVING("leaving"),
-    /** A target said that it is still starting. */
+    /** A target reported a cold start. */
     COLD("starting"),
-    /** A request was refused to protect the rest. */
-    SHED("refused"),
-    /** A VM took over a duty of another. */
+    /** A request was rejected by load shedding. */
+    SHED("rejected"),
+    /** A VM took over a role of another VM. */
     TAKEN_OVER("taken over"),
-    /** A VM gave up a duty. */
-    STOOD_DOWN("stood down"),
-    /** An accepted template came into force. */
+    /** A VM gave up a role. */
+    STOOD_DOWN("stepped down"),
+    /** An accepted template revision was applied. */
     REVISION_APPLIED("revision in force"),
-    /** An accepted template failed its check here; the one in force stayed. */
+    /** An accepted template revision failed validation; the previous revision remains in force. */
     REVISION_REJECTED("revision rejected"),
-    /** A VM that had stood down serves again. */
+    /** A VM resumed a role that it had given up. */
     RESUMED("serving again");
 
     private final String mPhrase;
@@ -37,7 +37,7 @@
         mPhrase = phrase;
     }
 
-    /** Returns the words for it that operators read. */
+    /** Returns the description shown to operators. */
     public String phrase() {
         return mPhrase;
     }
--- a/model/src/main/java/org/dahliapass/model/explain/Explanation.java
+++ b/model/src/main/java/org/dahliapass/model/explain/Explanation.java
@@ -1,14 +1,14 @@
 package org.dahliapass.model.explain;
 
 /**
- * One thing that the fleet did by itself, with the reason.
+ * The explanation of one automatic action.
  *
- * @param atMillis when, by the clock of the VM that did it
- * @param action what was done
- * @param subject what it was done to: a service, a target, a request or a template
- * @param cause why, in one short sentence
- * @param evidence the figures that led to it
- * @param setting the template's setting that decided, with its value
+ * @param atMillis the time of the action by the clock of the acting VM, in milliseconds
+ * @param action the action
+ * @param subject the service, target, request or template that the action applies to
+ * @param cause the reason, in one short sentence
+ * @param evidence the measurements that led to the action
+ * @param setting the template setting that applied, with its value
  */
 public record Explanation(
         long atMillis,
--- a/model/src/main/java/org/dahliapass/model/explain/package-info.java
+++ b/model/src/main/java/org/dahliapass/model/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Records of what the fleet did by itself, and why. */
+/** Explanations of the automatic actions of the fleet. */
 package org.dahliapass.model.explain;
--- a/model/src/main/java/org/dahliapass/model/package-info.java
+++ b/model/src/main/java/org/dahliapass/model/package-info.java
@@ -1,2 +1,2 @@
-/** The records that all parts share: VMs, targets, templates. */
+/** The shared data model: VMs, targets and customer templates. */
 package org.dahliapass.model;
--- a/model/src/main/java/org/dahliapass/model/routing/FleetVm.java
+++ b/model/src/main/java/org/dahliapass/model/routing/FleetVm.java
@@ -3,14 +3,14 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * A VM of the fleet as the other VMs see it.
+ * A VM of the fleet as registered in the store.
  *
  * @param name the VM's name, unique in the fleet
  * @param availabilityZone the name of its availability zone
  * @param region the region of that zone
- * @param callerEndpoint where it takes requests of callers
- * @param peerEndpoint where it takes the messages of the other VMs
- * @param capacity what it has to carry work with
+ * @param callerEndpoint the address for requests of callers
+ * @param peerEndpoint the address for messages of other VMs
+ * @param capacity the CPU and network capacity of the VM
  */
 public record FleetVm(
         String name,
--- a/model/src/main/java/org/dahliapass/model/routing/RequestClass.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RequestClass.java
@@ -2,13 +2,13 @@
 
 import org.dahliapass.model.Idempotency;
 
-/** What the operator says of the requests on a route: whether they may repeat, and their size. */
+/** The class of the requests on a route: their execution guarantee and response size. */
 public enum RequestClass {
-    /** May run any number of times; answers are small. */
+    /** May run any number of times; responses are small. */
     SAFE(Idempotency.IDEMPOTENT, false),
-    /** May run once at most for each attempt of a client. */
+    /** May run at most once per client request. */
     AT_MOST_ONCE(Idempotency.AT_MOST_ONCE, false),
-    /** May run any number of times; answers are large. */
+    /** May run any number of times; responses are large. */
     DOWNLOAD(Idempotency.IDEMPOTENT, true);
 
     private final Idempotency mIdempotency;
@@ -19,12 +19,12 @@
         mBulky = bulky;
     }
 
-    /** Returns whether requests of this class may run more than once. */
+    /** Returns the execution guarantee of requests of this class. */
     public Idempotency idempotency() {
         return mIdempotency;
     }
 
-    /** Returns whether answers are large. */
+    /** Returns whether responses are large. */
     public boolean bulky() {
         return mBulky;
     }
--- a/model/src/main/java/org/dahliapass/model/routing/RequestLimits.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RequestLimits.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * Bounds on what clients may send.
+ * The limits on client requests and connections.
  *
- * @param headerBytes the most bytes of a request's head
- * @param bodyBytes the most bytes of a request's body
- * @param headerTimeout the longest time for sending a head
- * @param idleTimeout the longest time a connection may stay idle
+ * @param headerBytes the maximum size of the request headers, in bytes
+ * @param bodyBytes the maximum size of a request body, in bytes
+ * @param headerTimeout the maximum time to receive the request headers
+ * @param idleTimeout the maximum time that a connection may be idle
  */
 public record RequestLimits(
         int headerBytes, long bodyBytes, Duration headerTimeout, Duration idleTimeout) {}
--- a/model/src/main/java/org/dahliapass/model/routing/RouteRule.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RouteRule.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Where requests to one path prefix of one host go, and how they are treated.
+ * A route: the services and the handling of all requests to a path prefix of a host.
  *
  * @param name the route's name
- * @param host the host it belongs to, in lower case
- * @param prefix the beginning of the paths that it takes; begins and ends with a slash
- * @param requestClass whether its requests may repeat, and how large their answers are
- * @param timeout the longest time that a caller is kept waiting
- * @param objective an answer within this time is of full use
- * @param priority its rank among the routes; 0 is the most urgent
- * @param maxTargets the most targets to which one attempt of a client may be sent
- * @param shares the services that serve it; one or more
+ * @param host the host name, in lower case
+ * @param prefix the path prefix; begins and ends with a slash
+ * @param requestClass the execution guarantee and response size of the requests
+ * @param timeout the maximum time that a caller waits for a response
+ * @param objective the latency objective
+ * @param priority the priority relative to other routes; 0 is the highest
+ * @param maxTargets the maximum number of targets that one client request may be sent to
+ * @param shares the services that handle the requests; at least one
  */
 public record RouteRule(
         String name,
@@ -26,7 +26,7 @@
         int priority,
         int maxTargets,
         List<ServiceShare> shares) {
-    /** Copies the list. */
+    /** Creates a route with an immutable copy of the shares. */
     public RouteRule {
         shares = List.copyOf(shares);
     }
--- a/model/src/main/java/org/dahliapass/model/routing/RoutingConfiguration.java
+++ b/model/src/main/java/org/dahliapass/model/routing/RoutingConfiguration.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * One whole version of the operator's configuration.
+ * One complete version of the operator's routing configuration.
  *
- * @param version grows with each change
+ * @param version the version number, which increases with each change
  * @param routes all routes
  * @param services all services by name
- * @param limits bounds on what clients may send
+ * @param limits the limits on client requests and connections
  */
 public record RoutingConfiguration(
         long version,
         List<RouteRule> routes,
         Map<String, RoutedService> services,
         RequestLimits limits) {
-    /** Copies the collections. */
+    /** Creates a configuration with immutable copies of the collections. */
     public RoutingConfiguration {
         routes = List.copyOf(routes);
         services = Map.copyOf(services);
--- a/model/src/main/java/org/dahliapass/model/routing/ServiceShare.java
+++ b/model/src/main/java/org/dahliapass/model/routing/ServiceShare.java
@@ -1,9 +1,9 @@
 package org.dahliapass.model.routing;
 
 /**
- * A service's part of a route's requests.
+ * The share of a route's requests that a service receives.
  *
  * @param service the service's name
- * @param weight its part, in proportion to the other weights of the route; above 0
+ * @param weight the share in proportion to the other weights of the route; above 0
  */
 public record ServiceShare(String service, double weight) {}
--- a/model/src/main/java/org/dahliapass/model/routing/TargetRegistration.java
+++ b/model/src/main/java/org/dahliapass/model/routing/TargetRegistration.java
@@ -5,17 +5,17 @@
 import org.dahliapass.model.TargetInstance;
 
 /**
- * What a target says of itself in the platform's store.
+ * The registration of a target in the platform's store, written by the target.
  *
- * @param instance names the target; a later start may have the same name
- * @param service the service that it serves
- * @param endpoint where it is reached; may be another instance's later
+ * @param instance the target's name; may be kept over restarts
+ * @param service the name of the service that the target provides
+ * @param endpoint the target's address; may later be reused by another target
  * @param availabilityZone the name of its availability zone
- * @param softwareVersion the version of its software
- * @param slots requests that it works on at once
- * @param draining whether it wants nothing new
- * @param remainingWarmup how much longer it is slow after its start, when it wrote this
- * @param startedMillis when this start of the target began, in Unix milliseconds; 0 if it says not
+ * @param softwareVersion the version of the target's software
+ * @param slots the number of requests that the target handles concurrently
+ * @param draining whether the target accepts no new requests
+ * @param remainingWarmup the remaining warm-up time when the registration was written
+ * @param startedMillis the start time of the target, in Unix milliseconds; 0 if unknown
  */
 public record TargetRegistration(
         String instance,
@@ -27,14 +27,15 @@
         boolean draining,
         Duration remainingWarmup,
         long startedMillis) {
-    /** Returns this start of the target and where it is reached. */
+    /** Returns the registered incarnation of the target. */
     public TargetInstance target() {
         return new TargetInstance(endpoint, instance, incarnation());
     }
 
     /**
-     * Returns what identifies this start of the target among all starts of all targets: what was
-     * learned of an earlier start says nothing of this one.
+     * Returns an identifier of this start of the target, unique among all starts of all targets.
+     *
+     * <p>Measurements of an earlier start do not apply to a later one.
      */
     public String incarnation() {
         return instance + "@" + startedMillis;
--- a/model/src/main/java/org/dahliapass/model/routing/VmCapacity.java
+++ b/model/src/main/java/org/dahliapass/model/routing/VmCapacity.java
@@ -1,26 +1,33 @@
 package org.dahliapass.model.routing;
 
 /**
- * What a VM has to carry work with, as the platform gave it.
+ * The CPU and network capacity that the platform assigned to a VM.
  *
- * @param cores processor time, in seconds a second; 0.01 at least
- * @param linkMegabits what its link carries in each direction, in Mbit/s; 0.01 at least
+ * @param cores the number of CPU cores, possibly fractional; at least 0.01
+ * @param linkMegabits the bandwidth of the network link in each direction, in Mbit/s; at least 0.01
  */
 public record VmCapacity(double cores, double linkMegabits) {
-    /**
-     * What is assumed of a VM that doesn't say: the middle of those known, 0.3 to 1.5 cores and 7
-     * to 1,000 Mbit/s. Where no VM says, all are alike and only the sum depends on it.
-     */
+    /** The assumed capacity of a VM that does not register its capacity. */
     public static final VmCapacity DEFAULT = new VmCapacity(0.6, 100);
 
-    /** The least of either that is believed, a hundredth of a core or of a Mbit/s. */
+    /** The minimum of both values, in cores and in Mbit/s. */
     public static final double MINIMUM = 0.01;
 
-    /** Checks the figures. */
+    /**
+     * Creates a capacity.
+     *
+     * @throws IllegalArgumentException if a value is below the minimum or not a number
+     */
     public VmCapacity {
         if (!(cores >= MINIMUM) || !(linkMegabits >= MINIMUM)) {
             throw new IllegalArgumentException(
-                    "A VM with " + cores + " cores and " + linkMegabits + " Mbit/s");
+                    "VM has "
+                            + cores
+                            + " cores and "
+                            + linkMegabits
+                            + " Mbit/s; expected at least "
+                            + MINIMUM
+                            + " of each");
         }
     }
 }
--- a/model/src/main/java/org/dahliapass/model/routing/package-info.java
+++ b/model/src/main/java/org/dahliapass/model/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Routes, services, limits and target registrations as the platform's store hands them out. */
+/** Routes, services, request limits and target registrations from the platform's store. */
 package org.dahliapass.model.routing;
--- a/model/src/test/java/org/dahliapass/model/ReadyTemplatesTest.java
+++ b/model/src/test/java/org/dahliapass/model/ReadyTemplatesTest.java
@@ -15,13 +15,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks the templates that the repository ships. */
+/** Tests the templates that are shipped with the project. */
 public final class ReadyTemplatesTest {
     private static final Path DIRECTORY = Path.of("..", "templates");
 
-    /** Gives the sizes of the two deployments: service, targets, slots, connections. */
+    /** Returns the customer, service, number of targets, slots and connections per target. */
     @DataProvider
-    public Object[][] sizes() {
+    public Object[][] deploymentSizes() {
         return new Object[][] {
             {"himal", "desk", 30, 3, 350},
             {"himal", "vault", 6, 3, 350},
@@ -30,8 +30,8 @@
         };
     }
 
-    @Test(dataProvider = "sizes")
-    public void deploymentHasItsSize(
+    @Test(dataProvider = "deploymentSizes")
+    public void serviceHasTheSizeOfItsDeployment(
             String customer, String name, int targets, int slots, int connections) {
         ServiceTemplate service = readAll().get(customer).service(name).orElseThrow();
 
@@ -42,9 +42,9 @@
                 service.targets().stream().map(Target::availabilityZone).distinct().count(), 3);
     }
 
-    /** Gives the kinds that must run at most once. */
+    /** Returns the customer, service and path of requests that must run at most once. */
     @DataProvider
-    public Object[][] guarded() {
+    public Object[][] atMostOnceRequests() {
         return new Object[][] {
             {"himal", "desk", "/locks/7"},
             {"himal", "desk", "/sign-offs/7"},
@@ -54,8 +54,8 @@
         };
     }
 
-    @Test(dataProvider = "guarded")
-    public void guardedKindMayNotRepeat(String customer, String service, String path) {
+    @Test(dataProvider = "atMostOnceRequests")
+    public void requestRunsAtMostOnce(String customer, String service, String path) {
         RequestKind kind =
                 readAll()
                         .get(customer)
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void templatesAreNamedByCustomerAndProvidersExist() {
+    public void fileNamesMatchCustomersAndProvidersExist() {
         Map<String, Template> templates = readAll();
 
         assertEquals(templates.size(), 3);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void himalActsOnMoreEvidenceThanVatulele() {
+    public void himalRequiresMoreEvidenceThanVatulele() {
         Map<String, Template> templates = readAll();
         DetectionPolicy himal = templates.get("himal").service("desk").orElseThrow().detection();
         DetectionPolicy vatulele =
@@ -102,14 +102,15 @@
         }
     }
 
-    private static String stem(Path path) {
+    private static String baseName(Path path) {
         return path.getFileName().toString().replace(".ini", "");
     }
 
     private static Template read(Path path) {
         try {
             Template template = TemplateParser.parse(path.toString(), Files.readString(path));
-            assertEquals(template.customer(), stem(path), "the file is named by the customer");
+            assertEquals(
+                    template.customer(), baseName(path), "the file name must match the customer");
             return template;
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
--- a/model/src/test/java/org/dahliapass/model/RequestDigestTest.java
+++ b/model/src/test/java/org/dahliapass/model/RequestDigestTest.java
@@ -13,14 +13,14 @@
     private static final RequestDigest DIGEST = digest("GET", "a", "/b", "", "c");
 
     @Test
-    public void requestsThatAreAlikeHaveOneDigest() {
+    public void identicalRequestsHaveTheSameDigest() {
         assertEquals(digest("GET", "a", "/b", "", "c"), DIGEST);
         assertEquals(RequestDigest.parse(DIGEST.hex()), DIGEST);
     }
 
-    /** Guards against a caller who is blamed for another one's request. */
+    /** Guards against requests that are attributed to another caller. */
     @Test
-    public void eachPartCounts() {
+    public void eachFieldChangesTheDigest() {
         assertNotEquals(digest("POST", "a", "/b", "", "c"), DIGEST);
         assertNotEquals(digest("GET", "a/", "b", "", "c"), DIGEST);
         assertNotEquals(digest("GET", "a", "/b", "key", "c"), DIGEST);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void foreignTextIsRefused() {
+    public void parseRejectsInvalidText() {
         assertThrows(IllegalArgumentException.class, () -> RequestDigest.parse("12"));
         assertThrows(IllegalArgumentException.class, () -> RequestDigest.parse("x"));
     }
--- a/model/src/test/java/org/dahliapass/model/ServiceTemplateTest.java
+++ b/model/src/test/java/org/dahliapass/model/ServiceTemplateTest.java
@@ -10,7 +10,7 @@
 
 /** Tests {@link ServiceTemplate}. */
 public final class ServiceTemplateTest {
-    /** Gives the floor's share, the number of targets, and how many of them must stay. */
+    /** Returns the floor's share, the number of targets and the expected floor. */
     @DataProvider
     public Object[][] floors() {
         return new Object[][] {
--- a/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
+++ b/model/src/test/java/org/dahliapass/model/TemplateParserTest.java
@@ -17,7 +17,7 @@
 
 /** Tests {@link TemplateParser}. */
 public final class TemplateParserTest {
-    private static final String SOUND =
+    private static final String VALID =
             """
             [template]
             customer = himal
@@ -50,8 +50,8 @@
     private static final int MUTATIONS = 4000;
 
     @Test
-    public void parseSoundTemplateReadsWhatStands() {
-        Template template = TemplateParser.parse("t.ini", SOUND);
+    public void parseReadsValidTemplate() {
+        Template template = TemplateParser.parse("t.ini", VALID);
 
         ServiceTemplate desk = template.service("desk").orElseThrow();
         assertEquals(template.customer(), "himal");
@@ -65,8 +65,8 @@
     }
 
     @Test
-    public void parseSoundTemplateFillsDefaults() {
-        ServiceTemplate desk = TemplateParser.parse("t.ini", SOUND).service("desk").orElseThrow();
+    public void parseAppliesDefaults() {
+        ServiceTemplate desk = TemplateParser.parse("t.ini", VALID).service("desk").orElseThrow();
         RequestKind lock = desk.kindOf("POST", "/locks").orElseThrow();
 
         assertEquals(desk.cellSize(), 6);
@@ -77,17 +77,17 @@
     }
 
     @Test
-    public void parseReferenceTakesTheProvidersService() {
+    public void parseResolvesReferenceToProvider() {
         ServiceTemplate archive =
-                TemplateParser.parse("t.ini", SOUND).service("archive").orElseThrow();
+                TemplateParser.parse("t.ini", VALID).service("archive").orElseThrow();
 
         assertEquals(archive.id(), new ServiceId("vatulele", "archive"));
         assertEquals(archive.targets(), List.of());
     }
 
     @Test
-    public void parseShortDeadlineShortensDefaults() {
-        String text = SOUND.replace("path = /locks", "path = /locks\ndeadline = 2s");
+    public void parseLimitsDefaultsToShortDeadline() {
+        String text = VALID.replace("path = /locks", "path = /locks\ndeadline = 2s");
         RequestKind lock =
                 TemplateParser.parse("t.ini", text)
                         .service("desk")
@@ -99,8 +99,8 @@
     }
 
     @Test
-    public void parseBadOutcomesTakesTheTemplatesWord() {
-        String text = SOUND.replace("bulky = yes", "bad-outcomes = failed, cut");
+    public void parseReadsBadOutcomes() {
+        String text = VALID.replace("bulky = yes", "bad-outcomes = failed, cut");
         Template template = TemplateParser.parse("t.ini", text);
         RequestKind export =
                 template.service("archive").orElseThrow().kindOf("GET", "/exports/7").orElseThrow();
@@ -113,7 +113,7 @@
         assertFalse(lock.isBad(Outcome.GOOD));
     }
 
-    /** Gives what to replace in the sound template, by what, and the problem that it makes. */
+    /** Returns a text to replace, its replacement, and the section and key of the problem. */
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
@@ -174,23 +174,23 @@
     }
 
     @Test(dataProvider = "faults")
-    public void parseFaultNamesWhereItStands(
-            String sound, String wrong, String section, String key) {
-        assertTrue(SOUND.contains(sound), "the sound template has no '" + sound + "'");
-        String text = SOUND.replace(sound, wrong);
+    public void parseReportsSectionAndKeyOfFault(
+            String valid, String invalid, String section, String key) {
+        assertTrue(VALID.contains(valid), "the valid template does not contain '" + valid + "'");
+        String text = VALID.replace(valid, invalid);
 
         List<SettingsProblem> problems = problemsOf(text);
 
         assertTrue(
                 problems.stream().anyMatch(p -> p.section().equals(section) && p.key().equals(key)),
-                "met " + problems);
+                "problems: " + problems);
         assertTrue(
                 problems.stream().noneMatch(p -> p.actual().isEmpty() || p.expected().isEmpty()));
     }
 
-    /** Gives changes after which the template is as sound as before. */
+    /** Returns a text to replace and its replacement, after which the template remains valid. */
     @DataProvider
-    public Object[][] soundChanges() {
+    public Object[][] validChanges() {
         return new Object[][] {
             {"floor = 60%", "floor = 100%"},
             {"patience = 10s", "patience = 30s"},
@@ -202,19 +202,19 @@
         };
     }
 
-    @Test(dataProvider = "soundChanges")
-    public void parseSoundChangeIsTaken(String before, String after) {
-        assertTrue(SOUND.contains(before), "the sound template has no '" + before + "'");
+    @Test(dataProvider = "validChanges")
+    public void parseAcceptsValidChange(String before, String after) {
+        assertTrue(VALID.contains(before), "the valid template does not contain '" + before + "'");
 
-        Template template = TemplateParser.parse("t.ini", SOUND.replace(before, after));
+        Template template = TemplateParser.parse("t.ini", VALID.replace(before, after));
 
         assertEquals(template.services().size(), 2);
     }
 
     @Test
-    public void parseThreeFaultsReportsAllAndNothingElse() {
+    public void parseReportsExactlyAllFaults() {
         String text =
-                SOUND.replace("deadline = 30s", "deadline = soon")
+                VALID.replace("deadline = 30s", "deadline = soon")
                         .replace("slots = 3", "slots = many")
                         .replace("bulky = yes", "bulky = often");
 
@@ -232,34 +232,34 @@
     }
 
     @Test
-    public void parseUnreachableKindNamesTheEarlierKind() {
-        String text = SOUND.replace("POST\npath = /locks", "GET\npath = /listings/new");
+    public void parseReportsTheKindThatMakesAnotherUnreachable() {
+        String text = VALID.replace("POST\npath = /locks", "GET\npath = /listings/new");
 
         assertTrue(problemsOf(text).get(0).actual().contains("'listing'"));
     }
 
-    // An operator pastes half a file, or an editor mangles it. Whatever the text, the check must
-    // answer with problems that a person can read, never with a stack, or a VM that is handed the
-    // text later dies of it.
+    // Guards against crashes of VMs that parse a corrupted template.
     @Test
     public void parseMutatedTemplateReturnsOrThrowsSettingsException() {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(20_261_202L);
-        int sound = 0;
+        int validTexts = 0;
         for (int trial = 0; trial < MUTATIONS; trial++) {
             String text = mutate(random);
             try {
                 Template template = TemplateParser.parse("t.ini", text);
                 assertFalse(template.services().isEmpty());
-                sound++;
+                validTexts++;
             } catch (SettingsException expected) {
                 assertFalse(expected.problems().isEmpty(), text);
             }
         }
-        assertTrue(sound > 0 && sound < MUTATIONS, "both outcomes must be met, sound: " + sound);
+        assertTrue(
+                validTexts > 0 && validTexts < MUTATIONS,
+                "expected valid and invalid texts, valid: " + validTexts + " of " + MUTATIONS);
     }
 
     private static String mutate(RandomGenerator random) {
-        StringBuilder text = new StringBuilder(SOUND);
+        StringBuilder text = new StringBuilder(VALID);
         int steps = 1 + random.nextInt(4);
         for (int step = 0; step < steps; step++) {
             int from = random.nextInt(text.length());
--- a/model/src/test/java/org/dahliapass/model/burn/OutcomeHistoryTest.java
+++ b/model/src/test/java/org/dahliapass/model/burn/OutcomeHistoryTest.java
@@ -16,20 +16,20 @@
     private static final long MINUTE = 60 * SECOND;
     private static final long HOUR = 60 * MINUTE;
 
-    private final OutcomeHistory mLedger = new OutcomeHistory(3);
+    private final OutcomeHistory mHistory = new OutcomeHistory(3);
 
     @Test
-    public void recordCountsEachOutcomeApart() {
-        OutcomeHistory ledger = new OutcomeHistory(1);
-        int times = 0;
+    public void recordCountsEachOutcomeSeparately() {
+        OutcomeHistory history = new OutcomeHistory(1);
+        int count = 0;
         for (Outcome outcome : Outcome.values()) {
-            times++;
-            for (int time = 0; time < times; time++) {
-                ledger.record("himal", "desk", "lock", 0.99, outcome, START);
+            count++;
+            for (int repetition = 0; repetition < count; repetition++) {
+                history.record("himal", "desk", "lock", 0.99, outcome, START);
             }
         }
 
-        ErrorBudgetBucket bucket = ledger.buckets(START).get(0);
+        ErrorBudgetBucket bucket = history.buckets(START).get(0);
 
         assertEquals(
                 Arrays.stream(Outcome.values()).map(bucket::count).toList(),
@@ -39,29 +39,29 @@
     }
 
     @Test
-    public void recordTakesTheTemplatesWordOnWhatIsBad() {
-        OutcomeHistory ledger = new OutcomeHistory(1);
-        ledger.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, false, START);
-        ledger.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, true, START);
+    public void recordCountsBadRequestsAsGivenByTheCaller() {
+        OutcomeHistory history = new OutcomeHistory(1);
+        history.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, false, START);
+        history.record("himal", "desk", "lock", 0.99, Outcome.REFUSED, true, START);
 
-        ErrorBudgetBucket bucket = ledger.buckets(START).get(0);
+        ErrorBudgetBucket bucket = history.buckets(START).get(0);
 
         assertEquals(bucket.refused(), 2);
         assertEquals(bucket.bad(), 1);
     }
 
     @Test
-    public void bucketsCountEachRequestOnceWhateverTheTime() {
+    public void bucketsCountEachRequestOnceAtAnyTime() {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(5);
         for (int trial = 0; trial < 50; trial++) {
-            OutcomeHistory ledger = new OutcomeHistory(1);
+            OutcomeHistory history = new OutcomeHistory(1);
             long now = START + random.nextLong(HOUR);
             for (int request = 0; request < 300; request++) {
                 now += random.nextLong(MINUTE);
-                ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, now);
+                history.record("himal", "desk", "lock", 0.99, Outcome.GOOD, now);
             }
             long end = now;
-            List<ErrorBudgetBucket> buckets = ledger.buckets(end);
+            List<ErrorBudgetBucket> buckets = history.buckets(end);
 
             assertEquals(buckets.stream().mapToLong(ErrorBudgetBucket::good).sum(), 300);
             assertTrue(
@@ -72,34 +72,34 @@
     }
 
     @Test
-    public void bucketsForgetWhatIsOlderThanSixHours() {
-        OutcomeHistory ledger = new OutcomeHistory(1);
-        ledger.record("himal", "desk", "lock", 0.99, Outcome.CUT, START);
+    public void bucketsOmitOutcomesOlderThanSixHours() {
+        OutcomeHistory history = new OutcomeHistory(1);
+        history.record("himal", "desk", "lock", 0.99, Outcome.CUT, START);
 
-        assertEquals(ledger.buckets(START + 6 * HOUR).size(), 1);
-        assertEquals(ledger.buckets(START + 6 * HOUR + 5 * MINUTE).size(), 0);
+        assertEquals(history.buckets(START + 6 * HOUR).size(), 1);
+        assertEquals(history.buckets(START + 6 * HOUR + 5 * MINUTE).size(), 0);
     }
 
     @Test
-    public void recordLeavesOutNewKindsWhileFullAndSaysSo() {
+    public void recordCountsRequestsOfNewKindsAsUncountedIfFull() {
         for (String customer : List.of("a", "b", "c", "d")) {
-            mLedger.record(customer, "desk", "lock", 0.99, Outcome.GOOD, START);
+            mHistory.record(customer, "desk", "lock", 0.99, Outcome.GOOD, START);
         }
-        assertEquals(mLedger.uncounted(), 1);
-        assertEquals(mLedger.buckets(START).size(), 3);
+        assertEquals(mHistory.uncounted(), 1);
+        assertEquals(mHistory.buckets(START).size(), 3);
 
-        mLedger.record("d", "desk", "lock", 0.99, Outcome.GOOD, START + 7 * HOUR);
+        mHistory.record("d", "desk", "lock", 0.99, Outcome.GOOD, START + 7 * HOUR);
 
-        assertEquals(mLedger.uncounted(), 1);
-        assertEquals(mLedger.buckets(START + 7 * HOUR, "d"::equals).size(), 1);
+        assertEquals(mHistory.uncounted(), 1);
+        assertEquals(mHistory.buckets(START + 7 * HOUR, "d"::equals).size(), 1);
     }
 
     @Test
-    public void recordThatComesOutOfOrderIsCountedOrLeftOutButHarmsNothing() {
-        OutcomeHistory ledger = new OutcomeHistory(1);
-        ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START);
-        ledger.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START - 10 * MINUTE);
+    public void recordAcceptsOutOfOrderRequests() {
+        OutcomeHistory history = new OutcomeHistory(1);
+        history.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START);
+        history.record("himal", "desk", "lock", 0.99, Outcome.GOOD, START - 10 * MINUTE);
 
-        assertEquals(ledger.buckets(START).stream().mapToLong(ErrorBudgetBucket::good).sum(), 2);
+        assertEquals(history.buckets(START).stream().mapToLong(ErrorBudgetBucket::good).sum(), 2);
     }
 }
