--- a/gateway/src/main/java/org/dahliapass/gateway/AttemptResult.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/AttemptResult.java
@@ -3,32 +3,32 @@
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.model.Endpoint;
 
-/** How the offer of a request to one target ended. */
+/** The outcome of one attempt to send a request to a target. */
 sealed interface AttemptResult {
     /** Returns the target. */
     Endpoint target();
 
     /**
-     * The target's own answer, whole, or so large that the rest follows as it comes.
+     * The target's own response, either complete or streamed because of its size.
      *
      * @param target the target
-     * @param status its status
-     * @param response the answer for the caller
+     * @param status the HTTP status
+     * @param response the response for the caller
      */
     record Responded(Endpoint target, int status, CallerResponse response)
             implements AttemptResult {
-        /** Returns whether the target has sent all of it. */
+        /** Returns whether the target has sent the complete response. */
         boolean isComplete() {
             return response instanceof CallerResponse.Buffered;
         }
     }
 
     /**
-     * No answer that may be passed on.
+     * A failed attempt, without a response that may be forwarded.
      *
      * @param target the target
-     * @param kind what the failure proves
-     * @param cause what happened
+     * @param kind what the failure proves about the request
+     * @param cause the description for the log
      */
     record Failed(Endpoint target, FailureKind kind, String cause) implements AttemptResult {}
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CallerResponse.java
@@ -3,23 +3,23 @@
 import org.dahliapass.http.ServerCall;
 import org.dahliapass.http.ServerResponse;
 
-/** An answer that can be given to a caller once; used on the traffic thread only. */
+/** A response that can be sent to a caller once. Confined to the traffic thread. */
 interface CallerResponse {
-    /** Gives it. */
+    /** Sends the response. */
     void send(ServerCall call);
 
-    /** Lets go of an answer that nobody gets. */
+    /** Releases a response that is not sent. */
     void discard();
 
-    /** Returns an answer that is whole. */
-    static CallerResponse buffered(ServerResponse answer) {
-        return new Buffered(answer);
+    /** Returns a response whose body is complete. */
+    static CallerResponse buffered(ServerResponse response) {
+        return new Buffered(response);
     }
 
     /**
-     * An answer that is whole.
+     * A response whose body is complete.
      *
-     * @param response the answer
+     * @param response the response
      */
     record Buffered(ServerResponse response) implements CallerResponse {
         @Override
--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -27,92 +27,98 @@
 import org.dahliapass.platform.WatchResponse;
 
 /**
- * Reads the store once and follows its changes from there on, directly or through another VM.
+ * Reads the store once and then follows its changes, either directly or through another VM.
  *
- * <p>All state belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class ChangeFeed implements KernelService, StoreReader.Listener {
-    /** The name under which the kernel holds the feed. */
+    /** The service name in the kernel. */
     static final String NAME = "change-feed";
 
-    private static final String STORE = "store";
+    private static final String STORE_SOURCE = "store";
 
-    /** How soon a VM that waits for the store looks for another source, in milliseconds. */
-    private static final long LONGEST_LOOK_MILLIS = 500;
+    /** The maximum delay before a VM that waits for the store tries another source. */
+    private static final long MAX_SOURCE_RETRY_MILLIS = 500;
 
     /**
-     * How long the store holds a watch; each costs a call. A connection that went silent while
-     * others work is noticed only after this time and the client's timeout, and news are as late. A
-     * store that is silent as a whole is noticed by the renewals of the lease.
+     * The maximum duration of a watch on the store. Each watch is a billed call, but a connection
+     * that stops responding is noticed only after this time plus the client timeout. A store that
+     * stops responding altogether is noticed by the lease renewals.
      */
-    private static final Duration STORE_WATCH = Duration.ofSeconds(3);
+    private static final Duration MAX_WATCH_TIMEOUT = Duration.ofSeconds(3);
 
     /**
-     * The same for the first watch after trouble; it doubles with each answer. Guards against a
-     * store that drops its history and lets a watch wait that begins in that moment: the watch
-     * hears nothing until it is over, and changes must be in force within 2 seconds.
+     * The duration of the first watch after a failure; doubled by each response. Guards against a
+     * store that drops its history and lets a watch that starts at that moment wait until its
+     * timeout, while changes must take effect within 2 seconds.
      */
-    private static final Duration FIRST_WATCH = Duration.ofMillis(400);
+    private static final Duration INITIAL_WATCH_TIMEOUT = Duration.ofMillis(400);
 
     /**
-     * The same for a VM that is followed: it may lose power, and news must come within 2 seconds.
+     * The duration of a watch on another VM. A VM may lose power, and changes must take effect
+     * within 2 seconds.
      */
-    private static final Duration PEER_WATCH = Duration.ofMillis(900);
+    private static final Duration PEER_WATCH_TIMEOUT = Duration.ofMillis(900);
 
     /**
-     * A store that gave no answer for this long is taken for silent: between two renewals of the
-     * lease it has 0.6 s left to answer. Those that follow this VM have to hear of it well within
-     * the 2 seconds in which a change must be in force, which a waiting watch alone would not show.
+     * The time without a response after which the store counts as silent. Allows 0.6 s for a
+     * response between two lease renewals, and lets the followers of this VM learn of it within the
+     * 2 seconds in which a change must take effect.
      */
-    private static final long STORE_SILENT_MILLIS = 1_000;
+    private static final long STORE_SILENCE_LIMIT_MILLIS = 1_000;
 
-    /** How often the silence of the store is looked for; adds to the time above. */
-    private static final Duration SILENCE_CHECK = Duration.ofMillis(200);
+    /** The interval of the checks for a silent store; adds to the time above. */
+    private static final Duration SILENCE_CHECK_PERIOD = Duration.ofMillis(200);
 
     /**
-     * The pause after news, so that changes that come in a series are fetched together. Changes
-     * must be in force within 2 seconds.
+     * The delay before the next watch after changes, so that a series of changes is read in one
+     * call.
      */
-    private static final Duration GATHER = Duration.ofMillis(300);
+    private static final Duration BATCH_DELAY = Duration.ofMillis(300);
 
     /**
-     * News that are older leave room for a version that this VM should have: versions must be in
-     * force within 2 seconds, and a VM that is well hears from its source about every second.
+     * The maximum age of the last update of an up-to-date VM: a change must take effect within 2
+     * seconds, and a source responds about every second.
      */
-    private static final long NEWS_KEPT_MILLIS = 1_500;
+    private static final long MAX_UPDATE_AGE_MILLIS = 1_500;
 
-    /** How soon a VM that knows of nobody who watches the store reads it again, for its peers. */
-    private static final Duration LOOK_FOR_FLEET = Duration.ofSeconds(1);
+    /**
+     * The delay before a VM that knows no watcher of the store reads it again to find its peers.
+     */
+    private static final Duration PEER_DISCOVERY_DELAY = Duration.ofSeconds(1);
 
     private final KeyValueStore mStore;
     private final StoreBackoff mBackoff;
     private final EventLog mLog;
-    private final ChangeSourceSelector mPlan;
+    private final ChangeSourceSelector mSourceSelector;
     private final StoreMirror mMirror = new StoreMirror();
-    private final PeerStoreClients mPeers;
+    private final PeerStoreClients mPeerClients;
     private final List<Endpoint> mSeeds;
     private final List<Runnable> mListeners = new ArrayList<>();
     private ControlLoop mLoop;
     private PeriodicTask mSilenceCheck;
     private StoreFollower mFollower;
     private StoreReader mReader;
-    private volatile boolean mCurrent;
+    private volatile boolean mFollowsStore;
     private String mSource = "";
 
-    /** When this VM last heard from the store or from a VM that watches it, in milliseconds. */
-    private volatile long mHeardMillis = Long.MIN_VALUE / 2;
+    /** The time of the last update from the store or a VM that watches it, in milliseconds. */
+    private volatile long mLastUpdateMillis = Long.MIN_VALUE / 2;
 
-    /** Since when it has heard without a gap, in milliseconds; control thread only. */
-    private long mNewsSinceMillis;
+    /**
+     * The start of the current period without a gap in updates, in milliseconds; control thread
+     * only.
+     */
+    private long mUpToDateSinceMillis;
 
-    /** How long the store holds the next watch. */
-    private Duration mWatch = FIRST_WATCH;
+    /** The duration of the next watch. */
+    private Duration mWatchTimeout = INITIAL_WATCH_TIMEOUT;
 
-    /** The store's revision up to which everything was taken. */
+    /** The store's revision up to which changes are applied. */
     private long mRevision;
 
-    /** Counts the calls that wait for changes: an answer to an abandoned one says nothing. */
-    private int mFollowNumber;
+    /** The number of the current watch; the response of an earlier one is ignored. */
+    private int mWatchNumber;
 
     ChangeFeed(
             GatewaySettings settings,
@@ -121,34 +127,36 @@
             RandomGenerator random,
             EventLog log) {
         mStore = store;
-        mPeers = new PeerStoreClients(client);
+        mPeerClients = new PeerStoreClients(client);
         mBackoff = new StoreBackoff(random);
         mLog = log;
         mSeeds = settings.seeds();
-        mPlan = new ChangeSourceSelector(settings.self());
+        mSourceSelector = new ChangeSourceSelector(settings.self());
     }
 
-    /** Returns the copy of the store. */
+    /** Returns the mirror of the store. */
     StoreMirror mirror() {
         return mMirror;
     }
 
-    /** Returns whether the copy is kept up by the store itself, so that others may follow it. */
+    /** Returns whether this VM watches the store directly, so that others may follow its mirror. */
     boolean isCurrent() {
-        return mCurrent;
+        return mFollowsStore;
     }
 
     /**
-     * Returns whether this VM heard of changes so lately that a route which it doesn't know isn't
-     * in force anywhere; any thread may call this.
+     * Returns whether the last update is recent enough that a route unknown to this VM is in force
+     * nowhere; any thread may call this.
      */
     boolean isUpToDate() {
-        long heard =
-                mCurrent ? Math.max(mHeardMillis, mFollower.lastResponseMillis()) : mHeardMillis;
-        return mLoop.nowMillis() - heard <= NEWS_KEPT_MILLIS;
+        long lastUpdateMillis =
+                mFollowsStore
+                        ? Math.max(mLastUpdateMillis, mFollower.lastResponseMillis())
+                        : mLastUpdateMillis;
+        return mLoop.nowMillis() - lastUpdateMillis <= MAX_UPDATE_AGE_MILLIS;
     }
 
-    /** Adds what is run when there may be something new for those that follow this VM. */
+    /** Registers a listener that runs when there may be changes for the followers of this VM. */
     void addListener(Runnable listener) {
         mListeners.add(listener);
     }
@@ -157,16 +165,16 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
-        mFollower.setUpToDateSince(this::newsSinceMillis);
-        mReader = new StoreReader(mLoop, mStore, mPeers, mSeeds, mBackoff, mLog, this);
+        mFollower.setUpToDateSince(this::upToDateSinceMillis);
+        mReader = new StoreReader(mLoop, mStore, mPeerClients, mSeeds, mBackoff, mLog, this);
         mLoop.execute(this::readStore);
-        mSilenceCheck = new PeriodicTask(mLoop, SILENCE_CHECK, this::leaveSilentStore);
+        mSilenceCheck = new PeriodicTask(mLoop, SILENCE_CHECK_PERIOD, this::leaveStoreIfSilent);
         return CompletableFuture.completedFuture(null);
     }
 
     /**
-     * Reads all of the store. The first read may be answered from an older state at a tenth of the
-     * price: what changed since is told by the watch that goes on from the revision of the read.
+     * Reads the whole store. A stale response is enough for the first read and costs a tenth,
+     * because the watch continues from the revision of the read.
      */
     private void readStore() {
         mReader.read(mSource.isEmpty() ? Consistency.STALE_ALLOWED : Consistency.LINEARIZABLE);
@@ -175,11 +183,11 @@
     @Override
     public void onSnapshot(List<StoredItem> items, long revision) {
         if (revision < mRevision) {
-            // An older state than the one known here; what it lacks is known already.
+            // The snapshot is older than the state of this VM.
             follow(mRevision);
             return;
         }
-        takeAll(items, revision);
+        applySnapshot(items, revision);
     }
 
     @Override
@@ -193,181 +201,187 @@
         mFollower.onStoreResponse();
     }
 
-    private void takeAll(List<StoredItem> items, long revision) {
-        noteNews();
+    private void applySnapshot(List<StoredItem> items, long revision) {
+        recordUpdate();
         mMirror.load(items, revision);
         mRevision = revision;
         mFollower.applySnapshot(items);
-        step();
+        notifyListeners();
         follow(revision);
     }
 
-    /** Waits for the next changes, where the plan says. */
+    /** Watches the selected source for changes after a revision. */
     private void follow(long revision) {
         long now = mLoop.nowMillis();
         AddressPlan plan = mFollower.view().plan();
-        mFollowNumber++;
+        mWatchNumber++;
         if (plan.watchers().isEmpty() && mSource.isEmpty()) {
-            // A whole fleet starts: the entries of the others are about to come.
-            mLoop.schedule(LOOK_FOR_FLEET, this::readStore);
+            // The whole fleet is starting; the entries of the other VMs are about to be written.
+            mLoop.schedule(PEER_DISCOVERY_DELAY, this::readStore);
             return;
         }
-        boolean storeAnswers = !mFollower.isStoreUnavailable() && !isStoreSilent();
-        ChangeSource upstream = mPlan.choose(plan, storeAnswers, mHeardMillis, now);
+        boolean isStoreResponding = !mFollower.isStoreUnavailable() && !isStoreSilent();
+        ChangeSource upstream =
+                mSourceSelector.choose(plan, isStoreResponding, mLastUpdateMillis, now);
         if (upstream instanceof ChangeSource.Vm source) {
-            noteSource(source.vm().name());
+            switchSource(source.vm().name());
             followPeer(source.vm(), revision);
             return;
         }
         long pause =
                 upstream instanceof ChangeSource.RetryLater later
                         ? later.delayMillis()
-                        : Math.min(LONGEST_LOOK_MILLIS, mBackoff.remainingMillis(now));
+                        : Math.min(MAX_SOURCE_RETRY_MILLIS, mBackoff.remainingMillis(now));
         if (pause > 0) {
-            int number = mFollowNumber;
-            setNotCurrent();
-            mLoop.schedule(Duration.ofMillis(pause), () -> followAgain(number, revision));
+            int watchNumber = mWatchNumber;
+            stopServingFollowers();
+            mLoop.schedule(Duration.ofMillis(pause), () -> resumeFollowing(watchNumber, revision));
             return;
         }
-        noteSource(STORE);
+        switchSource(STORE_SOURCE);
         followStore(revision);
     }
 
     private boolean isStoreSilent() {
-        return mLoop.nowMillis() - mFollower.lastResponseMillis() > STORE_SILENT_MILLIS;
+        return mLoop.nowMillis() - mFollower.lastResponseMillis() > STORE_SILENCE_LIMIT_MILLIS;
     }
 
     /**
-     * Guards against a store that falls silent towards this VM only. It shows as a watch that
-     * simply goes on waiting, while a change is acknowledged to the operator; all that follow this
-     * VM would serve by the old configuration until the watch times out. They are turned away at
-     * once instead, and this VM follows another one that still hears from the store.
+     * Stops following the store if it is silent.
+     *
+     * <p>Guards against a store that is silent towards this VM only: the watch keeps waiting
+     * although a change was acknowledged to the operator, and all followers of this VM would serve
+     * by the old configuration until the watch times out. This VM rejects its followers at once and
+     * follows another VM that still receives changes.
      */
-    private Optional<Duration> leaveSilentStore() {
-        if (!mCurrent) {
+    private Optional<Duration> leaveStoreIfSilent() {
+        if (!mFollowsStore) {
             return Optional.empty();
         }
         if (!isStoreSilent()) {
-            return Optional.of(SILENCE_CHECK);
+            return Optional.of(SILENCE_CHECK_PERIOD);
         }
         mLog.write(
                 EventLog.Kind.DEPENDENCY,
                 "store_silent",
                 line -> line.put("silent_ms", mLoop.nowMillis() - mFollower.lastResponseMillis()));
-        setNotCurrent();
+        stopServingFollowers();
         follow(mRevision);
         return Optional.empty();
     }
 
-    /** Returns whether this VM waits for changes at the store itself; control thread only. */
+    /** Returns whether this VM watches the store directly; control thread only. */
     boolean followsStore() {
-        return mCurrent;
+        return mFollowsStore;
     }
 
-    private void noteSource(String name) {
+    private void switchSource(String name) {
         if (name.equals(mSource)) {
             return;
         }
-        String before = mSource;
+        String previous = mSource;
         mSource = name;
-        mWatch = FIRST_WATCH;
-        forgetOldPeers();
+        mWatchTimeout = INITIAL_WATCH_TIMEOUT;
+        removeUnusedClients();
         mLog.write(
                 EventLog.Kind.DEPENDENCY,
                 "following",
-                line -> line.put("source", name).put("before", before));
+                line -> line.put("source", name).put("before", previous));
     }
 
-    private void forgetOldPeers() {
-        Set<Endpoint> known =
+    private void removeUnusedClients() {
+        Set<Endpoint> endpoints =
                 mFollower.view().vms().stream()
                         .map(FleetVm::peerEndpoint)
                         .collect(Collectors.toSet());
-        known.addAll(mSeeds);
-        mPeers.retain(known);
+        endpoints.addAll(mSeeds);
+        mPeerClients.retain(endpoints);
     }
 
     private void followStore(long revision) {
-        int number = mFollowNumber;
+        int watchNumber = mWatchNumber;
         StoreReader.onControlThread(
                 mLoop,
-                mStore.watch(StoreReader.ALL_KEYS, revision, mWatch),
-                answer -> {
+                mStore.watch(StoreReader.ALL_KEYS, revision, mWatchTimeout),
+                response -> {
                     onStoreResponse();
-                    lengthenWatch(answer);
-                    if (number == mFollowNumber) {
-                        mCurrent = true;
+                    extendWatchTimeout(response);
+                    if (watchNumber == mWatchNumber) {
+                        mFollowsStore = true;
                         mSilenceCheck.wake();
-                        take(revision, answer, this::readStore, GATHER);
+                        applyWatchResponse(revision, response, this::readStore, BATCH_DELAY);
                     }
                 },
                 failure -> {
-                    if (number == mFollowNumber) {
+                    if (watchNumber == mWatchNumber) {
                         onStoreFailure(failure);
                         follow(revision);
                     }
                 });
     }
 
-    private void lengthenWatch(WatchResponse answer) {
-        if (answer instanceof WatchResponse.Compacted) {
-            mWatch = FIRST_WATCH;
+    private void extendWatchTimeout(WatchResponse response) {
+        if (response instanceof WatchResponse.Compacted) {
+            mWatchTimeout = INITIAL_WATCH_TIMEOUT;
             return;
         }
-        Duration longer = mWatch.multipliedBy(2);
-        mWatch = longer.compareTo(STORE_WATCH) < 0 ? longer : STORE_WATCH;
+        Duration doubled = mWatchTimeout.multipliedBy(2);
+        mWatchTimeout = doubled.compareTo(MAX_WATCH_TIMEOUT) < 0 ? doubled : MAX_WATCH_TIMEOUT;
     }
 
-    /** Goes on waiting for changes, unless that was begun anew meanwhile. */
-    private void followAgain(int number, long revision) {
-        if (number == mFollowNumber) {
+    /** Continues to follow, unless a newer watch was started meanwhile. */
+    private void resumeFollowing(int watchNumber, long revision) {
+        if (watchNumber == mWatchNumber) {
             follow(revision);
         }
     }
 
     private void followPeer(FleetVm peer, long revision) {
-        int number = mFollowNumber;
-        setNotCurrent();
+        int watchNumber = mWatchNumber;
+        stopServingFollowers();
         StoreReader.onControlThread(
                 mLoop,
-                mPeers.clientFor(peer.peerEndpoint())
-                        .watch(StoreReader.ALL_KEYS, revision, PEER_WATCH),
-                answer -> {
-                    if (number == mFollowNumber) {
-                        take(revision, answer, () -> readPeer(peer, revision), Duration.ZERO);
+                mPeerClients
+                        .clientFor(peer.peerEndpoint())
+                        .watch(StoreReader.ALL_KEYS, revision, PEER_WATCH_TIMEOUT),
+                response -> {
+                    if (watchNumber == mWatchNumber) {
+                        applyWatchResponse(
+                                revision, response, () -> readPeer(peer, revision), Duration.ZERO);
                     }
                 },
                 failure -> {
                     onPeerFailed(peer, failure);
-                    followAgain(number, revision);
+                    resumeFollowing(watchNumber, revision);
                 });
     }
 
     private void onPeerFailed(FleetVm peer, Throwable failure) {
-        Throwable step = Futures.unwrap(failure);
-        // Without a cause the VM answered, and refused.
-        Throwable cause = Futures.unwrap(step.getCause());
+        Throwable exception = Futures.unwrap(failure);
+        // An exception without a cause is an error status from the VM.
+        Throwable cause = Futures.unwrap(exception.getCause());
         if (cause instanceof TimeoutException) {
-            mPlan.onTimeout(peer, mLoop.nowMillis());
+            mSourceSelector.onTimeout(peer, mLoop.nowMillis());
         } else if (cause == null) {
-            mPlan.onUnavailable(peer, mLoop.nowMillis());
+            mSourceSelector.onUnavailable(peer, mLoop.nowMillis());
         } else {
-            mPlan.onConnectionFailure(peer, mLoop.nowMillis());
+            mSourceSelector.onConnectionFailure(peer, mLoop.nowMillis());
         }
     }
 
-    /** Reads the copy of a VM; one that is older than what is known here is of no use. */
+    /** Reads the mirror of another VM and ignores it if it is older than the state of this VM. */
     private void readPeer(FleetVm peer, long revision) {
         StoreReader.onControlThread(
                 mLoop,
-                mPeers.clientFor(peer.peerEndpoint())
+                mPeerClients
+                        .clientFor(peer.peerEndpoint())
                         .range(StoreReader.ALL_KEYS, "", Consistency.STALE_ALLOWED),
                 page -> {
                     if (page.revision() >= revision) {
-                        takeAll(page.items(), page.revision());
+                        applySnapshot(page.items(), page.revision());
                         return;
                     }
-                    mPlan.onUnavailable(peer, mLoop.nowMillis());
+                    mSourceSelector.onUnavailable(peer, mLoop.nowMillis());
                     readStore();
                 },
                 failure -> {
@@ -376,36 +390,37 @@
                 });
     }
 
-    private void noteNews() {
+    private void recordUpdate() {
         long now = mLoop.nowMillis();
-        if (now - mHeardMillis > NEWS_KEPT_MILLIS) {
-            mNewsSinceMillis = now;
+        if (now - mLastUpdateMillis > MAX_UPDATE_AGE_MILLIS) {
+            mUpToDateSinceMillis = now;
         }
-        mHeardMillis = now;
+        mLastUpdateMillis = now;
     }
 
     /**
-     * Returns since when this VM has heard of changes without a gap, in milliseconds; the greatest
-     * number if it hasn't heard lately.
+     * Returns the start of the current period without a gap in updates, in milliseconds, or {@link
+     * Long#MAX_VALUE} if the last update is too old.
      */
-    private long newsSinceMillis() {
-        boolean recent = mLoop.nowMillis() - mHeardMillis <= NEWS_KEPT_MILLIS;
-        return recent ? mNewsSinceMillis : Long.MAX_VALUE;
+    private long upToDateSinceMillis() {
+        boolean recent = mLoop.nowMillis() - mLastUpdateMillis <= MAX_UPDATE_AGE_MILLIS;
+        return recent ? mUpToDateSinceMillis : Long.MAX_VALUE;
     }
 
-    private void take(long revision, WatchResponse answer, Runnable readAgain, Duration pause) {
-        noteNews();
-        if (answer instanceof WatchResponse.Changes changes) {
+    private void applyWatchResponse(
+            long revision, WatchResponse response, Runnable readAgain, Duration pause) {
+        recordUpdate();
+        if (response instanceof WatchResponse.Changes changes) {
             mMirror.apply(changes.events(), changes.revision());
             mFollower.applyEvents(changes.events());
-            step();
-            long next = Math.max(revision, changes.revision());
-            mRevision = next;
+            notifyListeners();
+            long nextRevision = Math.max(revision, changes.revision());
+            mRevision = nextRevision;
             if (changes.events().isEmpty() || pause.isZero()) {
-                follow(next);
+                follow(nextRevision);
             } else {
-                int number = mFollowNumber;
-                mLoop.schedule(pause, () -> followAgain(number, next));
+                int watchNumber = mWatchNumber;
+                mLoop.schedule(pause, () -> resumeFollowing(watchNumber, nextRevision));
             }
             return;
         }
@@ -416,27 +431,27 @@
         if (pause.isZero()) {
             readAgain.run();
         } else {
-            // Guards against a store that forgets all the time: whole reads without a pause.
+            // Guards against continuous whole reads from a store that keeps dropping its history.
             mLoop.schedule(pause, readAgain);
         }
     }
 
     @Override
     public void onStoreFailure(Throwable failure) {
-        mWatch = FIRST_WATCH;
+        mWatchTimeout = INITIAL_WATCH_TIMEOUT;
         mBackoff.onFailure(mLoop.nowMillis());
         mFollower.onStoreFailure(failure);
-        setNotCurrent();
+        stopServingFollowers();
     }
 
-    private void setNotCurrent() {
-        if (mCurrent) {
-            mCurrent = false;
-            step();
+    private void stopServingFollowers() {
+        if (mFollowsStore) {
+            mFollowsStore = false;
+            notifyListeners();
         }
     }
 
-    private void step() {
+    private void notifyListeners() {
         mListeners.forEach(Runnable::run);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/CountedStore.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/CountedStore.java
@@ -14,23 +14,22 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
- * Counts the calls to the store by kind, which its operators pay for one by one.
+ * A {@link KeyValueStore} that counts the calls by kind, because the platform bills each call.
  *
- * <p>Any thread may call the store; the counts are told from the control thread.
+ * <p>Any thread may call the store; the counts are logged by the control thread.
  */
 final class CountedStore implements KeyValueStore {
-    /** A line for each VM that called; short enough to tell a burst from a steady pace. */
-    private static final Duration PERIOD = Duration.ofSeconds(10);
+    private static final Duration LOG_PERIOD = Duration.ofSeconds(10);
 
     private final KeyValueStore mStore;
     private final EntryMetrics mMetrics;
     private final EventLog mLog;
-    private final PeriodicTask mTelling;
+    private final PeriodicTask mLogTask;
 
-    /** Calls since the last line; guarded by itself. */
+    /** Calls since the last log line; guarded by itself. */
     private final Map<Call, Integer> mCalls = new EnumMap<>(Call.class);
 
-    /** The kinds of calls; the store charges an old read and a renewal a tenth of the others. */
+    /** The kinds of calls. Stale reads and renewals cost a tenth of the other kinds. */
     private enum Call {
         READ,
         OLD_READ,
@@ -45,7 +44,7 @@
         mStore = store;
         mMetrics = metrics;
         mLog = log;
-        mTelling = new PeriodicTask(loop, PERIOD, this::tell);
+        mLogTask = new PeriodicTask(loop, LOG_PERIOD, this::logCalls);
     }
 
     private void count(Call call) {
@@ -53,10 +52,10 @@
         synchronized (mCalls) {
             mCalls.merge(call, 1, Integer::sum);
         }
-        mTelling.wake();
+        mLogTask.wake();
     }
 
-    private Optional<Duration> tell() {
+    private Optional<Duration> logCalls() {
         Map<Call, Integer> calls;
         synchronized (mCalls) {
             calls = new EnumMap<>(mCalls);
@@ -73,9 +72,10 @@
     }
 
     @Override
-    public CompletableFuture<RangePage> range(String prefix, String after, Consistency freshness) {
-        count(freshness == Consistency.LINEARIZABLE ? Call.READ : Call.OLD_READ);
-        return mStore.range(prefix, after, freshness);
+    public CompletableFuture<RangePage> range(
+            String prefix, String after, Consistency consistency) {
+        count(consistency == Consistency.LINEARIZABLE ? Call.READ : Call.OLD_READ);
+        return mStore.range(prefix, after, consistency);
     }
 
     @Override
--- a/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/DiscoveryHandler.java
@@ -9,7 +9,7 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.DiscoveryCalls;
 
-/** Tells callers which addresses to use. */
+/** Serves discovery requests: returns the addresses of the VMs that a caller should use. */
 final class DiscoveryHandler implements RequestHandler {
     private final GatewaySettings mSettings;
     private final GatewayState mState;
@@ -29,11 +29,11 @@
                         .view()
                         .plan()
                         .addresses(
-                                named(
+                                parameter(
                                         query,
                                         DiscoveryCalls.ZONE,
                                         mSettings.self().availabilityZone()),
-                                named(query, DiscoveryCalls.REGION, mSettings.self().region()));
+                                parameter(query, DiscoveryCalls.REGION, mSettings.self().region()));
         if (addresses.isEmpty() && mState.phase().isReady()) {
             addresses = List.of(mSettings.self().callerEndpoint());
         }
@@ -45,8 +45,8 @@
                                 DiscoveryCalls.encode(addresses, mSettings.addressTimeToLive())));
     }
 
-    private static String named(QueryStringDecoder query, String name, String otherwise) {
+    private static String parameter(QueryStringDecoder query, String name, String defaultValue) {
         List<String> values = query.parameters().get(name);
-        return values == null ? otherwise : values.get(0);
+        return values == null ? defaultValue : values.get(0);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/EventLog.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/EventLog.java
@@ -12,39 +12,40 @@
 import org.dahliapass.kernel.JsonObject;
 
 /**
- * Writes one JSON object a line for each decision, without ever holding up who logs.
+ * A log of decisions with one JSON object per line, which never blocks its callers.
  *
- * <p>Lines wait in a bounded queue for one writing thread. Guards against a reader of the output
- * that stalls: the pipe fills, the writing thread blocks, and the queue drops what doesn't fit
- * instead of blocking a request. What was dropped is counted and told in a later line. Each kind of
- * line has a budget a second, so that a flood of one kind neither costs the processor nor pushes
- * out the others.
+ * <p>A bounded queue feeds one writer thread. If the reader of the output stalls, the writer blocks
+ * and the queue drops further lines instead of delaying requests; the number of dropped lines is
+ * part of a later line. Each kind of line has a budget per second, so that a burst of one kind
+ * neither consumes the processor nor displaces the other kinds.
+ *
+ * <p>Thread-safe.
  */
 public final class EventLog {
-    /** Lines that may wait; at 300 bytes each about 300 KB. */
-    private static final int QUEUE_LINES = 1_000;
+    /** About 300 KB at 300 bytes per line. */
+    private static final int MAX_QUEUED_LINES = 1_000;
 
     private static final long SECOND_MILLIS = 1_000;
 
     private final Clock mClock;
     private final String mVm;
     private final PrintStream mOutput;
-    private final BlockingQueue<JsonObject> mQueue = new ArrayBlockingQueue<>(QUEUE_LINES);
-    private final Map<Kind, Integer> mWritten = new EnumMap<>(Kind.class);
-    private long mSecond;
+    private final BlockingQueue<JsonObject> mQueue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final Map<Kind, Integer> mLinesThisSecond = new EnumMap<>(Kind.class);
+    private long mCurrentSecond;
     private long mDropped;
 
-    /** The kinds of lines, each with the most lines that it may have in a second. */
+    /** The kinds of lines, each with its maximum number of lines per second. */
     public enum Kind {
-        /** The process starts, stops or reads its settings again. */
+        /** The process starts, stops or reloads its settings. */
         LIFE(50),
-        /** A dependency was lost or is back. */
+        /** A dependency fails or recovers. */
         DEPENDENCY(20),
-        /** What the VM carries, and which of its resources is short. */
+        /** The load of the VM and its resources. */
         LOAD(2),
-        /** What the VM believes of configuration, targets or fellow VMs has changed. */
+        /** The known state of the configuration, the targets or the VMs changes. */
         BELIEF(200),
-        /** How one request was decided on and how it ended. */
+        /** The decisions on one request and its outcome. */
         REQUEST(200);
 
         private final int mLinesPerSecond;
@@ -55,10 +56,10 @@
     }
 
     /**
-     * Starts the writing thread.
+     * Starts the writer thread.
      *
-     * @param vm the name of this VM, which stands in each line
-     * @param output where lines go; may block
+     * @param vm the name of this VM, which is part of each line
+     * @param output the destination of the lines; may block
      */
     public EventLog(Clock clock, String vm, PrintStream output) {
         mClock = clock;
@@ -70,16 +71,16 @@
     }
 
     /**
-     * Writes a line, unless its kind's budget or the queue is used up.
+     * Writes a line, unless the budget of its kind or the queue is exhausted.
      *
-     * @param event what happened, as a short name
-     * @param fields adds the inputs and the outcome; not called for a line that is dropped
+     * @param event the short name of the event
+     * @param fields adds the inputs and the outcome; not called for a line over the budget
      */
     public void write(Kind kind, String event, Consumer<JsonObject> fields) {
         long now = mClock.millis();
         long dropped;
         synchronized (this) {
-            if (!takeBudget(kind, now)) {
+            if (!tryAcquire(kind, now)) {
                 mDropped++;
                 return;
             }
@@ -102,12 +103,12 @@
         mDropped += lines;
     }
 
-    private boolean takeBudget(Kind kind, long now) {
-        if (now / SECOND_MILLIS != mSecond) {
-            mSecond = now / SECOND_MILLIS;
-            mWritten.clear();
+    private boolean tryAcquire(Kind kind, long now) {
+        if (now / SECOND_MILLIS != mCurrentSecond) {
+            mCurrentSecond = now / SECOND_MILLIS;
+            mLinesThisSecond.clear();
         }
-        return mWritten.merge(kind, 1, Integer::sum) <= kind.mLinesPerSecond;
+        return mLinesThisSecond.merge(kind, 1, Integer::sum) <= kind.mLinesPerSecond;
     }
 
     private void writeAll() {
@@ -117,7 +118,7 @@
                 mOutput.write(line, 0, line.length);
                 mOutput.flush();
             }
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayMain.java
@@ -19,10 +19,10 @@
 
 /** The binary {@code dahliapass-gateway}: one gateway VM. */
 public final class GatewayMain extends Program {
-    private static final Duration STOP_LIMIT = Duration.ofMinutes(1);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofMinutes(1);
 
-    /** Connections without requests close at once; a thread that is stuck must not hold the end. */
-    private static final Duration CLOSE_LIMIT = Duration.ofMillis(250);
+    /** Idle connections close at once; a blocked thread must not delay the exit. */
+    private static final Duration CLOSE_TIMEOUT = Duration.ofMillis(250);
 
     private final CountDownLatch mStopRequested = new CountDownLatch(1);
     private final CountDownLatch mStopped = new CountDownLatch(1);
@@ -31,20 +31,20 @@
     private GatewayMain() {
         super(
                 "dahliapass-gateway",
-                "An entry VM that takes routes, targets and fellow VMs from the platform's store.");
+                "A gateway VM that reads its routes, targets and peers from the platform's store.");
     }
 
     /** Runs until SIGTERM, then drains. */
     public static void main(String[] arguments) {
         ExitCode code = new GatewayMain().main(arguments, System.out, System.err);
-        // The hook that waits for the drain runs on SIGTERM, when the runtime is ending already.
+        // The shutdown hook waits for the drain, and the runtime is shutting down already.
         Runtime.getRuntime().halt(code.code());
     }
 
     @Override
     protected void declareOptions(OptionParser parser) {
         mSettings =
-                parser.accepts("settings", "The VM's settings file (INI).")
+                parser.accepts("settings", "The settings file of the VM (INI).")
                         .withRequiredArg()
                         .required();
     }
@@ -57,7 +57,7 @@
         EventLog log = new EventLog(clock, settings.self().name(), System.out);
         GatewayVm vm = new GatewayVm(settings, clock, log);
         SighupHandler.install(() -> reload(path, log));
-        Runtime.getRuntime().addShutdownHook(new Thread(this::onSignal, "stop"));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::onTerminate, "stop"));
         start(vm);
         log.write(
                 EventLog.Kind.LIFE,
@@ -82,12 +82,12 @@
     }
 
     /**
-     * Ends the thread that serves connections. The runtime waits 300 ms for a thread that waits in
-     * the kernel before it halts, which is a third of what is left of the grace.
+     * Closes the connections and stops their thread. The runtime waits 300 ms for a thread that is
+     * blocked in the kernel before it halts, a third of the remaining stop timeout.
      */
     private static void closeConnections(GatewayVm vm, EventLog log) throws InterruptedException {
         try {
-            vm.stopNow().get(CLOSE_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+            vm.stopNow().get(CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException failure) {
             log.write(
                     EventLog.Kind.LIFE,
@@ -111,12 +111,13 @@
         }
     }
 
-    /** The runtime ends with its hooks, so the hook waits until the VM has drained. */
-    private void onSignal() {
+    /** Starts the drain and waits for its end, since the runtime halts when its hooks return. */
+    private void onTerminate() {
         mStopRequested.countDown();
         try {
-            if (!mStopped.await(STOP_LIMIT.toMillis(), TimeUnit.MILLISECONDS)) {
-                System.err.println("dahliapass-gateway: draining took too long.");
+            if (!mStopped.await(DRAIN_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+                System.err.println(
+                        "dahliapass-gateway: draining exceeded the time limit of 1 minute.");
             }
         } catch (InterruptedException failure) {
             Thread.currentThread().interrupt();
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -6,7 +6,7 @@
 import org.dahliapass.http.ServerResponse;
 import org.dahliapass.kernel.JsonObject;
 
-/** The answers that this VM gives in place of a target's. */
+/** The responses that a gateway VM creates itself instead of forwarding those of targets. */
 final class GatewayResponses {
     static final int BAD_GATEWAY = 502;
     static final int UNAVAILABLE = 503;
@@ -14,11 +14,11 @@
 
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Callers wait for a third of the time that they have left at most. */
-    private static final double LONGEST_WAIT_SHARE = 1.0 / 3;
+    /** The maximum share of the remaining time that a caller is told to wait. */
+    private static final double MAX_WAIT_SHARE = 1.0 / 3;
 
-    /** The shortest wait, in milliseconds: about the time in which a target's slot comes free. */
-    private static final long SHORTEST_WAIT_MILLIS = 150;
+    /** About the time until a slot of a target is released. */
+    private static final long MIN_WAIT_MILLIS = 150;
 
     private final RandomGenerator mRandom;
 
@@ -26,80 +26,86 @@
         mRandom = random;
     }
 
-    /** Draws when a refused caller shall come back, so that not all come at once. */
+    /**
+     * Returns a random Retry-After delay, in milliseconds, which spreads the retries of callers.
+     *
+     * @param remainingMillis the time left until the deadline, in milliseconds
+     */
     long retryAfterMillis(long remainingMillis) {
-        double most = remainingMillis * LONGEST_WAIT_SHARE;
-        double spread = Math.max(0, most - SHORTEST_WAIT_MILLIS);
-        return Math.round(SHORTEST_WAIT_MILLIS + spread * mRandom.nextDouble());
+        double maxMillis = remainingMillis * MAX_WAIT_SHARE;
+        double rangeMillis = Math.max(0, maxMillis - MIN_WAIT_MILLIS);
+        return Math.round(MIN_WAIT_MILLIS + rangeMillis * mRandom.nextDouble());
     }
 
-    /** Refuses a request that has not run and never will. */
-    CallerResponse refused(long comeBackMillis) {
-        return answer(
+    /** Returns the 503 response to a request that has not run and never will. */
+    CallerResponse refused(long retryAfterMillis) {
+        return response(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
-                comeBackMillis,
-                "The request was not run. Come back after the time in Retry-After.");
+                retryAfterMillis,
+                "The request was not executed. Retry after the delay in Retry-After.");
     }
 
-    /** Refuses a request that has not run, as targets end under requests like it. */
-    CallerResponse quarantined(long comeBackMillis) {
-        return answer(
+    /** Returns the 503 response to a quarantined request, which has not run. */
+    CallerResponse quarantined(long retryAfterMillis) {
+        return response(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
-                comeBackMillis,
-                "The request was not run: targets ended under requests like it. Come back after"
-                        + " the time in Retry-After.");
+                retryAfterMillis,
+                "The request was not executed because it is quarantined. Retry after"
+                        + " the delay in Retry-After.");
     }
 
-    /** Ends a request that may have run and got no answer. */
+    /** Returns the 502 response to a request that may have run without a response. */
     CallerResponse failed() {
-        return answer(
+        return response(
                 HttpResponseStatus.BAD_GATEWAY,
                 0,
-                "A target failed while it had the request, which may have run.");
+                "A target failed while it had the request, which may have been executed.");
     }
 
-    /** Ends a request whose time is over while a target had it. */
+    /** Returns the 504 response to a request whose deadline passed while a target had it. */
     CallerResponse timedOut() {
-        return answer(
+        return response(
                 HttpResponseStatus.GATEWAY_TIMEOUT,
                 0,
-                "The time is over while a target had the request, which may have run.");
+                "The deadline passed while a target had the request, which may have run.");
     }
 
-    /** Answers a request that matches no route. */
+    /** Returns the 404 response to a request that matches no route. */
     CallerResponse noRoute() {
-        return answer(HttpResponseStatus.NOT_FOUND, 0, "No route takes this host and path.");
+        return response(HttpResponseStatus.NOT_FOUND, 0, "No route matches this host and path.");
     }
 
-    /** Answers a request that has no id. */
+    /** Returns the 400 response to a request without an attempt id. */
     CallerResponse missingAttemptId() {
-        return answer(HttpResponseStatus.BAD_REQUEST, 0, "The request has no attempt id.");
+        return response(HttpResponseStatus.BAD_REQUEST, 0, "The attempt id header is missing.");
     }
 
-    /** Answers a request whose head is too large. */
+    /** Returns the 431 response to a request whose head is too large. */
     CallerResponse headTooLarge() {
-        return answer(
+        return response(
                 HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                 0,
-                "The head is larger than allowed. Send fewer or shorter headers.");
+                "The request head exceeds the size limit. Send fewer or shorter headers.");
     }
 
-    /** Answers a request whose body is too large. */
+    /** Returns the 413 response to a request whose body is too large. */
     CallerResponse bodyTooLarge() {
-        return answer(
-                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0, "The body is larger than allowed.");
+        return response(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                0,
+                "The request body exceeds the size limit.");
     }
 
-    private static CallerResponse answer(
-            HttpResponseStatus status, long comeBackMillis, String message) {
-        ServerResponse answer =
+    private static CallerResponse response(
+            HttpResponseStatus status, long retryAfterMillis, String message) {
+        ServerResponse response =
                 ServerResponse.json(status, new JsonObject().put("message", message).toString());
-        if (comeBackMillis > 0) {
-            answer.headers()
+        if (retryAfterMillis > 0) {
+            response.headers()
                     .set(
                             HttpHeaderNames.RETRY_AFTER,
-                            Double.toString(comeBackMillis / MILLIS_PER_SECOND));
+                            Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
         }
-        return CallerResponse.buffered(answer);
+        return CallerResponse.buffered(response);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayServers.java
@@ -20,18 +20,15 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
- * The HTTP servers of a VM: one for callers' requests, one for asks and readiness, and one for what
- * only the fleet and its operators may see, the copy of the store and the metrics.
+ * The HTTP servers of a VM: one for proxied requests, one for discovery and readiness, and an
+ * internal one for the fleet and its operators that serves the mirror of the store and the metrics.
  */
 final class GatewayServers implements KernelService {
-    /** The name under which the kernel holds the servers. */
+    /** The service name in the kernel. */
     static final String NAME = "servers";
 
-    /**
-     * What clients may take before there is a configuration, and at the addresses of which it says
-     * nothing. A head comes in one piece mostly; an idle connection costs little.
-     */
-    private static final ServerTimeouts LIMITS =
+    /** The timeouts before the first configuration and on the servers that it does not cover. */
+    private static final ServerTimeouts DEFAULT_TIMEOUTS =
             new ServerTimeouts(
                     Duration.ofSeconds(10), Duration.ofSeconds(30), Duration.ofMinutes(2));
 
@@ -39,21 +36,21 @@
     private final GatewayState mState;
     private final EntryMetrics mMetrics;
     private final ProxyHandler mProxy;
-    private final DiscoveryHandler mAsks;
+    private final DiscoveryHandler mDiscovery;
     private final MirrorService mMirror;
     private final EventLoopGroup mLoops;
     private final Clock mClock;
     private final StoreFollower mFollower;
-    private HttpServer mCallers;
-    private HttpServer mAskers;
-    private HttpServer mPeers;
+    private HttpServer mCallerServer;
+    private HttpServer mDiscoveryServer;
+    private HttpServer mInternalServer;
 
     GatewayServers(
             GatewaySettings settings,
             GatewayState state,
             EntryMetrics metrics,
             ProxyHandler proxy,
-            DiscoveryHandler asks,
+            DiscoveryHandler discovery,
             MirrorService mirror,
             EventLoopGroup loops,
             Clock clock,
@@ -62,7 +59,7 @@
         mState = state;
         mMetrics = metrics;
         mProxy = proxy;
-        mAsks = asks;
+        mDiscovery = discovery;
         mMirror = mirror;
         mLoops = loops;
         mClock = clock;
@@ -71,44 +68,44 @@
 
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
-        mCallers = new HttpServer(mLoops, mProxy, mClock, this::callersLimits);
-        mAskers =
+        mCallerServer = new HttpServer(mLoops, mProxy, mClock, this::callerTimeouts);
+        mDiscoveryServer =
                 server(
                         new PathRouter()
-                                .add(DiscoveryCalls.DISCOVERY_PATH, mAsks)
+                                .add(DiscoveryCalls.DISCOVERY_PATH, mDiscovery)
                                 .add(
                                         DiscoveryCalls.READINESS_PATH,
                                         call -> call.respond(ServerResponse.of(readiness()))));
-        mPeers =
+        mInternalServer =
                 server(
                         new PathRouter()
                                 .add(StoreCalls.RANGE_PATH, mMirror::range)
                                 .add(StoreCalls.WATCH_PATH, mMirror::watch)
                                 .add("/metrics", call -> call.respond(metrics())));
         List<CompletableFuture<Void>> started = new ArrayList<>();
-        started.add(mCallers.listen(mSettings.self().callerEndpoint()));
-        started.add(mAskers.listen(mSettings.discovery()));
-        started.add(mAskers.listen(mSettings.readiness()));
-        started.add(mPeers.listen(mSettings.self().peerEndpoint()));
-        started.add(mPeers.listen(mSettings.control()));
-        mSettings.metrics().ifPresent(endpoint -> started.add(mPeers.listen(endpoint)));
+        started.add(mCallerServer.listen(mSettings.self().callerEndpoint()));
+        started.add(mDiscoveryServer.listen(mSettings.discovery()));
+        started.add(mDiscoveryServer.listen(mSettings.readiness()));
+        started.add(mInternalServer.listen(mSettings.self().peerEndpoint()));
+        started.add(mInternalServer.listen(mSettings.control()));
+        mSettings.metrics().ifPresent(endpoint -> started.add(mInternalServer.listen(endpoint)));
         return CompletableFuture.allOf(started.toArray(CompletableFuture<?>[]::new));
     }
 
     private HttpServer server(RequestHandler handler) {
-        return new HttpServer(mLoops, handler, mClock, () -> LIMITS);
+        return new HttpServer(mLoops, handler, mClock, () -> DEFAULT_TIMEOUTS);
     }
 
-    /** Returns how long callers may take, by the operator's configuration. */
-    private ServerTimeouts callersLimits() {
+    /** Returns the timeouts for callers from the configuration. */
+    private ServerTimeouts callerTimeouts() {
         return mFollower
                 .view()
                 .routes()
-                .map(routes -> serverLimits(routes.configuration().limits()))
-                .orElse(LIMITS);
+                .map(routes -> serverTimeouts(routes.configuration().limits()))
+                .orElse(DEFAULT_TIMEOUTS);
     }
 
-    private static ServerTimeouts serverLimits(RequestLimits limits) {
+    private static ServerTimeouts serverTimeouts(RequestLimits limits) {
         return new ServerTimeouts(
                 limits.headerTimeout(), limits.idleTimeout(), limits.idleTimeout());
     }
@@ -125,6 +122,7 @@
 
     @Override
     public CompletableFuture<Void> stop() {
-        return CompletableFuture.allOf(mCallers.stop(), mAskers.stop(), mPeers.stop());
+        return CompletableFuture.allOf(
+                mCallerServer.stop(), mDiscoveryServer.stop(), mInternalServer.stop());
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewaySettings.java
@@ -16,19 +16,20 @@
 /**
  * The settings of one gateway VM.
  *
- * @param self this VM as the others shall see it, with the address for callers' requests
- * @param discovery where the VM answers asks for addresses
- * @param readiness where the VM says whether it is ready
- * @param metrics where the VM serves its metrics; empty if it doesn't
- * @param control where a VM that starts may read this VM's copy of the store
- * @param seeds where this VM may read such a copy when it starts while the store is away; stale
- * @param store where the platform's store is reached
- * @param stopTimeout how long after SIGTERM the process may live
- * @param addressTimeToLive how long a caller may keep an ask's answer
- * @param vmsPerZone how many VMs take the callers of one availability zone at least
- * @param floorShare the share of a service's targets that stay in service whatever the evidence
- * @param retryShare further tries allowed, as a share of first tries
- * @param detection how sure the VM must be before it takes a target out
+ * @param self this VM as registered for the other VMs, with its endpoint for callers
+ * @param discovery the endpoint that serves discovery requests
+ * @param readiness the endpoint that serves readiness checks
+ * @param metrics the endpoint that serves metrics; empty if disabled
+ * @param control the endpoint from which a starting VM may read this VM's mirror of the store
+ * @param seeds the endpoints of mirrors, possibly stale, to read if the store is unavailable at
+ *     startup
+ * @param store the endpoint of the platform's store
+ * @param stopTimeout the time between SIGTERM and the end of the process
+ * @param addressTimeToLive how long a caller may cache a discovery response
+ * @param vmsPerZone the minimum number of VMs that serve the callers of one availability zone
+ * @param floorShare the share of a service's targets that is never ejected
+ * @param retryShare the retry budget, as a share of first attempts
+ * @param detection the thresholds for ejecting a target
  */
 public record GatewaySettings(
         FleetVm self,
@@ -44,34 +45,34 @@
         double floorShare,
         double retryShare,
         DetectionPolicy detection) {
-    /** Copies the list. */
+    /** Copies the list of seeds. */
     public GatewaySettings {
         seeds = List.copyOf(seeds);
     }
 
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final Duration MINUTE = Duration.ofMinutes(1);
-    private static final int MOST_VMS_PER_ZONE = 64;
+    private static final int MAX_VMS_PER_ZONE = 64;
 
-    /** The least share of a processor that a VM may be given. */
-    private static final double LEAST_SHARE = 0.01;
+    /** The minimum share of a processor. */
+    private static final double MIN_PROCESSOR_SHARE = 0.01;
 
-    private static final double MOST_PROCESSORS = 1_000;
-    private static final double MOST_LINK_MEGABITS = 1_000_000;
+    private static final double MAX_PROCESSORS = 1_000;
+    private static final double MAX_LINK_MEGABITS = 1_000_000;
 
     /**
      * Reads a settings file.
      *
-     * @throws SettingsException with all problems of the file
+     * @throws SettingsException listing all invalid values of the file
      */
     public static GatewaySettings read(Path path) {
         return from(IniFile.read(path));
     }
 
     /**
-     * Reads settings from a parsed file.
+     * Creates settings from a parsed file.
      *
-     * @throws SettingsException with all problems of the file
+     * @throws SettingsException listing all invalid values of the file
      */
     public static GatewaySettings from(IniFile file) {
         IniSection vm = file.section("vm");
@@ -93,7 +94,7 @@
                         endpoint(file.section("store"), "address"),
                         seconds(vm, "stop-grace-seconds"),
                         policy.duration("ask-time-to-live", Duration.ofMillis(100), MINUTE),
-                        (int) policy.number("vms-per-zone", 1, MOST_VMS_PER_ZONE),
+                        (int) policy.number("vms-per-zone", 1, MAX_VMS_PER_ZONE),
                         policy.fraction("floor"),
                         policy.fraction("retries"),
                         detection(policy));
@@ -102,13 +103,14 @@
     }
 
     private static VmCapacity capacity(IniSection vm) {
-        double processors = vm.decimal("processors", 1, MOST_PROCESSORS, 1);
-        double share = vm.decimal("processor-share", LEAST_SHARE, 1, VmCapacity.DEFAULT.cores());
+        double processors = vm.decimal("processors", 1, MAX_PROCESSORS, 1);
+        double share =
+                vm.decimal("processor-share", MIN_PROCESSOR_SHARE, 1, VmCapacity.DEFAULT.cores());
         double link =
                 vm.decimal(
                         "link-megabits",
                         VmCapacity.MINIMUM,
-                        MOST_LINK_MEGABITS,
+                        MAX_LINK_MEGABITS,
                         VmCapacity.DEFAULT.linkMegabits());
         return new VmCapacity(processors * share, link);
     }
@@ -122,7 +124,7 @@
                 policy.duration("slow-start", Duration.ofMillis(100), MINUTE));
     }
 
-    /** Reads a time that the platform gives as a number of seconds, with fractions. */
+    /** Returns a duration that is written as a decimal number of seconds. */
     private static Duration seconds(IniSection section, String key) {
         double seconds = section.decimal(key, 0, (double) MINUTE.toSeconds());
         return Duration.ofMillis(Math.round(seconds * SECOND.toMillis()));
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayState.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayState.java
@@ -2,52 +2,52 @@
 
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Whether this VM takes requests, and whether asks may name it. */
+/** The lifecycle phase of a gateway VM. Thread-safe. */
 final class GatewayState {
     private final AtomicReference<Phase> mPhase = new AtomicReference<>(Phase.STARTING);
 
-    /** The phases of a VM's life, in order. */
+    /** The phases of the lifecycle, in order. */
     enum Phase {
-        /** No configuration yet: requests are refused. */
+        /** There is no configuration yet; requests are rejected. */
         STARTING(false, false),
         /** Requests are served. */
         SERVING(true, true),
-        /** SIGTERM came: requests are served, but nobody is sent here any more. */
+        /** After SIGTERM: requests are served, but the VM is no longer advertised to callers. */
         DRAINING(true, false),
-        /** The process ends soon: requests that come now couldn't be served to their end. */
+        /** Shortly before the exit: requests are rejected, because they could not be completed. */
         CLOSING(false, false);
 
-        private final boolean mServes;
+        private final boolean mAcceptsRequests;
         private final boolean mReady;
 
-        Phase(boolean serves, boolean ready) {
-            mServes = serves;
+        Phase(boolean acceptsRequests, boolean ready) {
+            mAcceptsRequests = acceptsRequests;
             mReady = ready;
         }
 
         /** Returns whether requests are served. */
         boolean acceptsRequests() {
-            return mServes;
+            return mAcceptsRequests;
         }
 
-        /** Returns whether callers may be sent here. */
+        /** Returns whether the VM may be advertised to callers. */
         boolean isReady() {
             return mReady;
         }
 
-        /** Returns whether connections shall close after the answer in flight. */
+        /** Returns whether connections are closed after the current response. */
         boolean closesConnections() {
             return this == DRAINING || this == CLOSING;
         }
     }
 
-    /** Returns the phase. */
     Phase phase() {
         return mPhase.get();
     }
 
-    /** Moves on to a phase; one that was passed already stays passed. */
-    void advance(Phase to) {
-        mPhase.accumulateAndGet(to, (from, wanted) -> from.compareTo(wanted) >= 0 ? from : wanted);
+    /** Advances to a phase. Has no effect if that phase or a later one is reached already. */
+    void advance(Phase target) {
+        mPhase.accumulateAndGet(
+                target, (current, next) -> current.compareTo(next) >= 0 ? current : next);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayVm.java
@@ -13,46 +13,48 @@
 import org.dahliapass.platform.KeyValueStore;
 import org.dahliapass.traffic.EntryMetrics;
 
-/** One gateway VM, put together from its services; a process holds one, tests hold several. */
+/**
+ * A gateway VM: creates the services and connects them. A process runs one VM; tests run several.
+ */
 public final class GatewayVm {
-    /** Well over the store's time for an answer also when it is slow, 4 ms times 60. */
+    /** Exceeds the latency of a slow store, which is 60 times the usual 4 ms. */
     private static final Duration STORE_TIMEOUT = Duration.ofMillis(1_200);
 
     /**
-     * After this time no caller uses an answer to an ask any more that named this VM: some keep it
-     * three times as long as they are told, 1.5 s.
+     * The time after which no caller uses a discovery response that contains this VM: some callers
+     * cache it for three times its time to live of 1.5 s.
      */
-    private static final Duration ASKS_RUN_OUT = Duration.ofMillis(4_600);
+    private static final Duration DISCOVERY_EXPIRY = Duration.ofMillis(4_600);
 
     /**
-     * Requests are taken for as long as they can run to their end: what is left of the grace then
-     * has room for a request of 2.3 s and the reserve.
+     * The part of the stop timeout in which requests are no longer accepted. Leaves time for a
+     * request of 2.3 s and the exit.
      */
-    private static final Duration ROOM_FOR_A_REQUEST = Duration.ofMillis(3_200);
+    private static final Duration CLOSING_PERIOD = Duration.ofMillis(3_200);
 
     /**
-     * What is left of the grace when the process begins to end by itself at the latest, for the
-     * late timers of a small VM that is busy.
+     * The part of the stop timeout reserved for the exit; allows for late timers on a small, busy
+     * VM.
      */
-    private static final Duration RESERVE = Duration.ofMillis(900);
+    private static final Duration EXIT_RESERVE = Duration.ofMillis(900);
 
-    /** How often a VM that leaves looks whether its last request is answered. */
-    private static final Duration LOOK = Duration.ofMillis(50);
+    /** The polling interval for the end of the last request. */
+    private static final Duration IDLE_POLL_INTERVAL = Duration.ofMillis(50);
 
     private final GatewaySettings mSettings;
     private final GatewayState mState = new GatewayState();
     private final EventLog mLog;
     private final ControlLoop mLoop;
-    private final SelfRegistration mEntry;
-    private final LoadReporter mLoad;
+    private final SelfRegistration mRegistration;
+    private final LoadReporter mLoadReporter;
     private final Kernel mKernel = new Kernel();
 
     /**
-     * Puts a VM together.
+     * Creates the services of a VM without starting them.
      *
-     * @param settings its settings
-     * @param clock the time that all its decisions follow
-     * @param log where its decisions are told
+     * @param settings the settings of the VM
+     * @param clock the time source of all decisions
+     * @param log the log of all decisions
      */
     public GatewayVm(GatewaySettings settings, Clock clock, EventLog log) {
         RandomGenerator random = new SplittableRandom();
@@ -65,11 +67,12 @@
         StoreFollower follower = new StoreFollower(settings.vmsPerZone(), log);
         ChangeFeed feed = new ChangeFeed(settings, store, connections.client(), random, log);
         ServicePools pools = new ServicePools(clock, random, settings, metrics, log);
-        mEntry = new SelfRegistration(store, settings.self(), feed::followsStore, log);
-        mLoad = new LoadReporter(clock, metrics, log);
-        PeerExchange work = new PeerExchange(settings, connections.loops(), log);
+        mRegistration = new SelfRegistration(store, settings.self(), feed::followsStore, log);
+        mLoadReporter = new LoadReporter(clock, metrics, log);
+        PeerExchange exchange = new PeerExchange(settings, connections.loops(), log);
         PoisonGuard guard =
-                new PoisonGuard(settings, clock, connections, store, follower, work, metrics, log);
+                new PoisonGuard(
+                        settings, clock, connections, store, follower, exchange, metrics, log);
         ProxyHandler proxy =
                 new ProxyHandler(
                         clock,
@@ -81,15 +84,15 @@
                         connections,
                         log,
                         new GatewayResponses(random),
-                        mLoad,
+                        mLoadReporter,
                         feed::isUpToDate,
-                        () -> onWork(pools, work),
+                        () -> onRequest(pools, exchange),
                         guard);
         follower.addChangeListener(
                 () ->
                         follower.view()
                                 .routes()
-                                .ifPresent(found -> mState.advance(GatewayState.Phase.SERVING)));
+                                .ifPresent(routes -> mState.advance(GatewayState.Phase.SERVING)));
         mKernel.register(ControlLoop.NAME, mLoop)
                 .register(EntryMetrics.NAME, metrics)
                 .register(TargetConnections.NAME, connections)
@@ -101,21 +104,21 @@
                                 metrics,
                                 proxy,
                                 new DiscoveryHandler(settings, mState, follower),
-                                new MirrorService(mLoop, feed, mLoad),
+                                new MirrorService(mLoop, feed, mLoadReporter),
                                 connections.loops(),
                                 clock,
                                 follower))
                 .register(StoreFollower.NAME, follower)
                 .register(ChangeFeed.NAME, feed)
-                .register(SelfRegistration.NAME, mEntry)
+                .register(SelfRegistration.NAME, mRegistration)
                 .register(ServicePools.NAME, pools)
-                .register(LoadReporter.NAME, mLoad)
-                .register(PeerExchange.NAME, work);
+                .register(LoadReporter.NAME, mLoadReporter)
+                .register(PeerExchange.NAME, exchange);
     }
 
-    private static void onWork(ServicePools pools, PeerExchange work) {
+    private static void onRequest(ServicePools pools, PeerExchange exchange) {
         pools.onRequest();
-        work.onRequest();
+        exchange.onRequest();
     }
 
     private KeyValueStore store(
@@ -128,21 +131,22 @@
         return new CountedStore(store, mLoop, metrics, log);
     }
 
-    /** Starts all services; requests are served once configuration is there. */
+    /** Starts all services. Requests are served once a configuration is loaded. */
     public CompletableFuture<Void> start() {
         return mKernel.start();
     }
 
     /**
-     * Drains: nobody is sent here any more, and what comes all the same is served for a while.
+     * Drains the VM: removes it from discovery responses and serves the remaining requests for a
+     * limited time.
      *
-     * @return completes when nothing is in flight any more, and the process may end
+     * @return a future that completes when no requests are in flight and the process may exit
      */
     public CompletableFuture<Void> drain() {
         mState.advance(GatewayState.Phase.DRAINING);
         mLog.write(EventLog.Kind.LIFE, "leaving", line -> {});
         Futures.whenDone(
-                mEntry.deregister(),
+                mRegistration.deregister(),
                 (ignored, failure) -> {
                     if (failure != null) {
                         mLog.write(
@@ -151,40 +155,40 @@
                                 line -> line.put("cause", failure.getMessage()));
                     }
                 });
-        Duration latest = mSettings.stopTimeout().minus(RESERVE);
-        Duration takes = shorter(ASKS_RUN_OUT, mSettings.stopTimeout().minus(ROOM_FOR_A_REQUEST));
-        long endMillis = mLoop.nowMillis() + latest.toMillis();
-        return after(takes)
+        Duration maxDrain = mSettings.stopTimeout().minus(EXIT_RESERVE);
+        Duration accepting = min(DISCOVERY_EXPIRY, mSettings.stopTimeout().minus(CLOSING_PERIOD));
+        long endMillis = mLoop.nowMillis() + maxDrain.toMillis();
+        return delay(accepting)
                 .thenRun(() -> mState.advance(GatewayState.Phase.CLOSING))
-                .thenCompose(ignored -> after(shorter(ASKS_RUN_OUT, latest).minus(takes)))
-                .thenCompose(ignored -> idle(endMillis));
+                .thenCompose(ignored -> delay(min(DISCOVERY_EXPIRY, maxDrain).minus(accepting)))
+                .thenCompose(ignored -> whenIdle(endMillis));
     }
 
-    private static Duration shorter(Duration one, Duration other) {
-        return one.compareTo(other) < 0 ? one : other;
+    private static Duration min(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
     /**
-     * Completes once nothing is in flight, or at a given time.
+     * Completes once no requests are in flight, or at the given time.
      *
-     * <p>Guards against a process that is killed at the end of its grace because it waited for that
-     * end on a VM whose timers run late: most VMs have nothing left to wait for long before it.
+     * <p>Guards against a process that is killed at the end of its stop timeout because it waits
+     * for that time on a VM whose timers run late.
      */
-    private CompletableFuture<Void> idle(long endMillis) {
-        if (!mLoad.hasRequestsInFlight() || mLoop.nowMillis() >= endMillis) {
+    private CompletableFuture<Void> whenIdle(long endMillis) {
+        if (!mLoadReporter.hasRequestsInFlight() || mLoop.nowMillis() >= endMillis) {
             return CompletableFuture.completedFuture(null);
         }
-        return after(LOOK).thenCompose(ignored -> idle(endMillis));
+        return delay(IDLE_POLL_INTERVAL).thenCompose(ignored -> whenIdle(endMillis));
     }
 
-    /** Stops at once. */
+    /** Stops all services without draining. */
     public CompletableFuture<Void> stopNow() {
         return mLoop.cancelTimers().thenCompose(ignored -> mKernel.stop());
     }
 
-    private CompletableFuture<Void> after(Duration delay) {
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        mLoop.schedule(delay.isNegative() ? Duration.ZERO : delay, () -> over.complete(null));
-        return over;
+    private CompletableFuture<Void> delay(Duration delay) {
+        CompletableFuture<Void> elapsed = new CompletableFuture<>();
+        mLoop.schedule(delay.isNegative() ? Duration.ZERO : delay, () -> elapsed.complete(null));
+        return elapsed;
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/LoadReporter.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/LoadReporter.java
@@ -17,39 +17,40 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
- * Tells once a second what this VM carries and which of its resources is short.
+ * Reports once a second the load of this VM and which of its resources is short.
  *
- * <p>A VM whose processor is short shows as threads that run their timers late; one whose link is
- * short shows as answers that take long from their end to their last byte written, while the timers
- * run on time. Without both, a request that its caller gave up looks the same in either case.
+ * <p>A shortage of processor time shows as late timers. A shortage of network bandwidth shows as
+ * responses that take long to be written although timers run on time.
  */
 final class LoadReporter implements KernelService {
-    /** The name under which the kernel holds the load. */
+    /** The service name in the kernel. */
     static final String NAME = "vm-load";
 
-    /** A line a second for each VM that has anything to tell. */
-    private static final Duration PERIOD = Duration.ofSeconds(1);
+    private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
 
-    /** Short enough to see a line before it costs callers their objective; only under load. */
+    /**
+     * The interval of the timer that measures the delay of the traffic thread; runs under load
+     * only.
+     */
     private static final long CHECK_MILLIS = 100;
 
-    /** A thread that runs its timers later than this is told of without any traffic. */
-    private static final long LATE_MILLIS = 100;
+    /** The timer delay that is reported even without traffic. */
+    private static final long REPORTED_DELAY_MILLIS = 100;
 
-    private static final long NOT_DUE = Long.MAX_VALUE;
+    private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
     private final Clock mClock;
     private final EntryMetrics mMetrics;
     private final EventLog mLog;
-    private final ThreadOverloadDetector mTrafficLateness = new ThreadOverloadDetector();
+    private final ThreadOverloadDetector mTrafficOverload = new ThreadOverloadDetector();
     private final AtomicLong mRequests = new AtomicLong();
     private final AtomicLong mInFlight = new AtomicLong();
     private final AtomicLong mCallerBytes = new AtomicLong();
     private final AtomicLong mFollowerBytes = new AtomicLong();
     private final AtomicLong mSlowestDeliveryMillis = new AtomicLong();
-    private final AtomicLong mTrafficLateMillis = new AtomicLong();
-    private PeriodicTask mTelling;
-    private long mControlDueMillis = NOT_DUE;
+    private final AtomicLong mTrafficDelayMillis = new AtomicLong();
+    private PeriodicTask mReportTask;
+    private long mControlDueMillis = NOT_SCHEDULED;
     private boolean mChecking;
 
     LoadReporter(Clock clock, EntryMetrics metrics, EventLog log) {
@@ -61,54 +62,51 @@
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         ControlLoop loop = kernel.find(ControlLoop.NAME, ControlLoop.class);
-        mTelling = new PeriodicTask(loop, Duration.ZERO, this::tell);
-        mTelling.wake();
+        mReportTask = new PeriodicTask(loop, Duration.ZERO, this::report);
+        mReportTask.wake();
         return CompletableFuture.completedFuture(null);
     }
 
-    /**
-     * Counts a request of a caller until the last byte of its answer was written; traffic thread
-     * only.
-     */
+    /** Counts a request as in flight until its response is written; traffic thread only. */
     void onRequest(ServerCall call) {
         mRequests.incrementAndGet();
         mInFlight.incrementAndGet();
-        mTelling.wake();
+        mReportTask.wake();
         if (!mChecking) {
             mChecking = true;
-            planCheck(call.loop());
+            scheduleCheck(call.loop());
         }
         call.onDelivered(this::onDelivered);
     }
 
-    /** Returns whether a caller still waits for its answer; any thread may call this. */
+    /** Returns whether requests are in flight; any thread may call this. */
     boolean hasRequestsInFlight() {
         return mInFlight.get() > 0;
     }
 
     /**
-     * Returns whether requests that come now wait longer and longer before they are read; traffic
-     * thread only.
+     * Returns whether the delay of the traffic thread keeps growing, so that new requests wait ever
+     * longer before they are read; traffic thread only.
      */
     boolean isFallingBehind() {
-        return mTrafficLateness.isOverloaded(mClock.millis());
+        return mTrafficOverload.isOverloaded(mClock.millis());
     }
 
-    private void planCheck(EventLoop traffic) {
+    private void scheduleCheck(EventLoop loop) {
         long now = mClock.millis();
-        mTrafficLateness.onScheduled(now + CHECK_MILLIS, now);
+        mTrafficOverload.onScheduled(now + CHECK_MILLIS, now);
         ScheduledFuture<?> unused =
-                traffic.schedule(() -> check(traffic), CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> check(loop), CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void check(EventLoop traffic) {
-        long late = mTrafficLateness.onRun(mClock.millis());
-        mTrafficLateMillis.accumulateAndGet(late, Math::max);
+    private void check(EventLoop loop) {
+        long delayMillis = mTrafficOverload.onRun(mClock.millis());
+        mTrafficDelayMillis.accumulateAndGet(delayMillis, Math::max);
         if (mInFlight.get() > 0) {
-            planCheck(traffic);
+            scheduleCheck(loop);
             return;
         }
-        mTrafficLateness.onIdle();
+        mTrafficOverload.onIdle();
         mChecking = false;
     }
 
@@ -122,28 +120,28 @@
         mMetrics.onDelivered(delivery.millis());
     }
 
-    /** Counts bytes of the copy of the store that were handed to a VM which follows this one. */
+    /** Records bytes of the store mirror that were sent to a follower. */
     void onMirrorSent(long bytes) {
         mFollowerBytes.addAndGet(bytes);
-        mTelling.wake();
+        mReportTask.wake();
         mMetrics.onStoreCopyBytes(bytes);
     }
 
-    private Optional<Duration> tell() {
+    private Optional<Duration> report() {
         long now = mClock.millis();
-        long control = Math.max(0, now - mControlDueMillis);
-        mControlDueMillis = now + PERIOD.toMillis();
-        long traffic = mTrafficLateMillis.getAndSet(0);
+        long controlDelay = Math.max(0, now - mControlDueMillis);
+        mControlDueMillis = now + REPORT_PERIOD.toMillis();
+        long trafficDelay = mTrafficDelayMillis.getAndSet(0);
         long requests = mRequests.getAndSet(0);
         long callerBytes = mCallerBytes.getAndSet(0);
         long followerBytes = mFollowerBytes.getAndSet(0);
-        long delivery = mSlowestDeliveryMillis.getAndSet(0);
-        mMetrics.onThreadDelay("control", control);
-        mMetrics.onThreadDelay("traffic", traffic);
-        boolean isLate = Math.max(control, traffic) >= LATE_MILLIS;
+        long slowestDelivery = mSlowestDeliveryMillis.getAndSet(0);
+        mMetrics.onThreadDelay("control", controlDelay);
+        mMetrics.onThreadDelay("traffic", trafficDelay);
+        boolean hasLateTimers = Math.max(controlDelay, trafficDelay) >= REPORTED_DELAY_MILLIS;
         boolean isIdle = requests + mInFlight.get() + followerBytes == 0;
-        if (isIdle && !isLate) {
-            mControlDueMillis = NOT_DUE;
+        if (isIdle && !hasLateTimers) {
+            mControlDueMillis = NOT_SCHEDULED;
             return Optional.empty();
         }
         mLog.write(
@@ -154,9 +152,9 @@
                                 .put("in_flight", mInFlight.get())
                                 .put("caller_bytes", callerBytes)
                                 .put("follower_bytes", followerBytes)
-                                .put("slowest_delivery_ms", delivery)
-                                .put("control_late_ms", control)
-                                .put("traffic_late_ms", traffic));
-        return Optional.of(PERIOD);
+                                .put("slowest_delivery_ms", slowestDelivery)
+                                .put("control_late_ms", controlDelay)
+                                .put("traffic_late_ms", trafficDelay));
+        return Optional.of(REPORT_PERIOD);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/MirrorService.java
@@ -13,98 +13,99 @@
 import org.dahliapass.platform.WatchResponse;
 
 /**
- * Lets other VMs follow the store through this VM, by the store's own reading calls.
+ * Serves the mirror of the store to other VMs through the read calls of the store.
  *
- * <p>So a few VMs watch the store for the whole fleet, and a VM that the store turns away still
- * hears of changes. Changes are answered only while this VM itself follows the store directly and
- * hears from it: else two VMs could follow each other and take silence for peace. The copy itself
- * is answered at any time, since an old configuration is better than none for a VM that starts.
- * Waiting calls belong to the control thread.
+ * <p>A few VMs watch the store on behalf of the whole fleet, and a VM that cannot reach the store
+ * still receives changes. Changes are served only while this VM watches the store directly and
+ * receives responses from it; otherwise two VMs could follow each other and never notice a missing
+ * update. A snapshot is served at any time, because an old configuration is better than none for a
+ * starting VM. Pending calls are confined to the control thread.
  */
 final class MirrorService {
     private final ControlLoop mLoop;
     private final ChangeFeed mFeed;
-    private final LoadReporter mLoad;
-    private final List<Waiter> mWaiters = new ArrayList<>();
+    private final LoadReporter mLoadReporter;
+    private final List<PendingWatch> mPendingWatches = new ArrayList<>();
 
-    private record Waiter(long revision, ServerCall call) {}
+    private record PendingWatch(long revision, ServerCall call) {}
 
     MirrorService(ControlLoop loop, ChangeFeed feed, LoadReporter load) {
         mLoop = loop;
         mFeed = feed;
-        mLoad = load;
-        feed.addListener(this::answerWaiters);
+        mLoadReporter = load;
+        feed.addListener(this::completeWatches);
     }
 
-    /** Answers with the whole copy. */
+    /** Responds with a snapshot of the mirror. */
     void range(ServerCall call) {
-        mLoop.execute(() -> answer(call, copy()));
+        mLoop.execute(() -> send(call, snapshotResponse()));
     }
 
-    private ServerResponse copy() {
+    private ServerResponse snapshotResponse() {
         if (!mFeed.mirror().isLoaded()) {
             return unavailable();
         }
         return json(StoreCalls.encode(mFeed.mirror().snapshot()));
     }
 
-    /** Answers once there are changes, or none when the caller's wait ends. */
+    /** Responds with the next changes, or with none when the wait of the caller ends. */
     void watch(ServerCall call) {
         QueryStringDecoder query = new QueryStringDecoder(call.head().uri());
         long revision = number(query, StoreCalls.AFTER);
         Duration wait = Duration.ofMillis(number(query, StoreCalls.WAIT_MILLIS));
-        mLoop.execute(() -> await(new Waiter(revision, call), wait));
+        mLoop.execute(() -> addWatch(new PendingWatch(revision, call), wait));
     }
 
-    /** Returns a parameter's whole number; 0 if it has none. */
+    /** Returns the value of a numeric parameter; 0 if it is missing. */
     private static long number(QueryStringDecoder query, String name) {
         try {
             return Long.parseLong(query.parameters().getOrDefault(name, List.of("0")).get(0));
         } catch (NumberFormatException foreign) {
-            // Not one of this fleet's VMs: it is told to read everything anew.
+            // An unknown client; revision 0 makes it read a new snapshot.
             return 0;
         }
     }
 
-    private void await(Waiter waiter, Duration wait) {
-        mWaiters.add(waiter);
-        answerWaiters();
-        if (!mWaiters.contains(waiter)) {
+    private void addWatch(PendingWatch pending, Duration wait) {
+        mPendingWatches.add(pending);
+        completeWatches();
+        if (!mPendingWatches.contains(pending)) {
             return;
         }
-        mLoop.schedule(wait, () -> answerWithoutChanges(waiter));
+        mLoop.schedule(wait, () -> onWatchTimeout(pending));
     }
 
-    private void answerWithoutChanges(Waiter waiter) {
-        if (mWaiters.remove(waiter)) {
-            WatchResponse.Changes none = new WatchResponse.Changes(List.of(), waiter.revision());
-            answer(waiter.call(), json(StoreCalls.encode(none)));
+    private void onWatchTimeout(PendingWatch pending) {
+        if (mPendingWatches.remove(pending)) {
+            WatchResponse.Changes noChanges =
+                    new WatchResponse.Changes(List.of(), pending.revision());
+            send(pending.call(), json(StoreCalls.encode(noChanges)));
         }
     }
 
-    private void answerWaiters() {
-        mWaiters.removeIf(
-                waiter -> {
-                    Optional<ServerResponse> answer = answerTo(waiter.revision());
-                    answer.ifPresent(given -> answer(waiter.call(), given));
-                    return answer.isPresent();
+    private void completeWatches() {
+        mPendingWatches.removeIf(
+                pending -> {
+                    Optional<ServerResponse> response = responseTo(pending.revision());
+                    response.ifPresent(ready -> send(pending.call(), ready));
+                    return response.isPresent();
                 });
     }
 
-    private Optional<ServerResponse> answerTo(long revision) {
+    private Optional<ServerResponse> responseTo(long revision) {
         if (!mFeed.isCurrent()) {
             return Optional.of(unavailable());
         }
         Optional<WatchResponse> changes = mFeed.mirror().changesAfter(revision);
         return changes.map(
-                found ->
-                        found instanceof WatchResponse.Changes known
-                                ? json(StoreCalls.encode(known))
+                watchResponse ->
+                        watchResponse instanceof WatchResponse.Changes newer
+                                ? json(StoreCalls.encode(newer))
                                 : ServerResponse.of(HttpResponseStatus.GONE));
     }
 
-    private static void answer(ServerCall call, ServerResponse answer) {
-        call.loop().execute(() -> call.respond(answer));
+    private static void send(ServerCall call, ServerResponse response) {
+        call.loop().execute(() -> call.respond(response));
     }
 
     private static ServerResponse unavailable() {
@@ -112,7 +113,7 @@
     }
 
     private ServerResponse json(String body) {
-        mLoad.onMirrorSent(body.length());
+        mLoadReporter.onMirrorSent(body.length());
         return ServerResponse.json(HttpResponseStatus.OK, body);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -37,40 +37,37 @@
 import org.dahliapass.wire.message.TrustNews;
 
 /**
- * Tells the VMs that take callers of work that failed, or that a doubted target answered, and ten
- * times a second what is in flight where, so that each need not find out by losing requests of its
- * own.
+ * Exchanges observations of targets and reports of in-flight requests with the other VMs that serve
+ * callers, so that a VM does not have to detect each failure by its own lost requests.
  *
- * <p>One datagram an end and VM, about 80 bytes; a lost one costs a preference for some seconds.
- * One report a service, VM and period while there is work, about 25 bytes a target with work.
+ * <p>Sends one datagram of about 80 bytes per observation and VM; a lost one delays the detection
+ * of a failure by some seconds. Sends one report per service, VM and period under load, with about
+ * 25 bytes per target.
  */
 final class PeerExchange implements KernelService {
-    /** The name under which the kernel holds the exchange. */
+    /** The service name in the kernel. */
     static final String NAME = "work-exchange";
 
     private static final int VERSION = 1;
 
-    /**
-     * The time between reports: a third of the time of an answer, 290 ms, so that most work is told
-     * of while it runs.
-     */
+    /** A third of the usual response time, so that most requests are reported while they run. */
     private static final Duration REPORT_PERIOD = Duration.ofMillis(100);
 
     /**
-     * The least time for each VM that is told, in milliseconds: a VM sends and takes 80 reports of
-     * a service a second at most, however many VMs take callers. Without it the reports of the
-     * fleet grow with the square of their number.
+     * The minimum interval between reports per receiving VM, in milliseconds. Limits a VM to 80
+     * sent and received reports per service and second; without it, the reports of the fleet grow
+     * with the square of its size.
      */
-    private static final double MILLIS_A_TAKER = 12.5;
+    private static final double MIN_INTERVAL_MILLIS_PER_VM = 12.5;
 
-    /** Reports go on for a second after work, for requests that follow at some distance. */
-    private static final long SECOND_MILLIS = 1_000;
+    /** The time for which reports continue after the last request. */
+    private static final long REPORT_AFTER_USE_MILLIS = 1_000;
 
     /**
-     * The longest datagram of the protocol, in bytes. What is longer than the receive buffer is cut
-     * off without a sign to its sender, and a report grows with the work that a VM has.
+     * The maximum size of a UDP payload, in bytes. A longer datagram than the receive buffer is
+     * truncated silently, and the size of a report grows with the load.
      */
-    private static final int LONGEST_DATAGRAM = 65_507;
+    private static final int MAX_DATAGRAM_BYTES = 65_507;
 
     private final GatewaySettings mSettings;
     private final EventLoopGroup mLoops;
@@ -78,11 +75,11 @@
     private StoreFollower mFollower;
     private ServicePools mPools;
     private ControlLoop mLoop;
-    private PeriodicTask mReports;
-    private long mReportedMillis = Long.MIN_VALUE / 2;
-    private volatile long mWorkMillis = Long.MIN_VALUE / 2;
+    private PeriodicTask mReportTask;
+    private long mLastReportMillis = Long.MIN_VALUE / 2;
+    private volatile long mLastRequestMillis = Long.MIN_VALUE / 2;
     private volatile Channel mChannel;
-    private volatile Consumer<List<SuspectReport>> mSuspectListener = news -> {};
+    private volatile Consumer<List<SuspectReport>> mSuspectListener = reports -> {};
 
     PeerExchange(GatewaySettings settings, EventLoopGroup loops, EventLog log) {
         mSettings = settings;
@@ -94,9 +91,9 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
         mPools = kernel.find(ServicePools.NAME, ServicePools.class);
-        mPools.setOutcomeListener(this::tell);
+        mPools.setOutcomeListener(this::sendObservation);
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
-        mReports = new PeriodicTask(mLoop, REPORT_PERIOD, this::report);
+        mReportTask = new PeriodicTask(mLoop, REPORT_PERIOD, this::report);
         Endpoint peers = mSettings.self().peerEndpoint();
         CompletableFuture<Void> started = new CompletableFuture<>();
         ChannelFuture bound =
@@ -106,7 +103,7 @@
                         .disableResolver()
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
-                                new FixedRecvByteBufAllocator(LONGEST_DATAGRAM))
+                                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                         .handler(new Receiver())
                         .bind(new InetSocketAddress(peers.host(), peers.port()));
         mChannel = bound.channel();
@@ -120,150 +117,160 @@
                             new OperationException(
                                     "listen for peers",
                                     peers.toString(),
-                                    "The port can't be used.",
+                                    "The UDP port cannot be bound; it must be free.",
                                     done.cause()));
                 });
         return started;
     }
 
-    /** Takes that this VM has work, of which the others are to hear; any thread may call this. */
+    /** Starts reporting, because this VM has requests in flight; any thread may call this. */
     void onRequest() {
-        mWorkMillis = mLoop.nowMillis();
-        mReports.wake();
+        mLastRequestMillis = mLoop.nowMillis();
+        mReportTask.wake();
     }
 
-    /** Tells the other VMs how a piece of work ended; any thread may call this. */
-    private void tell(ServiceId service, TargetObservation ended) {
+    /** Sends an observation of a target to the other VMs; any thread may call this. */
+    private void sendObservation(ServiceId service, TargetObservation observation) {
         Optional<TargetRegistration> registration =
-                mPools.find(service.name()).flatMap(pool -> pool.registrationAt(ended.target()));
+                mPools.find(service.name())
+                        .flatMap(pool -> pool.registrationAt(observation.target()));
         if (registration.isEmpty()) {
             return;
         }
-        logEnd(service.name(), registration.get(), ended.observation(), mSettings.self().name());
-        byte[] news =
+        logObservation(
+                service.name(),
+                registration.get(),
+                observation.observation(),
+                mSettings.self().name());
+        byte[] datagram =
                 TrustNews.newBuilder()
                         .setVersion(VERSION)
                         .setSender(mSettings.self().name())
                         .setService(service.name())
                         .setInstance(registration.get().incarnation())
-                        .setEnd(WorkReportCodec.encode(ended.observation()))
-                        .setSentAgeMillis((int) Math.max(0, mLoop.nowMillis() - ended.sentMillis()))
+                        .setEnd(WorkReportCodec.encode(observation.observation()))
+                        .setSentAgeMillis(
+                                (int) Math.max(0, mLoop.nowMillis() - observation.sentMillis()))
                         .build()
                         .toByteArray();
-        sendToTakers(news);
+        broadcast(datagram);
     }
 
-    /** Sets who takes what other VMs tell of suspected requests; before the start. */
+    /** Sets the listener for suspect reports of other VMs; to be called before the start. */
     void setSuspectListener(Consumer<List<SuspectReport>> listener) {
         mSuspectListener = listener;
     }
 
-    /** Tells the other VMs that take callers of suspected requests; any thread may call this. */
-    void sendSuspects(List<SuspectReport> news) {
+    /** Sends suspect reports to the other VMs that serve callers; any thread may call this. */
+    void sendSuspects(List<SuspectReport> suspects) {
         long now = mLoop.nowMillis();
-        sendToTakers(
+        broadcast(
                 TrustNews.newBuilder()
                         .setVersion(VERSION)
                         .setSender(mSettings.self().name())
                         .addAllSuspects(
-                                news.stream().map(one -> SuspectCodec.encode(one, now)).toList())
+                                suspects.stream()
+                                        .map(suspect -> SuspectCodec.encode(suspect, now))
+                                        .toList())
                         .build()
                         .toByteArray());
     }
 
-    /** Reports the work of this VM to the other VMs that take callers; control thread only. */
+    /** Reports the in-flight requests to the other VMs that serve callers; control thread only. */
     private Optional<Duration> report() {
         long now = mLoop.nowMillis();
-        int takers = mFollower.view().plan().advertisedVms().size();
-        // Half a step early, so that the step nearest to the report's time is taken.
-        double dueMillis = takers * MILLIS_A_TAKER - REPORT_PERIOD.toMillis() / 2.0;
-        if (now - mReportedMillis < dueMillis) {
+        int receivers = mFollower.view().plan().advertisedVms().size();
+        // Half a period early, so that the tick nearest to the due time is used.
+        double dueMillis = receivers * MIN_INTERVAL_MILLIS_PER_VM - REPORT_PERIOD.toMillis() / 2.0;
+        if (now - mLastReportMillis < dueMillis) {
             return Optional.of(REPORT_PERIOD);
         }
-        mReportedMillis = now;
-        boolean hasWork = now - mWorkMillis < SECOND_MILLIS;
+        mLastReportMillis = now;
+        boolean isInUse = now - mLastRequestMillis < REPORT_AFTER_USE_MILLIS;
         for (String service : mPools.serviceNames()) {
-            hasWork |= mPools.find(service).map(pool -> report(service, pool)).orElse(false);
+            isInUse |= mPools.find(service).map(pool -> report(service, pool)).orElse(false);
         }
-        return hasWork ? Optional.of(REPORT_PERIOD) : Optional.empty();
+        return isInUse ? Optional.of(REPORT_PERIOD) : Optional.empty();
     }
 
-    /** Reports the work on one service; returns whether there was any. */
+    /** Reports the in-flight requests of one service; returns whether there are any. */
     private boolean report(String service, ServicePool pool) {
-        List<TargetReport> work = pool.runtime().drainReport();
-        if (work.isEmpty()) {
+        List<TargetReport> reports = pool.runtime().drainReport();
+        if (reports.isEmpty()) {
             return false;
         }
-        byte[] news =
+        byte[] datagram =
                 TrustNews.newBuilder()
                         .setVersion(VERSION)
                         .setSender(mSettings.self().name())
                         .setService(service)
                         .addAllWork(
                                 WorkReportCodec.encode(
-                                        work, pool.registrations(), mLoop.nowMillis()))
+                                        reports, pool.registrations(), mLoop.nowMillis()))
                         .build()
                         .toByteArray();
-        sendToTakers(news);
+        broadcast(datagram);
         return true;
     }
 
-    private void sendToTakers(byte[] news) {
+    private void broadcast(byte[] datagram) {
         for (FleetVm vm : mFollower.view().plan().advertisedVms()) {
             if (!vm.name().equals(mSettings.self().name())) {
-                send(news, vm.peerEndpoint());
+                send(datagram, vm.peerEndpoint());
             }
         }
     }
 
-    private void send(byte[] news, Endpoint to) {
+    private void send(byte[] datagram, Endpoint to) {
         InetSocketAddress address = new InetSocketAddress(to.host(), to.port());
         ChannelFuture unused =
-                mChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(news), address));
+                mChannel.writeAndFlush(
+                        new DatagramPacket(Unpooled.wrappedBuffer(datagram), address));
     }
 
-    private void onNews(TrustNews news) {
-        if (news.getSuspectsCount() > 0) {
+    private void onMessage(TrustNews message) {
+        if (message.getSuspectsCount() > 0) {
             long now = mLoop.nowMillis();
             mSuspectListener.accept(
-                    news.getSuspectsList().stream()
-                            .map(one -> SuspectCodec.decode(one, now))
+                    message.getSuspectsList().stream()
+                            .map(suspect -> SuspectCodec.decode(suspect, now))
                             .toList());
         }
-        Optional<ServicePool> pool = mPools.find(news.getService());
+        Optional<ServicePool> pool = mPools.find(message.getService());
         if (pool.isEmpty()) {
             return;
         }
-        if (news.getWorkCount() > 0) {
-            onReport(pool.get(), news);
+        if (message.getWorkCount() > 0) {
+            onReport(pool.get(), message);
         }
-        if (news.getInstance().isEmpty()) {
+        if (message.getInstance().isEmpty()) {
             return;
         }
-        Optional<Observation> sign = WorkReportCodec.decode(news.getEnd());
-        if (sign.isEmpty()) {
+        Optional<Observation> observation = WorkReportCodec.decode(message.getEnd());
+        if (observation.isEmpty()) {
             return;
         }
-        TargetRegistration target = pool.get().byIncarnation().get(news.getInstance());
+        TargetRegistration target = pool.get().byIncarnation().get(message.getInstance());
         if (target == null) {
             return;
         }
-        long sentMillis = mLoop.nowMillis() - news.getSentAgeMillis();
+        long sentMillis = mLoop.nowMillis() - message.getSentAgeMillis();
         pool.get()
                 .runtime()
                 .onPeerObservation(
-                        new TargetObservation(target.endpoint(), sign.get(), sentMillis));
-        logEnd(news.getService(), target, sign.get(), news.getSender());
+                        new TargetObservation(target.endpoint(), observation.get(), sentMillis));
+        logObservation(message.getService(), target, observation.get(), message.getSender());
     }
 
-    private void onReport(ServicePool pool, TrustNews news) {
+    private void onReport(ServicePool pool, TrustNews message) {
         List<TargetReport> report =
-                WorkReportCodec.decode(news.getWorkList(), pool.byIncarnation(), mLoop.nowMillis());
-        pool.runtime().onPeerReport(new VmIdentity(news.getSender(), 0), report);
+                WorkReportCodec.decode(
+                        message.getWorkList(), pool.byIncarnation(), mLoop.nowMillis());
+        pool.runtime().onPeerReport(new VmIdentity(message.getSender(), 0), report);
     }
 
-    private void logEnd(
-            String service, TargetRegistration target, Observation sign, String witness) {
+    private void logObservation(
+            String service, TargetRegistration target, Observation observation, String observer) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "work_ended",
@@ -271,8 +278,8 @@
                         line.put("service", service)
                                 .put("instance", target.instance())
                                 .put("target", target.endpoint().toString())
-                                .put("end", sign.name().toLowerCase(Locale.ROOT))
-                                .put("seen_by", witness));
+                                .put("end", observation.name().toLowerCase(Locale.ROOT))
+                                .put("seen_by", observer));
     }
 
     @Override
@@ -282,12 +289,12 @@
         return stopped;
     }
 
-    /** Takes datagrams of the other VMs; what can't be read is logged and dropped. */
+    /** Receives datagrams of the other VMs; logs and drops malformed ones. */
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             try {
-                onNews(TrustNews.parseFrom(ByteBufUtil.getBytes(packet.content())));
+                onMessage(TrustNews.parseFrom(ByteBufUtil.getBytes(packet.content())));
             } catch (InvalidProtocolBufferException failure) {
                 mLog.write(
                         EventLog.Kind.DEPENDENCY,
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerStoreClients.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerStoreClients.java
@@ -9,26 +9,26 @@
 import org.dahliapass.platform.HttpKeyValueStore;
 import org.dahliapass.platform.KeyValueStore;
 
-/** The clients of other VMs' copies of the store; control thread only. */
+/** The clients for the store mirrors of other VMs. Confined to the control thread. */
 final class PeerStoreClients {
-    /** VMs answer within a few milliseconds; one that is busy or frozen is passed over. */
+    /** VMs respond within milliseconds; a busy or frozen one is skipped. */
     private static final Duration TIMEOUT = Duration.ofMillis(400);
 
     private final HttpClient mClient;
-    private final Map<Endpoint, KeyValueStore> mCopies = new HashMap<>();
+    private final Map<Endpoint, KeyValueStore> mClients = new HashMap<>();
 
     PeerStoreClients(HttpClient client) {
         mClient = client;
     }
 
-    /** Returns the client of one VM's copy. */
+    /** Returns the client for the mirror of a VM. */
     KeyValueStore clientFor(Endpoint vm) {
-        return mCopies.computeIfAbsent(
+        return mClients.computeIfAbsent(
                 vm, endpoint -> new HttpKeyValueStore(endpoint, TIMEOUT, mClient));
     }
 
-    /** Forgets the clients of all other VMs. */
+    /** Removes the clients for all VMs except the given ones. */
     void retain(Set<Endpoint> vms) {
-        mCopies.keySet().retainAll(vms);
+        mClients.keySet().retainAll(vms);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PoisonGuard.java
@@ -15,27 +15,27 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
- * Keeps requests from the targets that end each target which runs them.
+ * Keeps poison requests, which crash each target that runs them, away from the targets.
  *
- * <p>VMs tell each other of ends by datagrams, and the store keeps what is quarantined. All state
- * belongs to the traffic thread.
+ * <p>VMs report crashes to each other by datagrams; the store holds the quarantined requests.
+ * Confined to the traffic thread.
  */
 final class PoisonGuard {
     /**
-     * A VM that only heard of a quarantine leaves its entry to the one that saw the last end,
-     * unless there is none after this time.
+     * The age of a quarantine after which a VM writes a missing store entry for it; until then it
+     * is left to the VM that observed the last crash.
      */
-    private static final long LATE_ENTRY_MILLIS = 2_000;
+    private static final long ENTRY_DELAY_MILLIS = 2_000;
 
     private final Clock mClock;
     private final EventLog mLog;
     private final EntryMetrics mMetrics;
     private final EventLoop mLoop;
-    private final TargetLivenessCheck mCheck;
+    private final TargetLivenessCheck mLivenessCheck;
     private final QuarantineStore mStore;
-    private final PoisonDetector mRegister = new PoisonDetector();
-    private final DigestLocks mTurns = new DigestLocks();
-    private final SuspectBroadcaster mNews;
+    private final PoisonDetector mDetector = new PoisonDetector();
+    private final DigestLocks mDigestLocks = new DigestLocks();
+    private final SuspectBroadcaster mBroadcaster;
 
     PoisonGuard(
             GatewaySettings settings,
@@ -50,155 +50,162 @@
         mLog = log;
         mMetrics = metrics;
         mLoop = connections.loop();
-        mCheck = new TargetLivenessCheck(connections);
+        mLivenessCheck = new TargetLivenessCheck(connections);
         mStore = new QuarantineStore(store, mLoop, clock, settings.self().name(), log);
-        mNews =
+        mBroadcaster =
                 new SuspectBroadcaster(
                         mLoop,
                         digests ->
                                 exchange.sendSuspects(
                                         digests.stream()
-                                                .map(one -> mRegister.report(one, mClock.millis()))
+                                                .map(
+                                                        suspect ->
+                                                                mDetector.report(
+                                                                        suspect, mClock.millis()))
                                                 .toList()));
-        exchange.setSuspectListener(news -> mLoop.execute(() -> onNews(news)));
+        exchange.setSuspectListener(reports -> mLoop.execute(() -> onPeerReports(reports)));
         follower.setQuarantineListener(digest -> mLoop.execute(() -> onEntry(digest)));
     }
 
     /**
-     * Returns what may be done with a request.
+     * Returns how a request may be treated.
      *
-     * @param digest digests the request, which is saved while none is suspected
+     * @param digest computes the request's digest; not called while no request is suspected
      */
     Treatment treatment(Supplier<RequestDigest> digest) {
-        return mRegister.isEmpty()
+        return mDetector.isEmpty()
                 ? Treatment.USUAL
-                : mRegister.treatment(digest.get(), mClock.millis());
+                : mDetector.treatment(digest.get(), mClock.millis());
     }
 
-    /** Returns whose turn it is among suspected requests that are alike. */
-    DigestLocks turns() {
-        return mTurns;
+    /** Returns the locks that serialize suspected requests with the same digest. */
+    DigestLocks digestLocks() {
+        return mDigestLocks;
     }
 
-    /** Takes that a quarantined request was refused; returns when it may come back. */
+    /**
+     * Records that a quarantined request was refused.
+     *
+     * @return the remaining time of the quarantine, in milliseconds
+     */
     long onRefused(RequestDigest digest) {
         mMetrics.onPoisonEvent("refused");
         long now = mClock.millis();
-        long left = mRegister.quarantineRemainingMillis(digest, now);
-        if (left < PoisonDetector.RETENTION.toMillis() - LATE_ENTRY_MILLIS) {
+        long remainingMillis = mDetector.quarantineRemainingMillis(digest, now);
+        if (remainingMillis < PoisonDetector.RETENTION.toMillis() - ENTRY_DELAY_MILLIS) {
             writeEntry(digest);
         }
-        return left;
+        return remainingMillis;
     }
 
     /**
-     * Takes that the connection to a target broke while it had a request.
+     * Checks whether a target crashed after its connection broke during an attempt.
      *
-     * @param offer by which the target had it
-     * @param digest the request
-     * @param whenChecked runs once it is known whether the target has ended
+     * @param attempt the attempt
+     * @param digest the digest of the request
+     * @param whenChecked runs when the check is complete
      */
-    void onConnectionBroken(TargetAttempt offer, RequestDigest digest, Runnable whenChecked) {
-        TargetCrash end =
+    void onConnectionBroken(TargetAttempt attempt, RequestDigest digest, Runnable whenChecked) {
+        TargetCrash crash =
                 new TargetCrash(
-                        offer.instance().incarnation(), offer.sentMillis(), mClock.millis());
-        mCheck.check(
-                offer.target(),
-                ended -> {
-                    onChecked(offer, digest, end, ended);
+                        attempt.instance().incarnation(), attempt.sentMillis(), mClock.millis());
+        mLivenessCheck.check(
+                attempt.target(),
+                hasCrashed -> {
+                    onChecked(attempt, digest, crash, hasCrashed);
                     whenChecked.run();
                 });
     }
 
     private void onChecked(
-            TargetAttempt offer, RequestDigest digest, TargetCrash end, boolean ended) {
+            TargetAttempt attempt, RequestDigest digest, TargetCrash crash, boolean hasCrashed) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "connection_broken",
                 line ->
-                        line.put("instance", offer.instance().name())
-                                .put("target", offer.target().toString())
-                                .put("target_ended", ended)
-                                .put("leaving", offer.isTargetDraining())
+                        line.put("instance", attempt.instance().name())
+                                .put("target", attempt.target().toString())
+                                .put("target_ended", hasCrashed)
+                                .put("leaving", attempt.isTargetDraining())
                                 .put("digest", digest.hex()));
-        // A target that said that it leaves ends by itself.
-        if (!ended || offer.isTargetDraining()) {
+        // A draining target exits by itself.
+        if (!hasCrashed || attempt.isTargetDraining()) {
             return;
         }
         mMetrics.onPoisonEvent("target_ended");
         long now = mClock.millis();
-        Treatment before = mRegister.treatment(digest, now);
-        if (!mRegister.onCrash(digest, end, now)) {
+        Treatment previous = mDetector.treatment(digest, now);
+        if (!mDetector.onCrash(digest, crash, now)) {
             return;
         }
-        mNews.broadcast(digest);
-        tellOfChange(digest, before, "this VM");
-        if (mRegister.treatment(digest, now) == Treatment.QUARANTINED) {
+        mBroadcaster.broadcast(digest);
+        logTreatmentChange(digest, previous, "this VM");
+        if (mDetector.treatment(digest, now) == Treatment.QUARANTINED) {
             writeEntry(digest);
         }
     }
 
     private void writeEntry(RequestDigest digest) {
-        mStore.ensureEntry(digest, mRegister.report(digest, mClock.millis()).crashes().size());
+        mStore.ensureEntry(digest, mDetector.report(digest, mClock.millis()).crashes().size());
     }
 
     /**
-     * Takes that a target answered a request.
+     * Records that a target responded to a request.
      *
-     * @param digest digests the request, which is saved while none is suspected
+     * @param digest computes the request's digest; not called while no request is suspected
      */
     void onResponse(Supplier<RequestDigest> digest) {
-        if (mRegister.isEmpty()) {
+        if (mDetector.isEmpty()) {
             return;
         }
-        Treatment before = mRegister.treatment(digest.get(), mClock.millis());
-        if (mRegister.onAnswered(digest.get(), mClock.millis())) {
+        Treatment previous = mDetector.treatment(digest.get(), mClock.millis());
+        if (mDetector.onAnswered(digest.get(), mClock.millis())) {
             mStore.removeEntry(digest.get());
-            mNews.broadcast(digest.get());
-            tellOfChange(digest.get(), before, "this VM");
+            mBroadcaster.broadcast(digest.get());
+            logTreatmentChange(digest.get(), previous, "this VM");
         }
     }
 
-    private void onNews(List<SuspectReport> news) {
+    private void onPeerReports(List<SuspectReport> reports) {
         long now = mClock.millis();
-        for (SuspectReport one : news) {
-            Treatment before = mRegister.treatment(one.digest(), now);
-            if (mRegister.onPeerReport(one, now)) {
-                mNews.resend(one.digest());
+        for (SuspectReport report : reports) {
+            Treatment previous = mDetector.treatment(report.digest(), now);
+            if (mDetector.onPeerReport(report, now)) {
+                mBroadcaster.resend(report.digest());
             }
-            if (one.answered()) {
-                mStore.removeEntry(one.digest());
+            if (report.answered()) {
+                mStore.removeEntry(report.digest());
             }
-            tellOfChange(one.digest(), before, "another VM");
+            logTreatmentChange(report.digest(), previous, "another VM");
         }
     }
 
     private void onEntry(RequestDigest digest) {
         long now = mClock.millis();
-        Treatment before = mRegister.treatment(digest, now);
+        Treatment previous = mDetector.treatment(digest, now);
         mStore.onEntry(digest);
-        mRegister.onQuarantined(digest, now);
-        tellOfChange(digest, before, "the store");
+        mDetector.onQuarantined(digest, now);
+        logTreatmentChange(digest, previous, "the store");
     }
 
-    private void tellOfChange(RequestDigest digest, Treatment before, String source) {
+    private void logTreatmentChange(RequestDigest digest, Treatment previous, String source) {
         long now = mClock.millis();
-        Treatment after = mRegister.treatment(digest, now);
-        if (after == before) {
+        Treatment current = mDetector.treatment(digest, now);
+        if (current == previous) {
             return;
         }
-        mMetrics.onPoisonEvent(after.name().toLowerCase(Locale.ROOT));
+        mMetrics.onPoisonEvent(current.name().toLowerCase(Locale.ROOT));
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "request_treatment",
                 line ->
                         line.put("digest", digest.hex())
-                                .put("treatment", after.name())
-                                .put("before", before.name())
+                                .put("treatment", current.name())
+                                .put("before", previous.name())
                                 .put("known_by", source)
                                 .putList(
                                         "targets_ended",
-                                        mRegister.report(digest, now).crashes().stream()
+                                        mDetector.report(digest, now).crashes().stream()
                                                 .map(TargetCrash::incarnation)
                                                 .toList()));
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -23,27 +23,26 @@
 import org.dahliapass.traffic.Slot;
 
 /**
- * Serves one request from its first offer to its one answer.
+ * Serves one request from its first attempt at a target to its single response.
  *
- * <p>A request that must not repeat is offered again only after a proof that it didn't run; one
- * that may repeat also after a failure, and beside an offer that is slow. A refusal that promises
- * "not run" is given only while no offer may have run. All state belongs to the traffic thread.
+ * <p>An at-most-once request is sent again only after proof that it was not executed. A repeatable
+ * request is also retried after a failure and hedged when an attempt is slow. A response that
+ * promises "not executed" is sent only while no attempt may have run. Confined to the traffic
+ * thread.
  */
 final class ProxyExchange {
     private static final int SERVER_ERROR = 500;
 
-    /** Chances are logged with two decimals. */
-    private static final double PERCENT = 100.0;
+    private static final double HUNDREDTHS = 100.0;
 
-    /** Offers that found no connection reach no target; more than a few are a waste of time. */
-    private static final int MOST_OFFERS = 6;
+    /** Includes attempts that found no connection and so reached no target. */
+    private static final int MAX_ATTEMPTS = 6;
 
     /**
-     * A hedge for which no slot or budget was left is asked for again after this time. Guards
-     * against a read that waits its whole time for a target that hangs, because all others were
-     * full for one moment; slots come free about every 10 ms at the usual load.
+     * The delay before a hedge that got no slot or budget is retried. Guards against a read that
+     * waits for a hung target until its deadline because all other targets were briefly full.
      */
-    private static final long HEDGE_AGAIN_MILLIS = 100;
+    private static final long HEDGE_RETRY_MILLIS = 100;
 
     private final ServerCall mCall;
     private final ProxyRequest mRequest;
@@ -52,21 +51,21 @@
     private final Clock mClock;
     private final EventLoop mLoop;
     private final EventLog mLog;
-    private final GatewayResponses mAnswers;
+    private final GatewayResponses mResponses;
     private final PoisonGuard mGuard;
-    private final List<TargetAttempt> mRunning = new ArrayList<>();
-    private final List<JsonObject> mHistory = new ArrayList<>();
-    private final Set<Endpoint> mTried = new HashSet<>();
-    private CompletableFuture<Slot> mWaiting;
-    private ScheduledFuture<?> mDeadline;
-    private ScheduledFuture<?> mHedge;
-    private Optional<AttemptResult.Responded> mError = Optional.empty();
+    private final List<TargetAttempt> mRunningAttempts = new ArrayList<>();
+    private final List<JsonObject> mAttemptLog = new ArrayList<>();
+    private final Set<Endpoint> mTriedTargets = new HashSet<>();
+    private CompletableFuture<Slot> mPendingSlot;
+    private ScheduledFuture<?> mDeadlineTimer;
+    private ScheduledFuture<?> mHedgeTimer;
+    private Optional<AttemptResult.Responded> mErrorResponse = Optional.empty();
     private Optional<RequestDigest> mDigest = Optional.empty();
-    private int mReached;
-    private int mOffers;
-    private boolean mHasTurn;
-    private boolean mMayHaveRun;
-    private boolean mDone;
+    private int mTargetsReached;
+    private int mAttempts;
+    private boolean mHoldsDigestLock;
+    private boolean mMayHaveExecuted;
+    private boolean mFinished;
 
     ProxyExchange(
             ServerCall call,
@@ -75,7 +74,7 @@
             TargetConnections connections,
             Clock clock,
             EventLog log,
-            GatewayResponses answers,
+            GatewayResponses responses,
             PoisonGuard guard) {
         mCall = call;
         mRequest = request;
@@ -84,47 +83,46 @@
         mClock = clock;
         mLoop = call.loop();
         mLog = log;
-        mAnswers = answers;
+        mResponses = responses;
         mGuard = guard;
     }
 
     /**
      * Starts the exchange.
      *
-     * <p>Guards against work that is sent to a target after its caller has left, while it waited
-     * for a slot: the close of the connection itself ends the exchange, whatever state the answer
-     * is in.
+     * <p>Guards against sending a queued request to a target after its caller has disconnected: the
+     * close of the connection ends the exchange in any state of the response.
      */
     void start() {
         long remaining = mRequest.remainingMillis(mClock.millis());
-        mDeadline = mLoop.schedule(this::onDeadline, remaining, TimeUnit.MILLISECONDS);
-        mCall.onDisconnect(this::onCallerGone);
+        mDeadlineTimer = mLoop.schedule(this::onDeadline, remaining, TimeUnit.MILLISECONDS);
+        mCall.onDisconnect(this::onCallerDisconnected);
         admit();
     }
 
-    /** Asks for a slot, waits for the turn of a suspected request, or refuses one for good. */
+    /** Requests a slot, unless the request is suspected and has to wait or is rejected. */
     private void admit() {
-        if (mDone || isHeldBack()) {
+        if (mFinished || isDeferredOrRejected()) {
             return;
         }
-        await(mPool.runtime().acquire(mRequest, Set.of()));
+        awaitSlot(mPool.runtime().acquire(mRequest, Set.of()));
     }
 
     /**
-     * Refuses the request, or lets it wait, if targets ended under others like it and it may not be
-     * offered now.
+     * Returns whether the request is deferred or rejected, because targets crashed while they ran
+     * requests with the same digest.
      */
-    private boolean isHeldBack() {
+    private boolean isDeferredOrRejected() {
         Treatment treatment = treatment();
         if (!treatment.mayRun()) {
-            refuseQuarantined();
+            rejectQuarantined();
             return true;
         }
-        if (treatment == Treatment.USUAL || !mGuard.turns().isHeld(digest())) {
+        if (treatment == Treatment.USUAL || !mGuard.digestLocks().isHeld(digest())) {
             return false;
         }
-        if (mOffers > 0 || !mGuard.turns().addWaiter(digest(), this::admit)) {
-            finishUnlessRunning();
+        if (mAttempts > 0 || !mGuard.digestLocks().addWaiter(digest(), this::admit)) {
+            finishIfIdle();
         }
         return true;
     }
@@ -133,115 +131,116 @@
         return mGuard.treatment(this::digest);
     }
 
-    private void refuseQuarantined() {
-        long wait = mGuard.onRefused(digest());
-        if (mMayHaveRun || !mRunning.isEmpty()) {
-            finishUnlessRunning();
+    private void rejectQuarantined() {
+        long retryAfter = mGuard.onRefused(digest());
+        if (mMayHaveExecuted || !mRunningAttempts.isEmpty()) {
+            finishIfIdle();
             return;
         }
         finish(
-                mAnswers.quarantined(wait),
+                mResponses.quarantined(retryAfter),
                 GatewayResponses.UNAVAILABLE,
-                "targets ended under requests like it");
+                "targets crashed while running requests with this digest");
     }
 
-    private void await(CompletableFuture<Slot> slot) {
-        mWaiting = slot;
+    private void awaitSlot(CompletableFuture<Slot> slot) {
+        mPendingSlot = slot;
         Futures.whenDone(
                 slot,
-                (given, failure) -> {
+                (granted, failure) -> {
                     if (mLoop.inEventLoop()) {
-                        onSlot(given, failure);
+                        onSlot(granted, failure);
                     } else {
-                        mLoop.execute(() -> onSlot(given, failure));
+                        mLoop.execute(() -> onSlot(granted, failure));
                     }
                 });
     }
 
     private void onSlot(Slot slot, Throwable failure) {
-        mWaiting = null;
+        mPendingSlot = null;
         if (failure != null) {
-            if (!mDone && mRunning.isEmpty()) {
-                refuse(failure);
+            if (!mFinished && mRunningAttempts.isEmpty()) {
+                reject(failure);
             }
             return;
         }
-        TargetAttempt offer = new TargetAttempt(mRequest, slot, mPool, mConnections, mClock);
-        if (mDone) {
-            offer.abort(FailureKind.CANCELLED_BY_CALLER);
+        TargetAttempt attempt = new TargetAttempt(mRequest, slot, mPool, mConnections, mClock);
+        if (mFinished) {
+            attempt.abort(FailureKind.CANCELLED_BY_CALLER);
             return;
         }
-        if (isHeldBack()) {
-            offer.abort(FailureKind.CANCELLED_BY_CALLER);
+        if (isDeferredOrRejected()) {
+            attempt.abort(FailureKind.CANCELLED_BY_CALLER);
             return;
         }
-        offer(offer);
+        start(attempt);
     }
 
-    private void offer(TargetAttempt offer) {
-        planHedge();
+    private void start(TargetAttempt attempt) {
+        scheduleHedge();
         if (treatment() == Treatment.ALONE) {
-            mGuard.turns().acquire(digest());
-            mHasTurn = true;
+            mGuard.digestLocks().acquire(digest());
+            mHoldsDigestLock = true;
         }
-        mOffers++;
-        mTried.add(offer.target());
-        mRunning.add(offer);
-        Futures.whenDone(offer.send(), (result, failure) -> onResult(offer, result, failure));
+        mAttempts++;
+        mTriedTargets.add(attempt.target());
+        mRunningAttempts.add(attempt);
+        Futures.whenDone(attempt.send(), (result, failure) -> onResult(attempt, result, failure));
     }
 
-    private void planHedge() {
+    private void scheduleHedge() {
         OptionalLong delay = mPool.runtime().hedgeDelayMillis(mRequest.kind());
-        if (delay.isPresent() && mHedge == null) {
-            mHedge = mLoop.schedule(this::hedge, delay.getAsLong(), TimeUnit.MILLISECONDS);
+        if (delay.isPresent() && mHedgeTimer == null) {
+            mHedgeTimer =
+                    mLoop.schedule(this::startHedge, delay.getAsLong(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void onResult(TargetAttempt offer, AttemptResult result, Throwable failure) {
-        if (!mRunning.remove(offer)) {
-            // It was stopped, and noted then; what its connection still reported is no news.
-            discard(result);
+    private void onResult(TargetAttempt attempt, AttemptResult result, Throwable failure) {
+        if (!mRunningAttempts.remove(attempt)) {
+            // The attempt was aborted and is recorded already.
+            discardResponse(result);
             return;
         }
-        boolean checked =
-                result instanceof AttemptResult.Failed failed && noteBroken(offer, failed);
-        if (!checked) {
-            giveTurnBack();
+        boolean isChecking =
+                result instanceof AttemptResult.Failed failed && checkBrokenTarget(attempt, failed);
+        if (!isChecking) {
+            releaseDigestLock();
         }
         if (failure != null) {
-            note(offer, "failed: " + failure);
-            mMayHaveRun = true;
-            finishUnlessRunning();
-        } else if (result instanceof AttemptResult.Responded answered) {
-            note(offer, "answered " + answered.status());
-            onAnswered(answered);
+            recordAttempt(attempt, "failed: " + failure);
+            mMayHaveExecuted = true;
+            finishIfIdle();
+        } else if (result instanceof AttemptResult.Responded responded) {
+            recordAttempt(attempt, "answered " + responded.status());
+            onResponse(responded);
         } else if (result instanceof AttemptResult.Failed failed) {
-            note(offer, failed.kind() + ": " + failed.cause());
+            recordAttempt(attempt, failed.kind() + ": " + failed.cause());
             onFailed(failed);
         }
     }
 
     /**
-     * Has it checked whether the target ended, if the connection broke.
+     * Starts a liveness check of the target if the attempt's connection broke.
      *
-     * @return whether it is checked, after which the turn is given back
+     * @return whether a check was started, which releases the digest's lock when it ends
      */
-    private boolean noteBroken(TargetAttempt offer, AttemptResult.Failed failed) {
+    private boolean checkBrokenTarget(TargetAttempt attempt, AttemptResult.Failed failed) {
         if (!failed.kind().brokeConnection()) {
             return false;
         }
-        mGuard.onConnectionBroken(offer, digest(), this::giveTurnBack);
+        mGuard.onConnectionBroken(attempt, digest(), this::releaseDigestLock);
         return true;
     }
 
-    private void giveTurnBack() {
-        if (mHasTurn) {
-            mHasTurn = false;
-            mGuard.turns().release(digest());
+    private void releaseDigestLock() {
+        if (mHoldsDigestLock) {
+            mHoldsDigestLock = false;
+            mGuard.digestLocks().release(digest());
         }
     }
 
-    /** Digests the request once; most requests never need it. */
+    /** Computed on first use: most requests never need their digest. */
     private RequestDigest digest() {
         if (mDigest.isEmpty()) {
             mDigest = Optional.of(mRequest.digest());
@@ -249,199 +248,221 @@
         return mDigest.get();
     }
 
-    private void onAnswered(AttemptResult.Responded answered) {
-        mMayHaveRun = true;
-        mReached++;
-        if (answered.isComplete()) {
+    private void onResponse(AttemptResult.Responded responded) {
+        mMayHaveExecuted = true;
+        mTargetsReached++;
+        if (responded.isComplete()) {
             mGuard.onResponse(this::digest);
         }
-        if (mDone) {
-            // The caller left while a request that must not repeat was still at its target.
-            answered.response().discard();
+        if (mFinished) {
+            // The caller disconnected while an at-most-once request was running.
+            responded.response().discard();
             return;
         }
-        boolean error = answered.status() >= SERVER_ERROR;
+        boolean error = responded.status() >= SERVER_ERROR;
         if (!error) {
-            finish(answered.response(), answered.status(), "answered");
+            finish(responded.response(), responded.status(), "answered");
             return;
         }
-        mError.ifPresent(old -> old.response().discard());
-        mError = Optional.of(answered);
-        if (!mRunning.isEmpty() || retry(answered.target(), FailureKind.SERVER_ERROR)) {
+        mErrorResponse.ifPresent(previous -> previous.response().discard());
+        mErrorResponse = Optional.of(responded);
+        if (!mRunningAttempts.isEmpty() || retry(responded.target(), FailureKind.SERVER_ERROR)) {
             return;
         }
-        finishUnlessRunning();
+        finishIfIdle();
     }
 
     private void onFailed(AttemptResult.Failed failed) {
-        boolean reached = failed.kind() != FailureKind.CONNECT_FAILED;
-        mMayHaveRun |= failed.kind().mayHaveRun() && reached;
-        if (reached) {
-            mReached++;
+        boolean hasReachedTarget = failed.kind() != FailureKind.CONNECT_FAILED;
+        mMayHaveExecuted |= failed.kind().mayHaveRun() && hasReachedTarget;
+        if (hasReachedTarget) {
+            mTargetsReached++;
         }
-        if (mDone || !mRunning.isEmpty()) {
+        if (mFinished || !mRunningAttempts.isEmpty()) {
             return;
         }
-        if (!reached && mOffers < MOST_OFFERS && mRequest.remainingMillis(mClock.millis()) > 0) {
-            await(mPool.runtime().reacquire(mRequest, Set.copyOf(mTried)));
+        if (!hasReachedTarget
+                && mAttempts < MAX_ATTEMPTS
+                && mRequest.remainingMillis(mClock.millis()) > 0) {
+            awaitSlot(mPool.runtime().reacquire(mRequest, Set.copyOf(mTriedTargets)));
             return;
         }
         if (retry(failed.target(), failed.kind())) {
             return;
         }
-        finishUnlessRunning();
+        finishIfIdle();
     }
 
     private boolean retry(Endpoint target, FailureKind kind) {
-        mTried.add(target);
-        if (mReached >= mRequest.route().maxTargets() || mOffers >= MOST_OFFERS) {
+        mTriedTargets.add(target);
+        if (mTargetsReached >= mRequest.route().maxTargets() || mAttempts >= MAX_ATTEMPTS) {
             return false;
         }
         if (kind.brokeConnection() && !treatment().mayRunAgain()) {
             return false;
         }
-        FailedAttempt failed =
+        FailedAttempt failedAttempt =
                 new FailedAttempt(
                         mRequest.kind(),
                         kind,
-                        mMayHaveRun,
-                        Set.copyOf(mTried),
-                        mReached,
+                        mMayHaveExecuted,
+                        Set.copyOf(mTriedTargets),
+                        mTargetsReached,
                         mRequest.deadlineMillis());
-        Optional<Slot> slot = mPool.runtime().retry(mRequest, failed);
-        slot.ifPresent(given -> onSlot(given, null));
+        Optional<Slot> slot = mPool.runtime().retry(mRequest, failedAttempt);
+        slot.ifPresent(granted -> onSlot(granted, null));
         return slot.isPresent();
     }
 
-    private void hedge() {
-        if (mDone || mRunning.size() != 1 || mWaiting != null) {
+    private void startHedge() {
+        if (mFinished || mRunningAttempts.size() != 1 || mPendingSlot != null) {
             return;
         }
-        if (mReached + 1 >= mRequest.route().maxTargets() || !treatment().mayRunAgain()) {
+        if (mTargetsReached + 1 >= mRequest.route().maxTargets() || !treatment().mayRunAgain()) {
             return;
         }
-        Optional<Slot> slot = mPool.runtime().hedge(mRequest, Set.copyOf(mTried));
+        Optional<Slot> slot = mPool.runtime().hedge(mRequest, Set.copyOf(mTriedTargets));
         if (slot.isPresent()) {
             onSlot(slot.get(), null);
-        } else if (mRequest.remainingMillis(mClock.millis()) > HEDGE_AGAIN_MILLIS) {
-            mHedge = mLoop.schedule(this::hedge, HEDGE_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        } else if (mRequest.remainingMillis(mClock.millis()) > HEDGE_RETRY_MILLIS) {
+            mHedgeTimer =
+                    mLoop.schedule(this::startHedge, HEDGE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Ends the exchange if nothing runs that might still answer. */
-    private void finishUnlessRunning() {
-        if (mDone || !mRunning.isEmpty() || mWaiting != null) {
+    /** Finishes the exchange unless an attempt or a slot is pending. */
+    private void finishIfIdle() {
+        if (mFinished || !mRunningAttempts.isEmpty() || mPendingSlot != null) {
             return;
         }
-        if (mError.isPresent()) {
-            AttemptResult.Responded error = mError.get();
-            finish(error.response(), error.status(), "the target's own failure");
-        } else if (mMayHaveRun) {
-            finish(mAnswers.failed(), GatewayResponses.BAD_GATEWAY, "may have run");
+        if (mErrorResponse.isPresent()) {
+            AttemptResult.Responded error = mErrorResponse.get();
+            finish(error.response(), error.status(), "the target returned a server error");
+        } else if (mMayHaveExecuted) {
+            finish(
+                    mResponses.failed(),
+                    GatewayResponses.BAD_GATEWAY,
+                    "a target failed and may have executed the request");
         } else {
-            long wait = mAnswers.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
-            finish(mAnswers.refused(wait), GatewayResponses.UNAVAILABLE, "no target took it");
+            long retryAfter =
+                    mResponses.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
+            finish(
+                    mResponses.refused(retryAfter),
+                    GatewayResponses.UNAVAILABLE,
+                    "no target accepted the request");
         }
     }
 
-    private void refuse(Throwable failure) {
-        if (mMayHaveRun) {
-            finishUnlessRunning();
+    private void reject(Throwable failure) {
+        if (mMayHaveExecuted) {
+            finishIfIdle();
             return;
         }
         Throwable cause = Futures.unwrap(failure);
         String reason = cause instanceof RefusedException ? cause.getMessage() : cause.toString();
-        long wait = mAnswers.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
-        finish(mAnswers.refused(wait), GatewayResponses.UNAVAILABLE, reason);
+        long retryAfter = mResponses.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
+        finish(mResponses.refused(retryAfter), GatewayResponses.UNAVAILABLE, reason);
     }
 
     /**
-     * Guards against a request that runs long after its caller left: one that must not repeat goes
-     * on at its target then, but over a cut link it may not have arrived there yet.
+     * Aborts the remaining attempts, including an at-most-once request whose caller has
+     * disconnected: on a partitioned network it may not have reached its target yet.
      */
     private void onDeadline() {
-        if (mDone) {
-            stopOffers(FailureKind.TIMED_OUT);
+        if (mFinished) {
+            abortAttempts(FailureKind.TIMED_OUT);
             return;
         }
-        boolean mayHaveRun = mMayHaveRun || !mRunning.isEmpty();
-        // Done first: an offer that is stopped ends at once, and must not lead to another one.
-        mDone = true;
-        stopOffers(FailureKind.TIMED_OUT);
-        if (mError.isPresent()) {
-            finish(mError.get().response(), mError.get().status(), "the target's own failure");
-        } else if (mayHaveRun) {
-            finish(mAnswers.timedOut(), GatewayResponses.TIMEOUT, "the time is over");
+        boolean mayHaveExecuted = mMayHaveExecuted || !mRunningAttempts.isEmpty();
+        // Set first: aborting an attempt completes it at once, which must not start another one.
+        mFinished = true;
+        abortAttempts(FailureKind.TIMED_OUT);
+        if (mErrorResponse.isPresent()) {
+            finish(
+                    mErrorResponse.get().response(),
+                    mErrorResponse.get().status(),
+                    "the target returned a server error");
+        } else if (mayHaveExecuted) {
+            finish(
+                    mResponses.timedOut(),
+                    GatewayResponses.TIMEOUT,
+                    "the deadline passed while a target had the request");
         } else {
-            finish(mAnswers.refused(0), GatewayResponses.UNAVAILABLE, "no slot came free in time");
+            finish(
+                    mResponses.refused(0),
+                    GatewayResponses.UNAVAILABLE,
+                    "the deadline passed before a slot was free");
         }
     }
 
     /**
-     * A request that may repeat is stopped at its target, which has better to do. One that must not
-     * repeat goes on once it was sent, until its time is over: stopping it midway would leave its
+     * Ends the exchange after the caller disconnected. Repeatable requests are aborted at their
+     * targets; at-most-once requests run until their deadline, because aborting one leaves its
      * effect unknown.
      */
-    private void onCallerGone() {
-        if (mDone) {
+    private void onCallerDisconnected() {
+        if (mFinished) {
             return;
         }
-        finish(null, 0, "the caller left");
+        finish(null, 0, "the caller disconnected");
     }
 
-    private void stopOffers(FailureKind kind) {
-        if (mWaiting != null) {
-            mWaiting.cancel(false);
+    private void abortAttempts(FailureKind kind) {
+        if (mPendingSlot != null) {
+            mPendingSlot.cancel(false);
         }
-        // Taken out first: an offer that is stopped ends at once, and would be noted twice.
-        List<TargetAttempt> stopped = List.copyOf(mRunning);
-        mRunning.clear();
-        giveTurnBack();
-        for (TargetAttempt offer : stopped) {
-            note(offer, "stopped: " + kind);
-            offer.abort(kind);
+        // Cleared first: aborting an attempt completes it at once, which would record it twice.
+        List<TargetAttempt> aborted = List.copyOf(mRunningAttempts);
+        mRunningAttempts.clear();
+        releaseDigestLock();
+        for (TargetAttempt attempt : aborted) {
+            recordAttempt(attempt, "aborted: " + kind);
+            attempt.abort(kind);
         }
     }
 
-    private void finish(CallerResponse answer, int status, String outcome) {
-        mDone = true;
-        if (mHedge != null) {
-            mHedge.cancel(false);
+    private void finish(CallerResponse response, int status, String outcome) {
+        mFinished = true;
+        if (mHedgeTimer != null) {
+            mHedgeTimer.cancel(false);
         }
-        if (answer != null) {
-            answer.send(mCall);
+        if (response != null) {
+            response.send(mCall);
         }
         if (mRequest.kind().idempotency().isRepeatable()) {
-            stopOffers(FailureKind.CANCELLED_BY_CALLER);
-        } else if (mWaiting != null) {
-            mWaiting.cancel(false);
+            abortAttempts(FailureKind.CANCELLED_BY_CALLER);
+        } else if (mPendingSlot != null) {
+            mPendingSlot.cancel(false);
         }
-        if (mRunning.isEmpty()) {
-            mDeadline.cancel(false);
+        if (mRunningAttempts.isEmpty()) {
+            mDeadlineTimer.cancel(false);
         }
-        mError.filter(error -> error.response() != answer)
+        mErrorResponse
+                .filter(error -> error.response() != response)
                 .ifPresent(error -> error.response().discard());
-        log(status, outcome);
+        logRequest(status, outcome);
     }
 
-    private static void discard(AttemptResult result) {
-        if (result instanceof AttemptResult.Responded answered) {
-            answered.response().discard();
+    private static void discardResponse(AttemptResult result) {
+        if (result instanceof AttemptResult.Responded responded) {
+            responded.response().discard();
         }
     }
 
-    private void note(TargetAttempt offer, String end) {
+    private void recordAttempt(TargetAttempt attempt, String result) {
         JsonObject entry = new JsonObject();
-        entry.put("target", offer.target().toString())
-                .put("instance", offer.instance().name())
-                .put("bout_chance", Math.round(offer.failureProbability() * PERCENT) / PERCENT)
-                .put("sent_after_ms", offer.sentMillis() - mRequest.arrivalMillis())
-                .put("took_ms", mClock.millis() - offer.sentMillis())
-                .put("end", end);
-        mHistory.add(entry);
+        entry.put("target", attempt.target().toString())
+                .put("instance", attempt.instance().name())
+                .put(
+                        "bout_chance",
+                        Math.round(attempt.failureProbability() * HUNDREDTHS) / HUNDREDTHS)
+                .put("sent_after_ms", attempt.sentMillis() - mRequest.arrivalMillis())
+                .put("took_ms", mClock.millis() - attempt.sentMillis())
+                .put("end", result);
+        mAttemptLog.add(entry);
     }
 
-    private void log(int status, String outcome) {
+    private void logRequest(int status, String outcome) {
         long now = mClock.millis();
         mLog.write(
                 EventLog.Kind.REQUEST,
@@ -456,7 +477,7 @@
                             .put("left_ms", mRequest.deadlineMillis() - now)
                             .put("status", status)
                             .put("outcome", outcome)
-                            .putList("offers", mHistory);
+                            .putList("offers", mAttemptLog);
                     mDigest.ifPresent(digest -> line.put("digest", digest.hex()));
                 });
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyHandler.java
@@ -18,34 +18,34 @@
 import org.dahliapass.model.routing.RouteRule;
 import org.dahliapass.platform.TargetHeaders;
 
-/** Matches callers' requests with routes and hands them to the exchange that serves them. */
+/** Matches requests to routes and starts the exchange that serves them. */
 final class ProxyHandler implements RequestHandler {
-    private static final long STARTING_WAIT_MILLIS = 300;
+    private static final long STARTUP_RETRY_MILLIS = 300;
 
     /**
-     * The caller's time runs from its sending; this much goes for opening its connection and for
-     * the two ways between it and this VM, 8 ms each at most in the deployments known.
+     * The part of the caller's timeout spent on opening the connection and on the network latency
+     * in both directions, which is at most 8 ms each way.
      */
-    private static final long WAY_BACK_MILLIS = 35;
+    private static final long NETWORK_ALLOWANCE_MILLIS = 35;
 
-    /** What a caller is taken to have left that doesn't say; most routes' timeouts are longer. */
-    private static final long UNTOLD_PATIENCE_MILLIS = 1_000;
+    /** The assumed timeout of a caller that sends none. */
+    private static final long DEFAULT_TIMEOUT_MILLIS = 1_000;
 
-    /** The colon, the space and the line end of a header line, in bytes. */
-    private static final int HEADER_LINE_EXTRA = 4;
+    /** The colon, the space and the line end of a header line. */
+    private static final int HEADER_LINE_OVERHEAD = 4;
 
     private final Clock mClock;
     private final GatewaySettings mSettings;
     private final GatewayState mState;
     private final StoreFollower mFollower;
     private final ServicePools mPools;
-    private final WeightedRoundRobin mShares;
+    private final WeightedRoundRobin mServiceChooser;
     private final TargetConnections mConnections;
     private final EventLog mLog;
-    private final GatewayResponses mAnswers;
-    private final LoadReporter mLoad;
-    private final BooleanSupplier mUpToDate;
-    private final Runnable mOnWork;
+    private final GatewayResponses mResponses;
+    private final LoadReporter mLoadReporter;
+    private final BooleanSupplier mIsUpToDate;
+    private final Runnable mOnRequest;
     private final PoisonGuard mGuard;
     private RouteTable mRoutes;
 
@@ -55,45 +55,45 @@
             GatewayState state,
             StoreFollower follower,
             ServicePools pools,
-            WeightedRoundRobin shares,
+            WeightedRoundRobin serviceChooser,
             TargetConnections connections,
             EventLog log,
-            GatewayResponses answers,
-            LoadReporter load,
-            BooleanSupplier upToDate,
-            Runnable onWork,
+            GatewayResponses responses,
+            LoadReporter loadReporter,
+            BooleanSupplier isUpToDate,
+            Runnable onRequestRead,
             PoisonGuard guard) {
         mClock = clock;
         mSettings = settings;
         mState = state;
         mFollower = follower;
         mPools = pools;
-        mShares = shares;
+        mServiceChooser = serviceChooser;
         mConnections = connections;
         mLog = log;
-        mAnswers = answers;
-        mLoad = load;
-        mUpToDate = upToDate;
-        mOnWork = onWork;
+        mResponses = responses;
+        mLoadReporter = loadReporter;
+        mIsUpToDate = isUpToDate;
+        mOnRequest = onRequestRead;
         mGuard = guard;
     }
 
     @Override
     public void onRequest(ServerCall call) {
-        mLoad.onRequest(call);
+        mLoadReporter.onRequest(call);
         if (mState.phase().closesConnections()) {
             call.closeAfterResponse();
         }
         Optional<RouteTable> routes = mFollower.view().routes();
         if (!mState.phase().acceptsRequests() || routes.isEmpty()) {
-            mAnswers.refused(STARTING_WAIT_MILLIS).send(call);
+            mResponses.refused(STARTUP_RETRY_MILLIS).send(call);
             return;
         }
-        if (mLoad.isFallingBehind()) {
-            refuseUnread(call);
+        if (mLoadReporter.isFallingBehind()) {
+            refuseBeforeReading(call);
             return;
         }
-        noteRoutes(routes.get());
+        updateRoutes(routes.get());
         match(call, routes.get());
     }
 
@@ -102,98 +102,106 @@
         RequestTarget target = RequestTarget.of(head);
         Optional<RouteRule> route = routes.find(target.authority(), target.pathWithoutQuery());
         if (route.isEmpty()) {
-            denyOrPutOff(call, routes);
+            respondNotFoundOrRetry(call, routes);
             return;
         }
         if (!head.headers().contains(TargetHeaders.ATTEMPT_ID)) {
-            mAnswers.missingAttemptId().send(call);
+            mResponses.missingAttemptId().send(call);
             return;
         }
         RequestLimits limits = routes.configuration().limits();
         if (headBytes(head) > limits.headerBytes()) {
-            mAnswers.headTooLarge().send(call);
+            mResponses.headTooLarge().send(call);
             return;
         }
         long arrivalMillis = mClock.millis();
         call.readBody(
                 limits.bodyBytes(),
                 body -> {
-                    mOnWork.run();
+                    mOnRequest.run();
                     mPools.runWhenCurrent(
                             call.loop(),
-                            () -> exchange(call, target, body, routes, route.get(), arrivalMillis));
+                            () ->
+                                    startExchange(
+                                            call,
+                                            target,
+                                            body,
+                                            routes,
+                                            route.get(),
+                                            arrivalMillis));
                 },
-                () -> mAnswers.bodyTooLarge().send(call));
+                () -> mResponses.bodyTooLarge().send(call));
     }
 
     /**
-     * Says that there is no such route, or asks the caller to come back while that isn't sure.
+     * Responds with 404, or asks the caller to retry if this VM may not know the newest routes.
      *
-     * <p>Guards against a VM whose news are late, because it is short of processor or its source is
-     * silent: callers of a route that is new would be told for good that there is none.
+     * <p>Guards against a final 404 for a new route from a VM whose updates are late because it is
+     * short of processor time or its source is silent.
      */
-    private void denyOrPutOff(ServerCall call, RouteTable routes) {
-        if (mUpToDate.getAsBoolean()) {
-            mAnswers.noRoute().send(call);
+    private void respondNotFoundOrRetry(ServerCall call, RouteTable routes) {
+        if (mIsUpToDate.getAsBoolean()) {
+            mResponses.noRoute().send(call);
             return;
         }
         HttpHeaders headers = call.head().headers();
-        long wait = mAnswers.retryAfterMillis(patience(headers, UNTOLD_PATIENCE_MILLIS));
+        long retryAfter =
+                mResponses.retryAfterMillis(callerTimeout(headers, DEFAULT_TIMEOUT_MILLIS));
         mLog.write(
                 EventLog.Kind.REQUEST,
                 "route_unsure",
                 line ->
                         line.put("id", headers.get(TargetHeaders.ATTEMPT_ID, ""))
                                 .put("version", routes.configuration().version())
-                                .put("come_back_ms", wait)
-                                .put("cause", "no news of changes for too long"));
-        mAnswers.refused(wait).send(call);
+                                .put("come_back_ms", retryAfter)
+                                .put("cause", "no recent update of the configuration"));
+        mResponses.refused(retryAfter).send(call);
     }
 
     /**
-     * Refuses a request before any work is done on it, so that the caller may come back at another
-     * VM while it has time, and this VM gets through what it has.
+     * Refuses a request before its body is read, so that the caller can retry at another VM in time
+     * and this VM can work off its backlog.
      */
-    private void refuseUnread(ServerCall call) {
+    private void refuseBeforeReading(ServerCall call) {
         HttpHeaders headers = call.head().headers();
-        long left = patience(headers, UNTOLD_PATIENCE_MILLIS);
-        long wait = mAnswers.retryAfterMillis(left);
+        long remaining = callerTimeout(headers, DEFAULT_TIMEOUT_MILLIS);
+        long retryAfter = mResponses.retryAfterMillis(remaining);
         mLog.write(
                 EventLog.Kind.REQUEST,
                 "request_refused_unread",
                 line ->
                         line.put("id", headers.get(TargetHeaders.ATTEMPT_ID, ""))
-                                .put("left_ms", left)
-                                .put("come_back_ms", wait)
-                                .put("cause", "this VM's thread is behind"));
-        mAnswers.refused(wait).send(call);
+                                .put("left_ms", remaining)
+                                .put("come_back_ms", retryAfter)
+                                .put("cause", "the traffic thread is overloaded"));
+        mResponses.refused(retryAfter).send(call);
     }
 
-    /** Forgets what was counted for routes that are gone; runs on the traffic thread only. */
-    private void noteRoutes(RouteTable routes) {
+    /** Removes the state of routes that no longer exist; traffic thread only. */
+    private void updateRoutes(RouteTable routes) {
         if (mRoutes != routes) {
             mRoutes = routes;
-            mShares.retainRoutes(routes.configuration().routes());
+            mServiceChooser.retainRoutes(routes.configuration().routes());
         }
     }
 
-    private void exchange(
+    private void startExchange(
             ServerCall call,
             RequestTarget target,
             ByteBuf body,
             RouteTable routes,
             RouteRule route,
             long arrivalMillis) {
-        String service = mShares.next(route);
+        String service = mServiceChooser.next(route);
         Optional<ServicePool> pool = mPools.find(service);
         if (pool.isEmpty()) {
-            mAnswers.refused(STARTING_WAIT_MILLIS).send(call);
+            mResponses.refused(STARTUP_RETRY_MILLIS).send(call);
             return;
         }
         HttpHeaders headers = new DefaultHttpHeaders().set(call.head().headers());
         headers.set(HttpHeaderNames.HOST, target.authority());
         long timeoutMillis = route.timeout().toMillis();
-        ProxyRequest matched =
+        ProxyRequest request =
                 new ProxyRequest(
                         headers.get(TargetHeaders.ATTEMPT_ID),
                         routes.configuration().version(),
@@ -206,33 +214,34 @@
                         headers,
                         body,
                         arrivalMillis,
-                        arrivalMillis + Math.min(timeoutMillis, patience(headers, timeoutMillis)));
-        new ProxyExchange(call, matched, pool.get(), mConnections, mClock, mLog, mAnswers, mGuard)
+                        arrivalMillis
+                                + Math.min(timeoutMillis, callerTimeout(headers, timeoutMillis)));
+        new ProxyExchange(call, request, pool.get(), mConnections, mClock, mLog, mResponses, mGuard)
                 .start();
     }
 
-    /**
-     * Returns the size of a request's head on the wire, in bytes, without its first line's words.
-     */
+    /** Returns the approximate size of the request head on the wire, in bytes. */
     private static long headBytes(HttpRequest head) {
         long bytes = head.uri().length();
         for (Map.Entry<String, String> header : head.headers()) {
-            bytes += header.getKey().length() + header.getValue().length() + HEADER_LINE_EXTRA;
+            bytes += header.getKey().length() + header.getValue().length() + HEADER_LINE_OVERHEAD;
         }
         return bytes;
     }
 
-    /** Returns how long the caller waits, in milliseconds; as long as the route if it says not. */
-    private static long patience(HttpHeaders headers, long routeMillis) {
+    /**
+     * Returns the remaining time of the caller, in milliseconds, or {@code defaultMillis} if the
+     * header is missing or malformed.
+     */
+    private static long callerTimeout(HttpHeaders headers, long defaultMillis) {
         String text = headers.get(TargetHeaders.REMAINING_MILLIS);
         if (text == null) {
-            return routeMillis;
+            return defaultMillis;
         }
         try {
-            return Math.max(0, Long.parseLong(text.trim()) - WAY_BACK_MILLIS);
-        } catch (NumberFormatException unreadable) {
-            // What can't be read sets no limit of its own; the route's timeout still holds.
-            return routeMillis;
+            return Math.max(0, Long.parseLong(text.trim()) - NETWORK_ALLOWANCE_MILLIS);
+        } catch (NumberFormatException malformed) {
+            return defaultMillis;
         }
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyRequest.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyRequest.java
@@ -10,20 +10,20 @@
 import org.dahliapass.traffic.SlotRequest;
 
 /**
- * One caller's request after it was matched with a route.
+ * A request of a caller that matches a route.
  *
- * @param id the caller's own id of this attempt
- * @param version the configuration version that the route belongs to
- * @param route its route
- * @param service the service that was chosen of the route's
- * @param kind the route's requests as the traffic decisions know them
- * @param path the path and query as the caller sent them
- * @param method its method
- * @param headers its headers as the caller sent them
- * @param body its whole body, on the heap
- * @param arrivalMillis when it arrived, in milliseconds
- * @param deadlineMillis when its answer is of no more use, in milliseconds: the caller has left or
- *     the route's timeout is over
+ * @param id the attempt id set by the caller
+ * @param version the configuration version of the route
+ * @param route the matching route
+ * @param service the selected service of the route
+ * @param kind the request kind for the traffic decisions
+ * @param path the path and query as received
+ * @param method the HTTP method
+ * @param headers the headers as received
+ * @param body the complete body, on the heap
+ * @param arrivalMillis the arrival time, in milliseconds
+ * @param deadlineMillis the time at which the caller gives up or the timeout of the route ends, in
+ *     milliseconds
  */
 record ProxyRequest(
         String id,
@@ -43,7 +43,7 @@
         return route.host();
     }
 
-    /** Returns what this request has in common with others like it. */
+    /** Returns the digest that this request shares with all requests of the same content. */
     RequestDigest digest() {
         return RequestDigest.of(
                 method.name(),
@@ -53,7 +53,7 @@
                 body.nioBuffer());
     }
 
-    /** Returns the milliseconds that are left, 0 at least. */
+    /** Returns the time until the deadline, in milliseconds; at least 0. */
     long remainingMillis(long nowMillis) {
         return Math.max(0, deadlineMillis - nowMillis);
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/QuarantineStore.java
@@ -12,20 +12,19 @@
 import org.dahliapass.platform.QuarantineEntry;
 
 /**
- * Writes quarantined requests to the store, for VMs that start later and those that no datagram
- * reached.
+ * Stores quarantined requests for VMs that start later or miss the datagrams.
  *
- * <p>All state belongs to the traffic thread.
+ * <p>Confined to the traffic thread.
  */
 final class QuarantineStore {
-    /** A lease and a write for each entry: a flood of them must leave the store to its users. */
-    private static final long PAUSE_MILLIS = 1_000;
+    /** Limits the load on the store when many requests are quarantined. */
+    private static final long MIN_WRITE_INTERVAL_MILLIS = 1_000;
 
-    /** Entries that are known; each is a digest and a number. */
-    private static final int MOST_KNOWN = 1_000;
+    /** The maximum number of cached entries. */
+    private static final int MAX_ENTRIES = 1_000;
 
-    /** The lease of an entry that another VM wrote. */
-    private static final long FOREIGN = 0;
+    /** Stands for the lease of an entry that another VM wrote. */
+    private static final long FOREIGN_LEASE = 0;
 
     private final KeyValueStore mStore;
     private final EventLoop mLoop;
@@ -33,10 +32,10 @@
     private final String mVm;
     private final EventLog mLog;
 
-    /** The leases of the entries that are known, oldest first. */
+    /** The leases of the known entries, oldest first. */
     private final Map<RequestDigest, Long> mLeases = new LinkedHashMap<>();
 
-    private long mWrittenMillis = Long.MIN_VALUE / 2;
+    private long mLastWriteMillis = Long.MIN_VALUE / 2;
 
     QuarantineStore(KeyValueStore store, EventLoop loop, Clock clock, String vm, EventLog log) {
         mStore = store;
@@ -46,42 +45,47 @@
         mLog = log;
     }
 
-    /** Takes an entry that some VM wrote. */
+    /** Records an entry that any VM wrote. */
     void onEntry(RequestDigest digest) {
-        know(digest, mLeases.getOrDefault(digest, FOREIGN));
+        addEntry(digest, mLeases.getOrDefault(digest, FOREIGN_LEASE));
     }
 
-    private void know(RequestDigest digest, long lease) {
+    private void addEntry(RequestDigest digest, long lease) {
         mLeases.put(digest, lease);
-        if (mLeases.size() > MOST_KNOWN) {
+        if (mLeases.size() > MAX_ENTRIES) {
             mLeases.remove(mLeases.keySet().iterator().next());
         }
     }
 
-    /** Writes an entry unless there is one; one that can't be written now is asked for again. */
-    void ensureEntry(RequestDigest digest, int ends) {
+    /**
+     * Writes an entry unless one is known; after a write was skipped or failed, the next refusal of
+     * the request triggers another.
+     */
+    void ensureEntry(RequestDigest digest, int crashes) {
         long now = mClock.millis();
-        if (mLeases.containsKey(digest) || now - mWrittenMillis < PAUSE_MILLIS) {
+        if (mLeases.containsKey(digest) || now - mLastWriteMillis < MIN_WRITE_INTERVAL_MILLIS) {
             return;
         }
-        mWrittenMillis = now;
+        mLastWriteMillis = now;
         CompletableFuture<Long> written =
                 mStore.grantLease(PoisonDetector.RETENTION)
                         .thenCompose(
                                 lease ->
                                         mStore.put(
                                                         QuarantineEntry.key(digest),
-                                                        QuarantineEntry.encode(mVm, ends),
+                                                        QuarantineEntry.encode(mVm, crashes),
                                                         lease)
-                                                .thenApply(done -> done ? lease : FOREIGN));
+                                                .thenApply(
+                                                        isWritten ->
+                                                                isWritten ? lease : FOREIGN_LEASE));
         Futures.whenDone(
                 written,
                 (lease, failure) -> mLoop.execute(() -> onWritten(digest, lease, failure)));
     }
 
     private void onWritten(RequestDigest digest, Long lease, Throwable failure) {
-        if (failure == null && lease != FOREIGN) {
-            know(digest, lease);
+        if (failure == null && lease != FOREIGN_LEASE) {
+            addEntry(digest, lease);
             return;
         }
         String cause = failure == null ? "The lease ended." : failure.getMessage();
@@ -91,10 +95,10 @@
                 line -> line.put("digest", digest.hex()).put("cause", cause));
     }
 
-    /** Takes out an entry of this VM's, whose request was answered. */
+    /** Removes the entry of a request that got a response, if this VM wrote it. */
     void removeEntry(RequestDigest digest) {
         Long lease = mLeases.remove(digest);
-        if (lease == null || lease == FOREIGN) {
+        if (lease == null || lease == FOREIGN_LEASE) {
             return;
         }
         Futures.whenDone(
--- a/gateway/src/main/java/org/dahliapass/gateway/RequestKinds.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/RequestKinds.java
@@ -9,22 +9,20 @@
 import org.dahliapass.model.routing.RequestLimits;
 import org.dahliapass.model.routing.RouteRule;
 
-/** Turns routes into the request kinds that the traffic decisions know. */
+/** Converts routes to the request kinds of the traffic decisions. */
 final class RequestKinds {
-    /** A hedge starts when an answer has used this share of its objective. */
+    /** The share of the latency objective after which a hedge is sent. */
     private static final double HEDGE_AFTER_SHARE = 0.6;
 
-    /**
-     * A request may wait for a slot for this share of its timeout; after it there is no time left.
-     */
-    private static final double PATIENCE_SHARE = 0.6;
+    /** The share of the timeout that a request may wait for a slot. */
+    private static final double MAX_QUEUE_SHARE = 0.6;
 
-    /** The share of good answers that the burn report expects where the operator names none. */
-    private static final double OBJECTIVE = 0.99;
+    /** The success objective of the error budget for routes without one. */
+    private static final double SUCCESS_OBJECTIVE = 0.99;
 
     private RequestKinds() {}
 
-    /** Returns the kind of a route's requests. */
+    /** Returns the request kind of a route. */
     static RequestKind of(RouteRule route, RequestLimits limits, double retryShare) {
         RequestClass requestClass = route.requestClass();
         Duration hedgeAfter =
@@ -38,23 +36,23 @@
                 true,
                 requestClass.idempotency(),
                 route.timeout(),
-                scaled(route.timeout(), PATIENCE_SHARE),
+                scaled(route.timeout(), MAX_QUEUE_SHARE),
                 route.objective(),
                 limits.bodyBytes(),
                 0,
                 retryShare,
                 hedgeAfter,
                 requestClass.bulky(),
-                OBJECTIVE);
+                SUCCESS_OBJECTIVE);
     }
 
-    /** Returns the kinds that a service is sent, one for each class of requests. */
+    /** Returns the request kinds of a service, one for each class of requests. */
     static List<RequestKind> of(List<RouteRule> routes, RequestLimits limits, double retryShare) {
         return Arrays.stream(RequestClass.values())
                 .flatMap(
-                        wanted ->
+                        requestClass ->
                                 routes.stream()
-                                        .filter(route -> route.requestClass() == wanted)
+                                        .filter(route -> route.requestClass() == requestClass)
                                         .limit(1))
                 .map(route -> of(route, limits, retryShare))
                 .toList();
--- a/gateway/src/main/java/org/dahliapass/gateway/ResponseCheck.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ResponseCheck.java
@@ -6,24 +6,28 @@
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.platform.TargetHeaders;
 
-/** What the head of an answer says of its origin and of the request. */
+/** The verdict on the head of a response: its origin and whether the request was executed. */
 enum ResponseCheck {
-    /** The target's own answer to this request. */
+    /** A response of the target to this request. */
     VALID(null, ""),
-    /** The target states that it didn't run this request. */
-    NOT_EXECUTED(FailureKind.REFUSED_NOT_PROCESSED, "the target states that it did not run it"),
+    /** The target states that it did not execute this request. */
+    NOT_EXECUTED(FailureKind.REFUSED_NOT_PROCESSED, "the target did not execute the request"),
     /**
-     * The answer to another request, or bytes of unknown origin. Shows when a target sends an
-     * answer twice: the second one is taken for the answer to the next request on the connection.
+     * A response to another request, or of unknown origin. Occurs when a target sends a response
+     * twice: the second copy is read as the response to the next request on the connection.
      */
-    MISMATCHED(FailureKind.RESET_AFTER_SEND, "the answer names another request"),
-    /** An answer that a target of this fleet doesn't make: no signature, or an encoded body. */
-    INVALID(FailureKind.RESET_AFTER_SEND, "the answer has no signature of a target");
+    MISMATCHED(FailureKind.RESET_AFTER_SEND, "the response has the attempt id of another request"),
+    /**
+     * A response that no target of this fleet sends: without a signature, or with an encoded body.
+     */
+    INVALID(
+            FailureKind.RESET_AFTER_SEND,
+            "the response lacks the attempt id or the target signature, or its body is encoded");
 
-    private static final int MISDIRECTED = 421;
+    private static final int MISDIRECTED_REQUEST = 421;
 
-    /** The statuses with which a target may state that it didn't run a request. */
-    private static final Set<Integer> REFUSALS = Set.of(503, 429, 421, 400);
+    /** The statuses that may state that a request was not executed. */
+    private static final Set<Integer> REFUSAL_STATUSES = Set.of(503, 429, 421, 400);
 
     private final FailureKind mFailure;
     private final String mCause;
@@ -33,34 +37,35 @@
         mCause = cause;
     }
 
-    /** Returns what it proves if the answer can't be passed on. */
+    /** Returns the failure to report if the response is not valid. */
     FailureKind failureKind() {
         return mFailure;
     }
 
-    /** Returns why the answer can't be passed on. */
+    /** Returns the reason if the response is not valid. */
     String cause() {
         return mCause;
     }
 
     /**
-     * Judges the head of an answer.
+     * Checks the head of a response.
      *
-     * @param status the answer's status
-     * @param headers its headers
-     * @param id the id of the request that waits for an answer on this connection
+     * @param status the HTTP status
+     * @param headers the headers of the response
+     * @param id the attempt id of the pending request on this connection
      */
     static ResponseCheck of(int status, HttpHeaders headers, String id) {
-        String named = headers.get(TargetHeaders.ATTEMPT_ID);
-        if (named != null && !named.equals(id)) {
+        String receivedId = headers.get(TargetHeaders.ATTEMPT_ID);
+        if (receivedId != null && !receivedId.equals(id)) {
             return MISMATCHED;
         }
-        boolean refused = REFUSALS.contains(status) && headers.contains(TargetHeaders.NOT_EXECUTED);
-        if (refused || status == MISDIRECTED) {
+        boolean refused =
+                REFUSAL_STATUSES.contains(status) && headers.contains(TargetHeaders.NOT_EXECUTED);
+        if (refused || status == MISDIRECTED_REQUEST) {
             return NOT_EXECUTED;
         }
         boolean signed = headers.contains(TargetHeaders.SIGNATURE);
         boolean encoded = headers.contains(HttpHeaderNames.CONTENT_ENCODING);
-        return named == null || !signed || encoded ? INVALID : VALID;
+        return receivedId == null || !signed || encoded ? INVALID : VALID;
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/RoutingView.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/RoutingView.java
@@ -7,10 +7,10 @@
 import org.dahliapass.model.routing.FleetVm;
 
 /**
- * What the control thread believes, for traffic threads; immutable.
+ * An immutable snapshot of the control thread's routing state for the traffic threads.
  *
- * @param routes the newest configuration; empty until the first one has come
+ * @param routes the newest configuration; empty until the first one is received
  * @param vms the live VMs of the fleet
- * @param plan which of them callers are sent to
+ * @param plan the VMs that are advertised to callers
  */
 public record RoutingView(Optional<RouteTable> routes, Collection<FleetVm> vms, AddressPlan plan) {}
--- a/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
@@ -16,44 +16,43 @@
 import org.dahliapass.platform.VmEntry;
 
 /**
- * Keeps this VM's entry in the store under a lease, so that the other VMs send callers here.
+ * Registers this VM in the store under a lease, so that the other VMs advertise it to callers.
  *
- * <p>Renewals also tell early that the store is away: they cost a tenth of a read. All state
- * belongs to the control thread.
+ * <p>The renewals also detect an unavailable store early, at a tenth of the price of a read.
+ * Confined to the control thread.
  */
 public final class SelfRegistration implements KernelService {
-    /** The name under which the kernel holds the entry. */
+    /** The service name in the kernel. */
     public static final String NAME = "fleet-entry";
 
-    /** How long the entry outlives its VM, and how often it is renewed for that. */
+    /** How long the entry outlives its VM, and the renewal interval for it. */
     private enum Tenure {
-        /** Callers or other VMs use this VM: once dead it is named for 4 s at most. */
+        /** Callers or other VMs use this VM; it is advertised for at most 4 s after it fails. */
         USED(Duration.ofSeconds(4), Duration.ofSeconds(1)),
         /**
-         * Nobody uses it yet. Each renewal is a call to the store, and most VMs of a large fleet
-         * are such; one that died may be planned with for 9 s at most.
+         * The VM is unused, like most VMs of a large fleet. Fewer renewals reduce the calls to the
+         * store.
          */
         SPARE(Duration.ofSeconds(9), Duration.ofSeconds(3));
 
         private final Duration mTimeToLive;
-        private final Duration mRenewal;
+        private final Duration mRenewalInterval;
 
         Tenure(Duration timeToLive, Duration renewal) {
             mTimeToLive = timeToLive;
-            mRenewal = renewal;
+            mRenewalInterval = renewal;
         }
     }
 
-    /** How often it is looked whether a renewal is due, on a VM that nobody follows. */
-    private static final Duration STEP = Duration.ofMillis(500);
+    /** The interval of the checks for a due renewal on a VM without followers. */
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
     /**
-     * A VM that others follow renews more often, at a tenth of the price of a read each: by the
-     * answers it knows within a second that the store has fallen silent.
+     * The renewal interval of a VM with followers: it has to detect a silent store within a second.
      */
-    private static final Duration RENEWAL_OF_FOLLOWED = Duration.ofMillis(400);
+    private static final Duration FOLLOWED_RENEWAL_INTERVAL = Duration.ofMillis(400);
 
-    private static final long NONE = 0;
+    private static final long NO_LEASE = 0;
 
     private final KeyValueStore mStore;
     private final FleetVm mSelf;
@@ -61,17 +60,16 @@
     private final EventLog mLog;
     private ControlLoop mLoop;
     private StoreFollower mFollower;
-    private long mLease = NONE;
+    private long mLease = NO_LEASE;
     private Tenure mTenure = Tenure.SPARE;
-    private long mBegunMillis = Long.MIN_VALUE / 2;
-    private boolean mBusy;
-    private boolean mLeft;
+    private long mLastRenewalMillis = Long.MIN_VALUE / 2;
+    private boolean mIsRenewing;
+    private boolean mIsDeregistered;
 
     /**
-     * Joins what the entry needs.
+     * Creates the service.
      *
-     * @param isFollowed whether other VMs hear of changes through this one; asked on the control
-     *     thread
+     * @param isFollowed returns whether other VMs may follow this one; called on the control thread
      */
     SelfRegistration(KeyValueStore store, FleetVm self, BooleanSupplier isFollowed, EventLog log) {
         mStore = store;
@@ -84,63 +82,68 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
-        mLoop.execute(this::keepUp);
-        new PeriodicTask(mLoop, STEP, this::keepUpIfDue).wake();
+        mLoop.execute(this::renewOrRegister);
+        new PeriodicTask(mLoop, CHECK_INTERVAL, this::renewIfDue).wake();
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Takes the entry out; asks stop naming this VM as soon as the other VMs hear of it. */
+    /**
+     * Removes the entry from the store. The other VMs stop advertising this VM when they receive
+     * the change.
+     */
     CompletableFuture<Void> deregister() {
         return mLoop.submit(
                         () -> {
-                            mLeft = true;
+                            mIsDeregistered = true;
                             return mLease;
                         })
                 .thenCompose(
                         lease ->
-                                lease == NONE
+                                lease == NO_LEASE
                                         ? CompletableFuture.completedFuture(null)
                                         : mStore.revokeLease(lease));
     }
 
-    private Optional<Duration> keepUpIfDue() {
-        Duration step = mIsFollowed.getAsBoolean() ? RENEWAL_OF_FOLLOWED : STEP;
-        Duration renewal = mIsFollowed.getAsBoolean() ? RENEWAL_OF_FOLLOWED : tenure().mRenewal;
-        // Half a step early, so that the step nearest to the renewal's time is taken.
-        long dueMillis = mBegunMillis + renewal.toMillis() - step.toMillis() / 2;
-        if (mLoop.nowMillis() >= dueMillis || isTooLong()) {
-            keepUp();
+    private Optional<Duration> renewIfDue() {
+        Duration interval = mIsFollowed.getAsBoolean() ? FOLLOWED_RENEWAL_INTERVAL : CHECK_INTERVAL;
+        Duration renewal =
+                mIsFollowed.getAsBoolean() ? FOLLOWED_RENEWAL_INTERVAL : tenure().mRenewalInterval;
+        // Half an interval early, so that the check nearest to the due time is used.
+        long dueMillis = mLastRenewalMillis + renewal.toMillis() - interval.toMillis() / 2;
+        if (mLoop.nowMillis() >= dueMillis || isLeaseTooLong()) {
+            renewOrRegister();
         }
-        return mLeft ? Optional.empty() : Optional.of(step);
+        return mIsDeregistered ? Optional.empty() : Optional.of(interval);
     }
 
     private Tenure tenure() {
         AddressPlan plan = mFollower.view().plan();
-        boolean used =
+        boolean isUsed =
                 Stream.concat(plan.advertisedVms().stream(), plan.watchers().stream())
                         .anyMatch(vm -> vm.name().equals(mSelf.name()));
-        return used ? Tenure.USED : Tenure.SPARE;
+        return isUsed ? Tenure.USED : Tenure.SPARE;
     }
 
-    /** Returns whether the entry would outlive its VM for longer than its use by now allows. */
-    private boolean isTooLong() {
-        return mLease != NONE && mTenure == Tenure.SPARE && tenure() == Tenure.USED;
+    /** Returns whether the lease is too long for the current use of this VM. */
+    private boolean isLeaseTooLong() {
+        return mLease != NO_LEASE && mTenure == Tenure.SPARE && tenure() == Tenure.USED;
     }
 
-    /** Renews the lease, or begins one and writes the entry if there is none. */
-    private void keepUp() {
-        if (mBusy || mLeft) {
+    /** Renews the lease, or grants one and writes the entry if there is none. */
+    private void renewOrRegister() {
+        if (mIsRenewing || mIsDeregistered) {
             return;
         }
-        mBusy = true;
-        mBegunMillis = mLoop.nowMillis();
-        CompletableFuture<?> step = mLease == NONE || isTooLong() ? enter() : renew();
+        mIsRenewing = true;
+        mLastRenewalMillis = mLoop.nowMillis();
+        CompletableFuture<?> renewal =
+                mLease == NO_LEASE || isLeaseTooLong() ? register() : renew();
         Futures.whenDone(
-                step,
+                renewal,
                 (ignored, failure) ->
                         mLoop.execute(
                                 () -> {
-                                    mBusy = false;
+                                    mIsRenewing = false;
                                     if (failure != null) {
                                         mFollower.onStoreFailure(failure);
                                     } else {
@@ -149,25 +152,32 @@
                                 }));
     }
 
-    private CompletableFuture<?> enter() {
+    private CompletableFuture<?> register() {
         Tenure tenure = tenure();
         return mStore.grantLease(tenure.mTimeToLive)
                 .thenCompose(
                         lease ->
                                 mStore.put(VmEntry.key(mSelf.name()), VmEntry.encode(mSelf), lease)
-                                        .thenAccept(done -> setLease(done ? lease : NONE, tenure)));
+                                        .thenAccept(
+                                                isWritten ->
+                                                        setLease(
+                                                                isWritten ? lease : NO_LEASE,
+                                                                tenure)));
     }
 
     private CompletableFuture<?> renew() {
         return mStore.renewLease(mLease)
                 .thenCompose(
-                        alive -> alive ? CompletableFuture.completedFuture(null) : enterAgain());
+                        isRenewed ->
+                                isRenewed
+                                        ? CompletableFuture.completedFuture(null)
+                                        : registerAgain());
     }
 
-    /** The lease ended while the store was away; the others miss this VM until it is back. */
-    private CompletableFuture<?> enterAgain() {
-        setLease(NONE, Tenure.SPARE);
-        return enter();
+    /** Registers again after the lease expired while the store was unavailable. */
+    private CompletableFuture<?> registerAgain() {
+        setLease(NO_LEASE, Tenure.SPARE);
+        return register();
     }
 
     private void setLease(long lease, Tenure tenure) {
@@ -177,7 +187,7 @@
                     mTenure = tenure;
                     mLog.write(
                             EventLog.Kind.BELIEF,
-                            lease == NONE ? "own_entry_lost" : "own_entry_written",
+                            lease == NO_LEASE ? "own_entry_lost" : "own_entry_written",
                             line -> line.put("lease", lease).put("tenure", tenure.name()));
                 });
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePool.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePool.java
@@ -7,50 +7,50 @@
 import org.dahliapass.model.routing.TargetRegistration;
 import org.dahliapass.traffic.ServiceRuntime;
 
-/** One service on this VM as traffic threads see it; immutable but for what the runtime counts. */
+/** The view of one service for traffic threads; immutable except for the state of its runtime. */
 final class ServicePool {
     private final ServiceRuntime mRuntime;
     private final Map<Endpoint, TargetRegistration> mRegistrations;
 
-    /** Made when first asked for: most VMs of a large fleet hear of no other VM's work. */
+    /** Created on first use: most VMs of a large fleet receive no reports from peers. */
     private volatile Map<String, TargetRegistration> mByIncarnation;
 
     /**
-     * Joins what belongs to a service.
+     * Creates the pool of a service.
      *
-     * @param runtime gives slots at targets
-     * @param registrations who is registered at each address
+     * @param runtime the runtime that grants slots at the targets
+     * @param registrations the registered target of each endpoint
      */
     ServicePool(ServiceRuntime runtime, Map<Endpoint, TargetRegistration> registrations) {
         mRuntime = runtime;
         mRegistrations = Map.copyOf(registrations);
     }
 
-    /** Returns what gives slots at the targets. */
+    /** Returns the runtime that grants slots at the targets. */
     ServiceRuntime runtime() {
         return mRuntime;
     }
 
-    /** Returns who is registered at each address. */
+    /** Returns the registered target of each endpoint. */
     Map<Endpoint, TargetRegistration> registrations() {
         return mRegistrations;
     }
 
-    /** Returns who is registered at an address now. */
+    /** Returns the target that is registered at an endpoint. */
     Optional<TargetRegistration> registrationAt(Endpoint target) {
         return Optional.ofNullable(mRegistrations.get(target));
     }
 
-    /** Returns the registered targets by their incarnations. */
+    /** Returns the registered targets by incarnation. */
     Map<String, TargetRegistration> byIncarnation() {
-        Map<String, TargetRegistration> found = mByIncarnation;
-        if (found == null) {
-            found = new HashMap<>();
+        Map<String, TargetRegistration> index = mByIncarnation;
+        if (index == null) {
+            index = new HashMap<>();
             for (TargetRegistration target : mRegistrations.values()) {
-                found.put(target.incarnation(), target);
+                index.put(target.incarnation(), target);
             }
-            mByIncarnation = found;
+            mByIncarnation = index;
         }
-        return found;
+        return index;
     }
 }
