--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -38,35 +38,36 @@
 import org.dahliapass.traffic.TargetEventListener;
 
 /**
- * The services of the configuration: for each its traffic decisions and the health of its targets.
+ * The services of the configuration, each with its runtime and the health of its targets.
  *
- * <p>Health belongs to the control thread; traffic threads find the pools in a published map.
+ * <p>The health state is confined to the control thread; traffic threads read a published map of
+ * pools.
  */
 public final class ServicePools implements KernelService, TargetEventListener {
-    /** The name under which the kernel holds the pools. */
+    /** The service name in the kernel. */
     public static final String NAME = "service-pools";
 
-    /** How often evidence is weighed without an urgent cause. */
-    private static final Duration TICK = Duration.ofMillis(250);
+    /** The interval of the health evaluation under load. */
+    private static final Duration EVALUATION_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * Without work only the slow start of new targets goes on, which takes seconds: a tick a second
-     * is enough. A tick goes through all targets, and most VMs of a large fleet have no work.
+     * The interval of the evaluation without requests, when only the slow start of new targets
+     * advances. An evaluation visits all targets, and most VMs of a large fleet are idle.
      */
-    private static final Duration TICK_WITHOUT_WORK = Duration.ofSeconds(1);
+    private static final Duration IDLE_EVALUATION_INTERVAL = Duration.ofSeconds(1);
 
-    /** Longer than evidence counts and a target that was taken out stays out at first. */
-    private static final long WEIGHED_AFTER_NEWS_MILLIS = 20_000;
+    /** Longer than the evidence window and the first ejection of a target. */
+    private static final long EVALUATION_MILLIS = 20_000;
 
     /**
-     * How long news may wait on a VM without work, which most VMs of a large fleet are. To take it
-     * goes through all targets: with 250 targets and five changes a second it was two thirds of the
-     * processor time of such a VM. A request that comes meanwhile waits until it is taken.
+     * The delay of a refresh on an idle VM. A refresh visits all targets, which dominates the
+     * processor time of an idle VM in a large fleet. A request that arrives meanwhile waits for the
+     * refresh.
      */
-    private static final Duration LATE_REFRESH = Duration.ofSeconds(1);
+    private static final Duration IDLE_REFRESH_DELAY = Duration.ofSeconds(1);
 
-    /** A VM that had work in the last seconds takes news at once. */
-    private static final long IN_USE_MILLIS = 5_000;
+    /** The time after a request for which a VM refreshes without delay. */
+    private static final long ACTIVE_MILLIS = 5_000;
 
     private final Clock mClock;
     private final RandomGenerator mRandom;
@@ -76,20 +77,21 @@
     private final Map<String, TargetHealth> mHealth = new HashMap<>();
     private final Map<String, ServiceTemplate> mTemplates = new HashMap<>();
     private ControlLoop mLoop;
-    private PeriodicTask mTick;
-    private PeriodicTask mLateRefresh;
+    private PeriodicTask mEvaluation;
+    private PeriodicTask mDelayedRefresh;
 
-    /** When there was last something to weigh: work, or targets that came or went. */
-    private long mNewsMillis;
+    /** The time of the last request or change of targets. */
+    private long mLastChangeMillis;
 
-    /** When this VM last had work. */
-    private volatile long mWorkMillis = Long.MIN_VALUE / 2;
+    /** The time of the last request. */
+    private volatile long mLastRequestMillis = Long.MIN_VALUE / 2;
 
-    /** Whether there is news of configuration or targets that the pools don't have yet. */
-    private volatile boolean mStale;
+    /** Whether the pools lag behind the configuration or the registered targets. */
+    private volatile boolean mIsOutdated;
 
     private StoreFollower mFollower;
-    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener = (service, news) -> {};
+    private volatile BiConsumer<ServiceId, TargetObservation> mObservationListener =
+            (service, observation) -> {};
     private volatile Map<String, ServicePool> mPools = Map.of();
 
     ServicePools(
@@ -105,7 +107,7 @@
         mLog = log;
     }
 
-    /** Finds a service; any thread may call this. */
+    /** Returns the pool of a service; any thread may call this. */
     Optional<ServicePool> find(String service) {
         return Optional.ofNullable(mPools.get(service));
     }
@@ -115,18 +117,18 @@
         return mPools.keySet();
     }
 
-    /** Sets who tells the other VMs of work that ended; while the kernel starts. */
+    /** Sets the listener for observations of targets; to be called during the start. */
     void setOutcomeListener(BiConsumer<ServiceId, TargetObservation> listener) {
-        mNewsListener = listener;
+        mObservationListener = listener;
     }
 
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
-        mLateRefresh = new PeriodicTask(mLoop, LATE_REFRESH, this::refreshLate);
-        mFollower.addChangeListener(this::onNews);
-        mTick = new PeriodicTask(mLoop, TICK, this::tick);
+        mDelayedRefresh = new PeriodicTask(mLoop, IDLE_REFRESH_DELAY, this::refreshIfOutdated);
+        mFollower.addChangeListener(this::onStateChange);
+        mEvaluation = new PeriodicTask(mLoop, EVALUATION_INTERVAL, this::evaluate);
         return CompletableFuture.completedFuture(null);
     }
 
@@ -139,10 +141,10 @@
                     if (health == null) {
                         return;
                     }
-                    mNewsMillis = mClock.millis();
-                    mWorkMillis = mNewsMillis;
-                    mTick.wake();
-                    health.onOutcome(target, kind, outcome, latencyMillis, mNewsMillis);
+                    mLastChangeMillis = mClock.millis();
+                    mLastRequestMillis = mLastChangeMillis;
+                    mEvaluation.wake();
+                    health.onOutcome(target, kind, outcome, latencyMillis, mLastChangeMillis);
                     if (outcome.isFailure()) {
                         publishTargets(service.name());
                     }
@@ -155,53 +157,54 @@
                 () -> {
                     TargetHealth health = mHealth.get(service.name());
                     if (health != null) {
-                        health.onLeaving(target, "it said that it leaves", mClock.millis());
+                        health.onLeaving(
+                                target, "the target reported that it is draining", mClock.millis());
                         publishTargets(service.name());
                     }
                 });
     }
 
-    /** Takes that this VM has work; any thread may call this. */
+    /** Records that this VM serves requests; any thread may call this. */
     void onRequest() {
-        mWorkMillis = mClock.millis();
+        mLastRequestMillis = mClock.millis();
     }
 
     /**
-     * Goes on with a request once the pools have all news.
+     * Runs a task on the event loop of a request once the pools are up to date.
      *
-     * @param loop the thread of the request, which calls this
+     * @param loop the event loop of the request, which calls this method
      */
     void runWhenCurrent(EventLoop loop, Runnable next) {
-        if (!mStale) {
+        if (!mIsOutdated) {
             next.run();
             return;
         }
         mLoop.execute(
                 () -> {
-                    refreshLate();
+                    refreshIfOutdated();
                     loop.execute(next);
                 });
     }
 
-    private void onNews() {
-        mStale = true;
-        if (mClock.millis() - mWorkMillis < IN_USE_MILLIS) {
+    private void onStateChange() {
+        mIsOutdated = true;
+        if (mClock.millis() - mLastRequestMillis < ACTIVE_MILLIS) {
             refresh();
         } else {
-            mLateRefresh.wake();
+            mDelayedRefresh.wake();
         }
     }
 
-    private Optional<Duration> refreshLate() {
-        if (mStale) {
+    private Optional<Duration> refreshIfOutdated() {
+        if (mIsOutdated) {
             refresh();
         }
         return Optional.empty();
     }
 
-    /** Makes the pools agree with the configuration and the registered targets. */
+    /** Rebuilds the pools from the configuration and the registered targets. */
     private void refresh() {
-        mStale = false;
+        mIsOutdated = false;
         Optional<RoutingConfiguration> found =
                 mFollower.view().routes().map(routes -> routes.configuration());
         if (found.isEmpty()) {
@@ -221,19 +224,20 @@
                             mSettings.retryShare());
             ServiceTemplate template =
                     ServiceTemplates.of(mSettings, configuration, service, targets, kinds);
-            pools.put(service, keep(template, targets));
+            pools.put(service, updatePool(template, targets));
         }
         mHealth.keySet().retainAll(pools.keySet());
         mTemplates.keySet().retainAll(pools.keySet());
         mPools = Map.copyOf(pools);
-        mTick.wake();
+        mEvaluation.wake();
         pools.keySet().forEach(this::publishTargets);
     }
 
-    private ServicePool keep(ServiceTemplate template, Map<Endpoint, TargetRegistration> targets) {
+    private ServicePool updatePool(
+            ServiceTemplate template, Map<Endpoint, TargetRegistration> targets) {
         String service = template.name();
-        ServicePool before = mPools.get(service);
-        ServiceTemplate known = mTemplates.put(service, template);
+        ServicePool previous = mPools.get(service);
+        ServiceTemplate previousTemplate = mTemplates.put(service, template);
         long now = mClock.millis();
         TargetHealth health = mHealth.get(service);
         if (health == null) {
@@ -241,20 +245,20 @@
             mHealth.put(
                     service,
                     new TargetHealth(self, mSettings.self().availabilityZone(), template, now));
-            mNewsMillis = now;
-        } else if (!template.equals(known) || hasNewInstance(before, targets)) {
-            mNewsMillis = now;
-            forgetReplaced(health, template, before, targets, now);
+            mLastChangeMillis = now;
+        } else if (!template.equals(previousTemplate) || hasNewInstance(previous, targets)) {
+            mLastChangeMillis = now;
+            removeReplaced(health, template, previous, targets, now);
             health.update(template, now);
         }
-        boolean fits =
-                before != null
-                        && known != null
-                        && known.slotsPerTarget() == template.slotsPerTarget();
-        ServiceRuntime runtime = fits ? before.runtime() : newRuntime(template);
+        boolean isReusable =
+                previous != null
+                        && previousTemplate != null
+                        && previousTemplate.slotsPerTarget() == template.slotsPerTarget();
+        ServiceRuntime runtime = isReusable ? previous.runtime() : newRuntime(template);
         runtime.onTemplate(template);
-        if (before != null) {
-            runtime.forget(replaced(before, targets));
+        if (previous != null) {
+            runtime.forget(replaced(previous, targets));
         }
         return new ServicePool(runtime, targets);
     }
@@ -268,23 +272,25 @@
                         mRandom,
                         this,
                         mMetrics);
-        runtime.setObservationListener((service, news) -> mNewsListener.accept(service, news));
+        runtime.setObservationListener(
+                (service, observation) -> mObservationListener.accept(service, observation));
         return runtime;
     }
 
     private static boolean hasNewInstance(
-            ServicePool before, Map<Endpoint, TargetRegistration> targets) {
-        return before != null && !replaced(before, targets).isEmpty();
+            ServicePool previous, Map<Endpoint, TargetRegistration> targets) {
+        return previous != null && !replaced(previous, targets).isEmpty();
     }
 
-    /** Returns the addresses at which another start of a target is registered now. */
+    /** Returns the endpoints at which a different start of a target is registered now. */
     private static Set<Endpoint> replaced(
-            ServicePool before, Map<Endpoint, TargetRegistration> targets) {
+            ServicePool previous, Map<Endpoint, TargetRegistration> targets) {
         Set<Endpoint> replaced = new HashSet<>();
         targets.forEach(
                 (endpoint, target) -> {
-                    Optional<TargetRegistration> old = before.registrationAt(endpoint);
-                    if (old.isPresent() && !old.get().incarnation().equals(target.incarnation())) {
+                    Optional<TargetRegistration> previousTarget = previous.registrationAt(endpoint);
+                    if (previousTarget.isPresent()
+                            && !previousTarget.get().incarnation().equals(target.incarnation())) {
                         replaced.add(endpoint);
                     }
                 });
@@ -292,16 +298,18 @@
     }
 
     /**
-     * Guards against a new instance that is blamed for its predecessor at the same address: the
-     * address leaves the list for a moment, which drops what was known of it.
+     * Removes the health state of replaced targets by an update without them.
+     *
+     * <p>Guards against a new instance that inherits the failures of its predecessor at the same
+     * endpoint.
      */
-    private static void forgetReplaced(
+    private static void removeReplaced(
             TargetHealth health,
             ServiceTemplate template,
-            ServicePool before,
+            ServicePool previous,
             Map<Endpoint, TargetRegistration> targets,
             long now) {
-        Set<Endpoint> replaced = before == null ? Set.of() : replaced(before, targets);
+        Set<Endpoint> replaced = previous == null ? Set.of() : replaced(previous, targets);
         if (replaced.isEmpty()) {
             return;
         }
@@ -326,14 +334,15 @@
     }
 
     /**
-     * A VM that takes no work has nothing to weigh, which is most VMs most of the time.
+     * Evaluates the health of the targets; stops when there was no request and no new target for a
+     * while.
      *
-     * <p>Targets that came are weighed without work, too: else their slow start would end only
-     * after the VM's first requests, and the first that must not repeat would be refused.
+     * <p>New targets are evaluated without requests, too: otherwise their slow start would end only
+     * after the first requests, and the first at-most-once requests would be refused.
      */
-    private Optional<Duration> tick() {
+    private Optional<Duration> evaluate() {
         long now = mClock.millis();
-        if (now - mNewsMillis > WEIGHED_AFTER_NEWS_MILLIS) {
+        if (now - mLastChangeMillis > EVALUATION_MILLIS) {
             return Optional.empty();
         }
         for (String service : mPools.keySet()) {
@@ -341,8 +350,8 @@
             publishTargets(service);
             mPools.get(service).runtime().runMaintenance();
         }
-        boolean worked = now - mWorkMillis <= WEIGHED_AFTER_NEWS_MILLIS;
-        return Optional.of(worked ? TICK : TICK_WITHOUT_WORK);
+        boolean isActive = now - mLastRequestMillis <= EVALUATION_MILLIS;
+        return Optional.of(isActive ? EVALUATION_INTERVAL : IDLE_EVALUATION_INTERVAL);
     }
 
     private void publishTargets(String service) {
@@ -351,7 +360,7 @@
         if (pool == null || health == null) {
             return;
         }
-        health.takeExplanations().forEach(explanation -> explain(service, explanation));
+        health.takeExplanations().forEach(explanation -> logExplanation(service, explanation));
         List<WeightedTarget> targets = new ArrayList<>();
         for (TargetStatus status : health.view().targets().values()) {
             Optional<TargetRegistration> registered =
@@ -369,7 +378,7 @@
         pool.runtime().onTargets(targets);
     }
 
-    private void explain(String service, Explanation explanation) {
+    private void logExplanation(String service, Explanation explanation) {
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "target_" + explanation.action().name().toLowerCase(Locale.ROOT),
--- a/gateway/src/main/java/org/dahliapass/gateway/ServiceTemplates.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServiceTemplates.java
@@ -14,21 +14,24 @@
 import org.dahliapass.model.routing.RoutingConfiguration;
 import org.dahliapass.model.routing.TargetRegistration;
 
-/** Puts configuration and registered targets together, service by service. */
+/** Creates service templates from the configuration and the registered targets. */
 final class ServiceTemplates {
     private ServiceTemplates() {}
 
-    /** Returns the targets of each service that take new work, by their addresses. */
+    /** Returns the targets of each service that accept new requests, by endpoint. */
     static Map<String, Map<Endpoint, TargetRegistration>> targetsByService(
             Collection<TargetRegistration> targets) {
         Map<String, Map<Endpoint, TargetRegistration>> registered = new HashMap<>();
         for (TargetRegistration target : targets) {
-            // The last written goes last, so that of two instances at an address the newer wins.
+            // Later registrations overwrite earlier ones, so the newer of two instances at an
+            // endpoint wins.
             registered
                     .computeIfAbsent(target.service(), unused -> new LinkedHashMap<>())
                     .put(target.endpoint(), target);
         }
-        registered.values().forEach(known -> known.values().removeIf(TargetRegistration::draining));
+        registered
+                .values()
+                .forEach(byEndpoint -> byEndpoint.values().removeIf(TargetRegistration::draining));
         return registered;
     }
 
@@ -46,22 +49,22 @@
         return routes;
     }
 
-    /** Returns a service as the traffic decisions know it. */
+    /** Returns the template of a service. */
     static ServiceTemplate of(
             GatewaySettings settings,
             RoutingConfiguration configuration,
             String service,
             Map<Endpoint, TargetRegistration> targets,
             List<RequestKind> kinds) {
-        List<Target> listed =
+        List<Target> serviceTargets =
                 targets.values().stream()
-                        .map(one -> new Target(one.endpoint(), one.availabilityZone()))
+                        .map(target -> new Target(target.endpoint(), target.availabilityZone()))
                         .toList();
         int slots = targets.values().stream().mapToInt(TargetRegistration::slots).max().orElse(1);
         return new ServiceTemplate(
                 service,
                 service,
-                listed,
+                serviceTargets,
                 slots,
                 configuration.services().get(service).connectionLimit(),
                 settings.floorShare(),
--- a/gateway/src/main/java/org/dahliapass/gateway/SighupHandler.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SighupHandler.java
@@ -6,10 +6,10 @@
 import org.dahliapass.kernel.OperationException;
 
 /**
- * Runs an action on SIGHUP, on which the runtime would otherwise end the process.
+ * Runs an action on SIGHUP, which would otherwise end the process.
  *
- * <p>The runtime's signal classes are no part of the Java platform, and naming them is a warning
- * that can't be silenced; so they are looked up by name.
+ * <p>The signal classes of the runtime are not part of the Java platform, and a direct use causes a
+ * compiler warning that cannot be suppressed; they are accessed by reflection.
  */
 final class SighupHandler {
     private static final String SIGNAL = "sun.misc.Signal";
@@ -18,9 +18,9 @@
     private SighupHandler() {}
 
     /**
-     * Sets the action.
+     * Installs the action.
      *
-     * @throws OperationException if this runtime has no such classes
+     * @throws OperationException if this runtime lacks the signal classes
      */
     static void install(Runnable action) {
         try {
@@ -39,7 +39,10 @@
                 | IllegalAccessException
                 | InvocationTargetException failure) {
             throw new OperationException(
-                    "take SIGHUP", "self", "This runtime can't; use another one.", failure);
+                    "handle SIGHUP",
+                    "self",
+                    "This Java runtime lacks sun.misc.Signal; use one that has it.",
+                    failure);
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -30,53 +30,55 @@
 import org.dahliapass.platform.VmEntry;
 
 /**
- * What this VM believes of configuration, targets and fellow VMs, by what the store said last.
+ * The last known state of the configuration, the targets and the VMs in the store.
  *
- * <p>While the store is away, what was last known stays in force. All state belongs to the control
+ * <p>While the store is unavailable, the last known state stays in force. Confined to the control
  * thread; traffic threads read the published {@link #view}.
  */
 public final class StoreFollower implements KernelService {
-    /** The name under which the kernel holds the follower. */
+    /** The service name in the kernel. */
     public static final String NAME = "store-follower";
 
-    /** The platform promises entries back within about two seconds of the store's return. */
-    private static final long LAPSE_GRACE_MILLIS = 2_100;
+    /** Targets restore their entries within about two seconds after an outage of the store. */
+    private static final long EXPIRY_GRACE_MILLIS = 2_100;
 
-    /** The share of all entries from which entries that vanish at once are taken for an outage. */
+    /** The share of entries that counts as an outage of the store if they expire at once. */
     private static final double OUTAGE_SHARE = 0.25;
 
-    private static final int OUTAGE_LEAST = 4;
+    private static final int MIN_OUTAGE_ENTRIES = 4;
 
-    /** Bounds the memory that another writer's keys can take; beyond it, items are told again. */
-    private static final int MOST_REFUSED_KNOWN = 1_000;
+    /**
+     * Bounds the memory for malformed items of other writers; beyond it, items are logged again.
+     */
+    private static final int MAX_MALFORMED_ITEMS = 1_000;
 
     private final int mVmsPerZone;
     private final EventLog mLog;
     private final LeasedEntryCache<TargetRegistration> mTargets =
-            new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
-    private final LeasedEntryCache<FleetVm> mVms = new LeasedEntryCache<>(LAPSE_GRACE_MILLIS);
+            new LeasedEntryCache<>(EXPIRY_GRACE_MILLIS);
+    private final LeasedEntryCache<FleetVm> mVms = new LeasedEntryCache<>(EXPIRY_GRACE_MILLIS);
     private final List<Runnable> mListeners = new ArrayList<>();
 
-    /** The revisions of the items that were refused, so that each is told of once. */
-    private final Map<String, Long> mRefused = new HashMap<>();
+    /** The revisions of malformed items, each of which is logged once. */
+    private final Map<String, Long> mMalformed = new HashMap<>();
 
     private Optional<RouteTable> mRoutes = Optional.empty();
     private ControlLoop mLoop;
-    private boolean mAway;
+    private boolean mIsUnavailable;
 
-    /** While a whole read is taken, which is told of in one line: a fleet has many targets. */
-    private boolean mReadsAll;
+    /** Whether a snapshot is being applied, which is logged in one line. */
+    private boolean mIsApplyingSnapshot;
 
-    private long mAwaySinceMillis;
+    private long mUnavailableSinceMillis;
 
-    /** When overdue entries are looked for; the greatest number for never. */
-    private long mDropPlannedMillis = Long.MAX_VALUE;
+    /** The time of the next eviction; {@link Long#MAX_VALUE} if none is scheduled. */
+    private long mEvictionMillis = Long.MAX_VALUE;
 
-    private LongSupplier mNewsSince = () -> Long.MAX_VALUE;
-    private volatile long mHeardMillis = Long.MIN_VALUE / 2;
+    private LongSupplier mUpToDateSince = () -> Long.MAX_VALUE;
+    private volatile long mLastResponseMillis = Long.MIN_VALUE / 2;
     private double mDemand;
 
-    /** The changes of targets and of VMs that the published view has. */
+    /** The modification counts of targets and VMs in the published view. */
     private long mPublishedTargets;
 
     private long mPublishedVms;
@@ -84,9 +86,9 @@
     private volatile Consumer<RequestDigest> mQuarantineListener = digest -> {};
 
     /**
-     * Starts with nothing known.
+     * Creates a follower with an empty state.
      *
-     * @param vmsPerZone how many VMs take the callers of one availability zone at least
+     * @param vmsPerZone the minimum number of VMs that serve the callers of one availability zone
      */
     StoreFollower(int vmsPerZone, EventLog log) {
         mVmsPerZone = vmsPerZone;
@@ -94,54 +96,57 @@
         mLog = log;
     }
 
-    /** Returns what is believed now; any thread may call this. */
+    /** Returns the current state; any thread may call this. */
     public RoutingView view() {
         return mView;
     }
 
-    /** Returns the targets that are believed in, by instance; control thread only. */
+    /** Returns the known targets by instance; control thread only. */
     Map<String, TargetRegistration> targets() {
         return mTargets.entries();
     }
 
     /**
-     * Adds what is run on the control thread after each change of the configuration or the targets;
-     * before the start.
+     * Registers a listener that runs on the control thread after each change of the configuration
+     * or the targets; to be called before the start.
      */
     void addChangeListener(Runnable listener) {
         mListeners.add(listener);
     }
 
     /**
-     * Sets what tells since when this VM has heard of all changes without a gap, in milliseconds;
-     * the greatest number if it hasn't. Asked on the control thread.
+     * Sets the supplier of the time since when this VM has received all changes without a gap, in
+     * milliseconds; {@link Long#MAX_VALUE} if it has not. Called on the control thread.
      */
-    void setUpToDateSince(LongSupplier newsSince) {
-        mNewsSince = newsSince;
+    void setUpToDateSince(LongSupplier upToDateSince) {
+        mUpToDateSince = upToDateSince;
     }
 
-    /** Sets who takes requests that the fleet has quarantined; before the start of the feed. */
+    /** Sets the listener for quarantined requests; to be called before the start of the feed. */
     void setQuarantineListener(Consumer<RequestDigest> listener) {
         mQuarantineListener = listener;
     }
 
-    /** Returns whether the store gave no answer when last asked; control thread only. */
+    /** Returns whether the last call to the store failed; control thread only. */
     boolean isStoreUnavailable() {
-        return mAway;
+        return mIsUnavailable;
     }
 
-    /** Returns when the store last answered a call, in milliseconds; any thread may call this. */
+    /**
+     * Returns the time of the last response of the store, in milliseconds; any thread may call
+     * this.
+     */
     long lastResponseMillis() {
-        return mHeardMillis;
+        return mLastResponseMillis;
     }
 
-    /** Takes a failed call to the store from any part of this VM; control thread only. */
+    /** Records a failed call to the store from any service of this VM; control thread only. */
     void onStoreFailure(Throwable failure) {
-        if (mAway) {
+        if (mIsUnavailable) {
             return;
         }
-        mAway = true;
-        mAwaySinceMillis = mLoop.nowMillis();
+        mIsUnavailable = true;
+        mUnavailableSinceMillis = mLoop.nowMillis();
         mLog.write(
                 EventLog.Kind.DEPENDENCY,
                 "store_lost",
@@ -150,17 +155,18 @@
                                 .put("meanwhile", "the last known state stays in force"));
     }
 
-    /** Takes an answered call to the store from any part of this VM; control thread only. */
+    /** Records a successful call to the store from any service of this VM; control thread only. */
     void onStoreResponse() {
         long now = mLoop.nowMillis();
-        mHeardMillis = now;
-        if (!mAway) {
+        mLastResponseMillis = now;
+        if (!mIsUnavailable) {
             return;
         }
-        mAway = false;
-        // A store that only this VM did not reach let no entries lapse: the others told of it.
-        boolean heardAll = mNewsSince.getAsLong() <= mAwaySinceMillis;
-        if (!heardAll) {
+        mIsUnavailable = false;
+        // No entries expired if only this VM could not reach the store, because it received all
+        // changes through its peers.
+        boolean isComplete = mUpToDateSince.getAsLong() <= mUnavailableSinceMillis;
+        if (!isComplete) {
             mTargets.onStoreRecovered(now);
             mVms.onStoreRecovered(now);
         }
@@ -168,8 +174,8 @@
                 EventLog.Kind.DEPENDENCY,
                 "store_back",
                 line ->
-                        line.put("away_ms", now - mAwaySinceMillis)
-                                .put("heard_all_meanwhile", heardAll));
+                        line.put("away_ms", now - mUnavailableSinceMillis)
+                                .put("heard_all_meanwhile", isComplete));
     }
 
     @Override
@@ -178,16 +184,16 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Takes a whole read of the store; control thread only. */
+    /** Replaces the state by a snapshot of the store; control thread only. */
     void applySnapshot(List<StoredItem> items) {
-        Set<String> seen = new HashSet<>();
-        mReadsAll = true;
+        Set<String> keys = new HashSet<>();
+        mIsApplyingSnapshot = true;
         for (StoredItem item : items) {
-            seen.add(item.key());
-            takeWritten(item);
+            keys.add(item.key());
+            applyItem(item);
         }
-        mReadsAll = false;
-        removeAbsent(seen);
+        mIsApplyingSnapshot = false;
+        removeAbsent(keys);
         publish();
         mLog.write(
                 EventLog.Kind.BELIEF,
@@ -197,15 +203,15 @@
                                 .put("vms", mVms.entries().size()));
     }
 
-    private void removeAbsent(Set<String> seen) {
+    private void removeAbsent(Set<String> keys) {
         Set<String> targets = new HashSet<>(mTargets.entries().keySet());
-        targets.removeIf(name -> seen.contains(RegistrationDocument.PREFIX + name));
+        targets.removeIf(name -> keys.contains(RegistrationDocument.PREFIX + name));
         Set<String> vms = new HashSet<>(mVms.entries().keySet());
-        vms.removeIf(name -> seen.contains(VmEntry.key(name)));
+        vms.removeIf(name -> keys.contains(VmEntry.key(name)));
         remove(targets, vms);
     }
 
-    /** Takes changes in order; control thread only. */
+    /** Applies changes in order; control thread only. */
     void applyEvents(List<StoreEvent> events) {
         if (events.isEmpty()) {
             return;
@@ -214,37 +220,37 @@
         Set<String> vms = new HashSet<>();
         for (StoreEvent event : events) {
             if (event instanceof StoreEvent.Written written) {
-                targets.remove(nameUnder(RegistrationDocument.PREFIX, event.key()));
-                vms.remove(nameUnder(VmEntry.PREFIX, event.key()));
-                takeWritten(written.item());
+                targets.remove(nameWithPrefix(RegistrationDocument.PREFIX, event.key()));
+                vms.remove(nameWithPrefix(VmEntry.PREFIX, event.key()));
+                applyItem(written.item());
             } else if (event.key().startsWith(RegistrationDocument.PREFIX)) {
-                targets.add(nameUnder(RegistrationDocument.PREFIX, event.key()));
+                targets.add(nameWithPrefix(RegistrationDocument.PREFIX, event.key()));
             } else if (event.key().startsWith(VmEntry.PREFIX)) {
-                vms.add(nameUnder(VmEntry.PREFIX, event.key()));
+                vms.add(nameWithPrefix(VmEntry.PREFIX, event.key()));
             }
         }
         remove(targets, vms);
         publish();
     }
 
-    private static String nameUnder(String prefix, String key) {
+    private static String nameWithPrefix(String prefix, String key) {
         return key.startsWith(prefix) ? key.substring(prefix.length()) : "";
     }
 
     /**
-     * Takes one item. A configuration that can't be decoded leaves the last good one in force; an
-     * entry that can't be decoded names nobody, so that nothing is sent there any more.
+     * Applies one item. A malformed configuration leaves the last valid one in force; a malformed
+     * entry is treated as removed, so that its target receives no requests.
      *
-     * <p>Guards against an item of another writer on which reading fails in a way that nobody
-     * thought of: it would end the taking of all items behind it and the wait for changes with it,
-     * which shows as a VM that serves by what it knew at that moment for good.
+     * <p>Guards against an item that causes an unexpected exception: it would prevent all later
+     * items from being applied and stop the watch, which leaves the VM in its last known state for
+     * good.
      */
-    private void takeWritten(StoredItem item) {
+    private void applyItem(StoredItem item) {
         try {
             if (item.key().equals(ConfigurationDocument.KEY)) {
-                takeConfiguration(ConfigurationDocument.decode(item.value()));
+                applyConfiguration(ConfigurationDocument.decode(item.value()));
             } else if (item.key().startsWith(RegistrationDocument.PREFIX)) {
-                takeTarget(RegistrationDocument.decode(item));
+                applyTarget(RegistrationDocument.decode(item));
             } else if (item.key().startsWith(VmEntry.PREFIX)) {
                 FleetVm vm = VmEntry.decode(item);
                 mVms.put(vm.name(), vm);
@@ -252,19 +258,19 @@
                 mQuarantineListener.accept(QuarantineEntry.decode(item));
             }
         } catch (RuntimeException failure) {
-            refuse(item, failure);
+            rejectItem(item, failure);
         }
     }
 
-    private void refuse(StoredItem item, RuntimeException failure) {
-        mTargets.evict(nameUnder(RegistrationDocument.PREFIX, item.key()));
-        mVms.evict(nameUnder(VmEntry.PREFIX, item.key()));
-        Long told = mRefused.put(item.key(), item.revision());
-        if (told != null && told == item.revision()) {
+    private void rejectItem(StoredItem item, RuntimeException failure) {
+        mTargets.evict(nameWithPrefix(RegistrationDocument.PREFIX, item.key()));
+        mVms.evict(nameWithPrefix(VmEntry.PREFIX, item.key()));
+        Long loggedRevision = mMalformed.put(item.key(), item.revision());
+        if (loggedRevision != null && loggedRevision == item.revision()) {
             return;
         }
-        if (mRefused.size() > MOST_REFUSED_KNOWN) {
-            mRefused.clear();
+        if (mMalformed.size() > MAX_MALFORMED_ITEMS) {
+            mMalformed.clear();
         }
         mLog.write(
                 EventLog.Kind.BELIEF,
@@ -275,7 +281,7 @@
                                 .put("cause", failure.toString()));
     }
 
-    private void takeConfiguration(RoutingConfiguration configuration) {
+    private void applyConfiguration(RoutingConfiguration configuration) {
         long known = mRoutes.map(routes -> routes.configuration().version()).orElse(-1L);
         if (configuration.version() <= known) {
             return;
@@ -291,27 +297,29 @@
     }
 
     /**
-     * Guards against an entry that an earlier start of a target wrote, and that reached the store
-     * after those of the present one: it would bring back an address or a state that is over.
+     * Applies the registration of a target unless it is older than the known one.
+     *
+     * <p>Guards against a delayed write of an earlier start of a target, which would restore an
+     * outdated address or state.
      */
-    private void takeTarget(TargetRegistration target) {
-        TargetRegistration before = mTargets.entries().get(target.instance());
-        if (before != null && before.startedMillis() > target.startedMillis()) {
+    private void applyTarget(TargetRegistration target) {
+        TargetRegistration previous = mTargets.entries().get(target.instance());
+        if (previous != null && previous.startedMillis() > target.startedMillis()) {
             mLog.write(
                     EventLog.Kind.BELIEF,
                     "older_start_ignored",
                     line ->
                             line.put("instance", target.instance())
                                     .put("started_ms", target.startedMillis())
-                                    .put("known_started_ms", before.startedMillis()));
+                                    .put("known_started_ms", previous.startedMillis()));
             return;
         }
         mTargets.put(target.instance(), target);
         boolean known =
-                before != null
-                        && before.draining() == target.draining()
-                        && before.startedMillis() == target.startedMillis();
-        if (known || mReadsAll) {
+                previous != null
+                        && previous.draining() == target.draining()
+                        && previous.startedMillis() == target.startedMillis();
+        if (known || mIsApplyingSnapshot) {
             return;
         }
         mLog.write(
@@ -325,12 +333,12 @@
 
     private void remove(Set<String> targets, Set<String> vms) {
         long now = mLoop.nowMillis();
-        mTargets.onExpired(targets, outage(mTargets.entries().size()), now);
-        mVms.onExpired(vms, outage(mVms.entries().size()), now);
+        mTargets.onExpired(targets, outageThreshold(mTargets.entries().size()), now);
+        mVms.onExpired(vms, outageThreshold(mVms.entries().size()), now);
         if (targets.isEmpty() && vms.isEmpty()) {
             return;
         }
-        planDrop();
+        scheduleEviction();
         mLog.write(
                 EventLog.Kind.BELIEF,
                 "entries_removed",
@@ -339,30 +347,30 @@
                                 .putList("vms", List.copyOf(vms)));
     }
 
-    private static int outage(int entries) {
-        return Math.max(OUTAGE_LEAST, (int) Math.ceil(OUTAGE_SHARE * entries));
+    private static int outageThreshold(int entries) {
+        return Math.max(MIN_OUTAGE_ENTRIES, (int) Math.ceil(OUTAGE_SHARE * entries));
     }
 
-    /** Looks for overdue entries when the first of them is, however long ago it vanished. */
-    private void planDrop() {
+    /** Schedules the next eviction. */
+    private void scheduleEviction() {
         long next =
                 Math.min(
                         mTargets.nextEvictionMillis().orElse(Long.MAX_VALUE),
                         mVms.nextEvictionMillis().orElse(Long.MAX_VALUE));
-        if (next >= mDropPlannedMillis) {
+        if (next >= mEvictionMillis) {
             return;
         }
-        mDropPlannedMillis = next;
+        mEvictionMillis = next;
         long delayMillis = Math.max(0, next - mLoop.nowMillis());
-        mLoop.schedule(Duration.ofMillis(delayMillis), this::dropOverdue);
+        mLoop.schedule(Duration.ofMillis(delayMillis), this::evictExpired);
     }
 
-    private void dropOverdue() {
+    private void evictExpired() {
         long now = mLoop.nowMillis();
-        mDropPlannedMillis = Long.MAX_VALUE;
+        mEvictionMillis = Long.MAX_VALUE;
         List<String> targets = mTargets.evictExpired(now);
         List<String> vms = mVms.evictExpired(now);
-        planDrop();
+        scheduleEviction();
         if (targets.isEmpty() && vms.isEmpty()) {
             return;
         }
@@ -392,8 +400,8 @@
     }
 
     /**
-     * Returns the plan in force, or a new one if what it follows from has changed: to make one
-     * sorts all VMs, and most changes in the store are about targets.
+     * Returns the current plan, or a new one if its inputs changed. A new plan sorts all VMs, and
+     * most changes in the store concern targets.
      */
     private AddressPlan plan(List<FleetVm> vms) {
         double demand =
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreMirror.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreMirror.java
@@ -12,29 +12,29 @@
 import org.dahliapass.platform.WatchResponse;
 
 /**
- * A copy of the store with its newest changes, from which other VMs read.
+ * An in-memory copy of the store with its latest changes, from which other VMs read.
  *
- * <p>Not safe for use by several threads: the control thread owns it.
+ * <p>Not thread-safe; confined to the control thread.
  */
 final class StoreMirror {
-    /** Changes that are kept for VMs that follow this copy; they ask every second. */
-    private static final int KEPT_EVENTS = 2_000;
+    /** The maximum number of changes kept for followers, which read them every second. */
+    private static final int MAX_EVENTS = 2_000;
 
     private final TreeMap<String, StoredItem> mItems = new TreeMap<>();
     private final Deque<StoreEvent> mEvents = new ArrayDeque<>();
-    private long mForgottenRevision;
+    private long mCompactedRevision;
     private long mRevision;
 
-    /** Takes a whole read of the store; the changes before it are unknown. */
+    /** Replaces the contents by a snapshot; earlier changes are unavailable. */
     void load(List<StoredItem> items, long revision) {
         mItems.clear();
         items.forEach(item -> mItems.put(item.key(), item));
         mEvents.clear();
-        mForgottenRevision = revision;
+        mCompactedRevision = revision;
         mRevision = revision;
     }
 
-    /** Takes changes in order, up to a revision. */
+    /** Applies changes in order, up to a revision. */
     void apply(List<StoreEvent> events, long revision) {
         for (StoreEvent event : events) {
             if (event instanceof StoreEvent.Written written) {
@@ -45,24 +45,24 @@
             mEvents.addLast(event);
         }
         mRevision = Math.max(mRevision, revision);
-        while (mEvents.size() > KEPT_EVENTS) {
-            mForgottenRevision = revisionOf(mEvents.removeFirst());
+        while (mEvents.size() > MAX_EVENTS) {
+            mCompactedRevision = revisionOf(mEvents.removeFirst());
         }
     }
 
-    /** Returns whether anything was read yet. */
+    /** Returns whether a snapshot was loaded. */
     boolean isLoaded() {
         return mRevision > 0;
     }
 
-    /** Returns all that is known. */
+    /** Returns all items at the current revision. */
     RangePage snapshot() {
         return new RangePage(new ArrayList<>(mItems.values()), false, mRevision);
     }
 
-    /** Returns the changes after a revision; empty if there is none yet. */
+    /** Returns the changes after a revision; empty if there are none yet. */
     Optional<WatchResponse> changesAfter(long revision) {
-        if (revision < mForgottenRevision) {
+        if (revision < mCompactedRevision) {
             return Optional.of(new WatchResponse.Compacted());
         }
         List<StoreEvent> newer =
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
@@ -15,42 +15,45 @@
 import org.dahliapass.platform.StoredItem;
 
 /**
- * Reads the whole store, from itself or from a VM that has a copy, until one answers.
+ * Reads a snapshot from the store or from the mirror of another VM, and retries until one responds.
  *
- * <p>All state belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class StoreReader {
-    /** All keys. */
+    /** The prefix that matches all keys. */
     static final String ALL_KEYS = "";
 
     private final ControlLoop mLoop;
     private final KeyValueStore mStore;
-    private final PeerStoreClients mPeers;
+    private final PeerStoreClients mPeerClients;
     private final List<Endpoint> mSeeds;
     private final StoreBackoff mBackoff;
     private final EventLog mLog;
     private final Listener mListener;
     private int mNextSeed;
 
-    /** What the reader tells; on the control thread. */
+    /** Receives the results of the reader, on the control thread. */
     interface Listener {
-        /** The store answered a call. */
+        /** Called after each successful call to the store. */
         void onStoreResponse();
 
-        /** The store gave no answer to a call. */
+        /** Called after each failed call to the store. */
         void onStoreFailure(Throwable failure);
 
-        /** Returns whether anything was read before, so that a copy of a VM is of no use. */
+        /**
+         * Returns whether a snapshot is known already, which makes the mirrors of other VMs
+         * useless.
+         */
         boolean hasSnapshot();
 
-        /** All was read, as of a revision. */
+        /** Called with the complete snapshot and its revision. */
         void onSnapshot(List<StoredItem> items, long revision);
     }
 
     /**
      * Creates a reader.
      *
-     * @param seeds VMs that may have a copy, for a VM that starts while the store is away
+     * @param seeds VMs whose mirrors are read if the store is unavailable at startup
      */
     StoreReader(
             ControlLoop loop,
@@ -62,59 +65,62 @@
             Listener listener) {
         mLoop = loop;
         mStore = store;
-        mPeers = peers;
+        mPeerClients = peers;
         mSeeds = seeds;
         mBackoff = backoff;
         mLog = log;
         mListener = listener;
     }
 
-    /** Reads the store, or a copy while the store gives no answers. */
-    void read(Consistency freshness) {
-        readPage(new ArrayList<>(), Long.MAX_VALUE, "", freshness);
+    /** Reads a snapshot from the store, or from a seed while the store is unavailable. */
+    void read(Consistency consistency) {
+        readPage(new ArrayList<>(), Long.MAX_VALUE, "", consistency);
     }
 
     private void readPage(
-            List<StoredItem> items, long oldestRevision, String after, Consistency freshness) {
+            List<StoredItem> items, long oldestRevision, String after, Consistency consistency) {
         onControlThread(
                 mLoop,
-                mStore.range(ALL_KEYS, after, freshness),
-                page -> takePage(items, oldestRevision, page, freshness),
+                mStore.range(ALL_KEYS, after, consistency),
+                page -> onPage(items, oldestRevision, page, consistency),
                 failure -> {
                     mListener.onStoreFailure(failure);
-                    mLoop.schedule(backoff(), () -> readSeed(freshness));
+                    mLoop.schedule(backoff(), () -> readSeed(consistency));
                 });
     }
 
     /**
-     * Pages aren't a snapshot, and an older state may answer a later page than the first: the watch
-     * begins at the oldest revision of all, and what changed since is told once more.
+     * Adds a page and reads the next one.
+     *
+     * <p>Later pages may come from an older state than the first one. The watch therefore starts at
+     * the oldest revision of all pages, and may repeat some changes.
      */
-    private void takePage(
-            List<StoredItem> items, long oldestRevision, RangePage page, Consistency freshness) {
+    private void onPage(
+            List<StoredItem> items, long oldestRevision, RangePage page, Consistency consistency) {
         mListener.onStoreResponse();
         long revision = Math.min(oldestRevision, page.revision());
         items.addAll(page.items());
         if (page.hasMore() && !page.items().isEmpty()) {
-            readPage(items, revision, page.items().get(page.items().size() - 1).key(), freshness);
+            readPage(items, revision, page.items().get(page.items().size() - 1).key(), consistency);
             return;
         }
         mListener.onSnapshot(items, revision);
     }
 
     /**
-     * Reads the copy of a VM that may be there, so that a VM which starts while the store is away
-     * serves by what the fleet knew last. The store is asked again if none answers.
+     * Reads the mirror of the next seed, so that a VM that starts while the store is unavailable
+     * serves by the last state known to the fleet. Reads the store again if the seed does not
+     * respond.
      */
-    private void readSeed(Consistency freshness) {
+    private void readSeed(Consistency consistency) {
         if (mListener.hasSnapshot() || mSeeds.isEmpty()) {
-            read(freshness);
+            read(consistency);
             return;
         }
         Endpoint seed = mSeeds.get(mNextSeed++ % mSeeds.size());
         onControlThread(
                 mLoop,
-                mPeers.clientFor(seed).range(ALL_KEYS, "", Consistency.STALE_ALLOWED),
+                mPeerClients.clientFor(seed).range(ALL_KEYS, "", Consistency.STALE_ALLOWED),
                 page -> {
                     mLog.write(
                             EventLog.Kind.DEPENDENCY,
@@ -127,7 +133,7 @@
                             EventLog.Kind.DEPENDENCY,
                             "seed_silent",
                             line -> line.put("seed", seed.toString()));
-                    mLoop.schedule(backoff(), () -> read(freshness));
+                    mLoop.schedule(backoff(), () -> read(consistency));
                 });
     }
 
@@ -135,19 +141,19 @@
         return Duration.ofMillis(mBackoff.remainingMillis(mLoop.nowMillis()));
     }
 
-    /** Goes on with the end of a call on the control thread. */
+    /** Runs a callback on the control thread when a call completes. */
     static <T> void onControlThread(
             ControlLoop loop,
             CompletableFuture<T> call,
-            Consumer<T> onAnswer,
+            Consumer<T> onSuccess,
             Consumer<Throwable> onFailure) {
         Futures.whenDone(
                 call,
-                (answer, failure) ->
+                (response, failure) ->
                         loop.execute(
                                 () -> {
                                     if (failure == null) {
-                                        onAnswer.accept(answer);
+                                        onSuccess.accept(response);
                                     } else {
                                         onFailure.accept(failure);
                                     }
--- a/gateway/src/main/java/org/dahliapass/gateway/StreamedResponse.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StreamedResponse.java
@@ -7,40 +7,40 @@
 import org.dahliapass.http.ServerCall;
 
 /**
- * An answer that is passed on as it comes, no faster than its caller takes it.
+ * A response that is forwarded as it arrives, with back pressure from the caller.
  *
- * <p>Guards against memory that grows with the size of an answer and the slowness of its caller:
- * the target is read only while the caller's connection takes more.
+ * <p>Guards against memory use that grows with the size of the response and the slowness of the
+ * caller: the target is read only while the connection of the caller is writable.
  */
 final class StreamedResponse implements CallerResponse {
     private final HttpResponseStatus mStatus;
     private final HttpHeaders mHeaders;
     private final long mLength;
-    private final ByteBuf mFirst;
-    private final Consumer<Boolean> mReading;
+    private final ByteBuf mFirstChunk;
+    private final Consumer<Boolean> mSetReading;
     private final Runnable mAbort;
     private ServerCall mCall;
 
     /**
-     * Creates the answer.
+     * Creates a response.
      *
-     * @param length the whole body's length in bytes; negative if unknown
-     * @param first the part of the body that has come
-     * @param reading makes the target be read, or not
-     * @param abort ends the offer that the answer comes from
+     * @param length the length of the complete body, in bytes; negative if unknown
+     * @param firstChunk the part of the body that has arrived
+     * @param setReading enables or disables reading from the target
+     * @param abort ends the attempt that supplies the response
      */
     StreamedResponse(
             HttpResponseStatus status,
             HttpHeaders headers,
             long length,
-            ByteBuf first,
-            Consumer<Boolean> reading,
+            ByteBuf firstChunk,
+            Consumer<Boolean> setReading,
             Runnable abort) {
         mStatus = status;
         mHeaders = headers;
         mLength = length;
-        mFirst = first;
-        mReading = reading;
+        mFirstChunk = firstChunk;
+        mSetReading = setReading;
         mAbort = abort;
     }
 
@@ -48,9 +48,9 @@
     public void send(ServerCall call) {
         mCall = call;
         call.onDisconnect(mAbort);
-        call.onWritable(() -> mReading.accept(true));
+        call.onWritable(() -> mSetReading.accept(true));
         call.startResponse(mStatus, mHeaders, mLength);
-        write(mFirst);
+        write(mFirstChunk);
     }
 
     @Override
@@ -58,15 +58,15 @@
         mAbort.run();
     }
 
-    /** Passes a piece on; takes over the buffer. */
-    void write(ByteBuf piece) {
+    /** Writes a chunk of the body to the caller; takes ownership of the buffer. */
+    void write(ByteBuf chunk) {
         if (mCall == null) {
-            piece.release();
+            chunk.release();
             return;
         }
-        mCall.write(piece);
+        mCall.write(chunk);
         if (!mCall.isWritable()) {
-            mReading.accept(false);
+            mSetReading.accept(false);
         }
     }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Breaks the caller's answer off, so that it doesn't look whole. */
+    /** Aborts the response to the caller, so that it does not appear complete. */
     void abort() {
         if (mCall != null) {
             mCall.abort();
--- a/gateway/src/main/java/org/dahliapass/gateway/SuspectBroadcaster.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SuspectBroadcaster.java
@@ -10,77 +10,82 @@
 import org.dahliapass.model.RequestDigest;
 
 /**
- * Tells the other VMs what is new of suspected requests, each time several times, and so many in a
- * second at most.
+ * Broadcasts reports about suspected requests to the other VMs, each several times and at a limited
+ * rate.
  *
- * <p>All state belongs to the traffic thread.
+ * <p>Confined to the traffic thread.
  */
 final class SuspectBroadcaster {
-    /** With one datagram of thirty lost, one of 27,000 pieces of news reaches a VM not at all. */
-    private static final int TIMES = 3;
+    /** Compensates for lost datagrams. */
+    private static final int REPETITIONS = 3;
 
-    private static final long PAUSE_MILLIS = 200;
+    private static final long INTERVAL_MILLIS = 200;
 
-    /** Requests in one datagram, which then is under 1,400 bytes for most of them. */
-    private static final int MOST_AT_ONCE = 8;
+    /** Keeps most datagrams under 1,400 bytes. */
+    private static final int MAX_PER_DATAGRAM = 8;
 
-    /** Requests that wait to be told of; beyond it the oldest are told by a refusal only. */
-    private static final int MOST_WAITING = 256;
+    /**
+     * The maximum number of queued requests; beyond it, the oldest are dropped and reported at
+     * their next refusal only.
+     */
+    private static final int MAX_QUEUED = 256;
 
     private final EventLoop mLoop;
-    private final Consumer<List<RequestDigest>> mTeller;
+    private final Consumer<List<RequestDigest>> mSender;
 
-    /** How often each request is still to be told of, oldest first. */
-    private final Map<RequestDigest, Integer> mLeft = new LinkedHashMap<>();
+    /** The remaining number of reports of each request, oldest first. */
+    private final Map<RequestDigest, Integer> mRemaining = new LinkedHashMap<>();
 
-    private boolean mPlanned;
+    private boolean mIsScheduled;
 
     /**
-     * Creates a teller with nothing to tell.
+     * Creates a broadcaster with an empty queue.
      *
-     * @param teller sends one datagram about some requests to each VM that takes callers
+     * @param sender sends one datagram about some requests to each VM that serves callers
      */
-    SuspectBroadcaster(EventLoop loop, Consumer<List<RequestDigest>> teller) {
+    SuspectBroadcaster(EventLoop loop, Consumer<List<RequestDigest>> sender) {
         mLoop = loop;
-        mTeller = teller;
+        mSender = sender;
     }
 
-    /** Tells of a request at once, unless other news went out just now, and again later. */
+    /**
+     * Reports a request at once, unless a datagram was sent just now, and repeats the report later.
+     */
     void broadcast(RequestDigest digest) {
-        plan(digest, TIMES);
+        enqueue(digest, REPETITIONS);
     }
 
-    /** Tells of a request once more. */
+    /** Reports a request once more, unless it is queued. */
     void resend(RequestDigest digest) {
-        if (!mLeft.containsKey(digest)) {
-            plan(digest, 1);
+        if (!mRemaining.containsKey(digest)) {
+            enqueue(digest, 1);
         }
     }
 
-    private void plan(RequestDigest digest, int times) {
-        mLeft.remove(digest);
-        mLeft.put(digest, times);
-        if (mLeft.size() > MOST_WAITING) {
-            mLeft.remove(mLeft.keySet().iterator().next());
+    private void enqueue(RequestDigest digest, int repetitions) {
+        mRemaining.remove(digest);
+        mRemaining.put(digest, repetitions);
+        if (mRemaining.size() > MAX_QUEUED) {
+            mRemaining.remove(mRemaining.keySet().iterator().next());
         }
-        if (!mPlanned) {
-            tell();
+        if (!mIsScheduled) {
+            sendNext();
         }
     }
 
-    private void tell() {
-        mPlanned = !mLeft.isEmpty();
-        if (!mPlanned) {
+    private void sendNext() {
+        mIsScheduled = !mRemaining.isEmpty();
+        if (!mIsScheduled) {
             return;
         }
-        List<RequestDigest> told = mLeft.keySet().stream().limit(MOST_AT_ONCE).toList();
-        for (RequestDigest digest : told) {
-            int left = mLeft.remove(digest) - 1;
-            if (left > 0) {
-                mLeft.put(digest, left);
+        List<RequestDigest> batch = mRemaining.keySet().stream().limit(MAX_PER_DATAGRAM).toList();
+        for (RequestDigest digest : batch) {
+            int remaining = mRemaining.remove(digest) - 1;
+            if (remaining > 0) {
+                mRemaining.put(digest, remaining);
             }
         }
-        mTeller.accept(told);
-        Future<?> unused = mLoop.schedule(this::tell, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        mSender.accept(batch);
+        Future<?> unused = mLoop.schedule(this::sendNext, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/SuspectCodec.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SuspectCodec.java
@@ -6,27 +6,27 @@
 import org.dahliapass.wire.message.SuspectRequest;
 
 /**
- * Translates news of suspected requests between the VMs' messages and the decisions' records.
+ * Converts suspect reports between the peer messages and the decision records.
  *
- * <p>Messages tell ages, since the clocks of two VMs differ.
+ * <p>Messages contain ages, because the clocks of two VMs differ.
  */
 final class SuspectCodec {
     private SuspectCodec() {}
 
-    /** Encodes what this VM knows. */
-    static SuspectRequest encode(SuspectReport news, long nowMillis) {
+    /** Encodes a report of this VM. */
+    static SuspectRequest encode(SuspectReport report, long nowMillis) {
         SuspectRequest.Builder encoded =
                 SuspectRequest.newBuilder()
-                        .setDigestHigh(news.digest().high())
-                        .setDigestLow(news.digest().low())
-                        .setQuarantined(news.quarantined())
-                        .setAnswered(news.answered());
-        for (TargetCrash end : news.crashes()) {
+                        .setDigestHigh(report.digest().high())
+                        .setDigestLow(report.digest().low())
+                        .setQuarantined(report.quarantined())
+                        .setAnswered(report.answered());
+        for (TargetCrash crash : report.crashes()) {
             encoded.addEnds(
                     org.dahliapass.wire.message.TargetEnd.newBuilder()
-                            .setInstance(end.incarnation())
-                            .setSentAgeMillis(age(end.sentMillis(), nowMillis))
-                            .setEndedAgeMillis(age(end.crashedMillis(), nowMillis)));
+                            .setInstance(crash.incarnation())
+                            .setSentAgeMillis(age(crash.sentMillis(), nowMillis))
+                            .setEndedAgeMillis(age(crash.crashedMillis(), nowMillis)));
         }
         return encoded.build();
     }
@@ -35,17 +35,17 @@
         return (int) Math.min(Integer.MAX_VALUE, Math.max(0, nowMillis - millis));
     }
 
-    /** Decodes what another VM knows. */
+    /** Decodes a report of another VM. */
     static SuspectReport decode(SuspectRequest encoded, long nowMillis) {
         return new SuspectReport(
                 new RequestDigest(encoded.getDigestHigh(), encoded.getDigestLow()),
                 encoded.getEndsList().stream()
                         .map(
-                                end ->
+                                crash ->
                                         new TargetCrash(
-                                                end.getInstance(),
-                                                nowMillis - end.getSentAgeMillis(),
-                                                nowMillis - end.getEndedAgeMillis()))
+                                                crash.getInstance(),
+                                                nowMillis - crash.getSentAgeMillis(),
+                                                nowMillis - crash.getEndedAgeMillis()))
                         .toList(),
                 encoded.getQuarantined(),
                 encoded.getAnswered());
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetAttempt.java
@@ -25,28 +25,28 @@
 import org.dahliapass.traffic.Slot;
 
 /**
- * One offer of one request to one target: sends it, checks the answer and collects it.
+ * One attempt to send a request to one target: sends it, validates the response and buffers it.
  *
- * <p>An answer is handed on only once it is whole, so that one that breaks off can still be asked
- * for again where the request may repeat; an answer too large to be kept is passed on as it comes.
- * Runs on the traffic thread. Each offer gives its slot back exactly once.
+ * <p>A response is delivered only when it is complete, so that a repeatable request can be retried
+ * after a truncated one. A response that exceeds the buffer limit is streamed instead. Confined to
+ * the traffic thread. Each attempt releases its slot exactly once.
  */
 final class TargetAttempt implements ResponseListener {
-    /** Answers up to this size, in bytes, are kept until they are whole. */
-    private static final int KEPT_BYTES = 2 * 1024 * 1024;
+    /** The maximum size of a buffered response body, in bytes. */
+    private static final int MAX_BUFFERED_BYTES = 2 * 1024 * 1024;
 
     private static final int SERVER_ERROR = 500;
 
-    private static final int FIRST_BODY_BYTES = 1_024;
+    private static final int DEFAULT_BODY_BYTES = 1_024;
 
     /**
-     * Guards against a caller, or a target, that has the proof of who asked and who answered taken
-     * out on its way by naming it among the headers of its connection.
+     * Guards against a caller or target that lists these headers in its Connection header, which
+     * would remove the proof of the request's and the response's origin.
      */
-    private static final List<AsciiString> ALWAYS_PASSED_ON =
+    private static final List<AsciiString> ALWAYS_FORWARDED =
             List.of(TargetHeaders.ATTEMPT_ID, TargetHeaders.SIGNATURE);
 
-    private final double mChanceOfBout;
+    private final double mFailureProbability;
     private final ProxyRequest mRequest;
     private final Slot mSlot;
     private final ServicePool mPool;
@@ -55,7 +55,7 @@
     private final CompletableFuture<AttemptResult> mResult = new CompletableFuture<>();
     private ClientCall mCall;
     private HttpResponse mHead;
-    private ByteBuf mKept;
+    private ByteBuf mBuffer;
     private StreamedResponse mStream;
     private long mSentMillis;
     private long mHeadMillis;
@@ -70,12 +70,15 @@
         mRequest = request;
         mSlot = slot;
         mPool = pool;
-        mChanceOfBout = pool.runtime().failingProbability(slot.target());
+        mFailureProbability = pool.runtime().failingProbability(slot.target());
         mConnections = connections;
         mClock = clock;
     }
 
-    /** Sends the request; the future completes once the answer is whole or the offer failed. */
+    /**
+     * Sends the request. The future completes when the response is complete or the attempt has
+     * failed.
+     */
     CompletableFuture<AttemptResult> send() {
         mSentMillis = mClock.millis();
         mCall =
@@ -85,41 +88,43 @@
                                 target(),
                                 mRequest.method(),
                                 mRequest.path(),
-                                headersFor(mRequest.remainingMillis(mSentMillis)),
+                                targetHeaders(mRequest.remainingMillis(mSentMillis)),
                                 mRequest.body(),
                                 this);
         return mResult;
     }
 
-    /** Returns the target. */
     Endpoint target() {
         return mSlot.target();
     }
 
-    /** Returns the target, which the request names, so that no other one runs it. */
+    /** Returns the target instance; the request names it so that no other instance executes it. */
     TargetInstance instance() {
         return mSlot.instance();
     }
 
-    /** Returns whether the target said that it leaves, as far as known when the request came. */
+    /** Returns whether the target was registered as draining when the request arrived. */
     boolean isTargetDraining() {
         return mPool.registrationAt(target()).map(TargetRegistration::draining).orElse(false);
     }
 
-    /** Returns the chance that the target was in a bout of failure, when it was chosen. */
+    /**
+     * Returns the estimated probability, at the time of the selection, that the target was in a
+     * failure period.
+     */
     double failureProbability() {
-        return mChanceOfBout;
+        return mFailureProbability;
     }
 
-    /** Returns when the request was sent, in milliseconds. */
+    /** Returns the time at which the request was sent, in milliseconds. */
     long sentMillis() {
         return mSentMillis;
     }
 
     /**
-     * Ends the offer and closes its connection, which tells the target to stop.
+     * Ends the attempt and closes its connection, which tells the target to stop.
      *
-     * @param kind what that says of the target
+     * @param kind the failure to record for the target
      */
     void abort(FailureKind kind) {
         release(kind);
@@ -128,9 +133,9 @@
         }
     }
 
-    private HttpHeaders headersFor(long remaining) {
+    private HttpHeaders targetHeaders(long remaining) {
         HttpHeaders headers = new DefaultHttpHeaders().set(mRequest.headers());
-        HopByHopHeaders.strip(headers, ALWAYS_PASSED_ON);
+        HopByHopHeaders.strip(headers, ALWAYS_FORWARDED);
         headers.set(TargetHeaders.REMAINING_MILLIS, Long.toString(remaining));
         headers.set(TargetHeaders.EXPECTED_INSTANCE, instance().name());
         return headers;
@@ -143,50 +148,51 @@
         int status = head.status().code();
         ResponseCheck check = ResponseCheck.of(status, head.headers(), mRequest.id());
         if (check == ResponseCheck.VALID) {
-            mKept = Unpooled.buffer(firstBytes());
+            mBuffer = Unpooled.buffer(initialCapacity());
             return;
         }
         fail(check.failureKind(), check.cause() + " (status " + status + ")");
         if (check != ResponseCheck.NOT_EXECUTED) {
-            // Guards against more bytes of unknown origin that would meet the next request.
+            // Guards against further bytes of unknown origin on a connection that serves the next
+            // request.
             mCall.abort();
         }
     }
 
-    private int firstBytes() {
-        long told = HttpUtil.getContentLength(mHead, (long) FIRST_BODY_BYTES);
-        return (int) Math.min(told, KEPT_BYTES);
+    private int initialCapacity() {
+        long contentLength = HttpUtil.getContentLength(mHead, (long) DEFAULT_BODY_BYTES);
+        return (int) Math.min(contentLength, MAX_BUFFERED_BYTES);
     }
 
     @Override
-    public void onData(ByteBuf piece) {
+    public void onData(ByteBuf chunk) {
         if (mStream != null) {
-            mStream.write(piece.retainedDuplicate());
+            mStream.write(chunk.retainedDuplicate());
             return;
         }
         if (mResult.isDone()) {
             return;
         }
         boolean isError = mHead.status().code() >= SERVER_ERROR;
-        if (mKept.readableBytes() + piece.readableBytes() <= KEPT_BYTES || isError) {
-            mKept.writeBytes(piece);
+        if (mBuffer.readableBytes() + chunk.readableBytes() <= MAX_BUFFERED_BYTES || isError) {
+            mBuffer.writeBytes(chunk);
             return;
         }
-        passOn();
-        mStream.write(piece.retainedDuplicate());
+        startStreaming();
+        mStream.write(chunk.retainedDuplicate());
     }
 
-    /** Begins to pass on an answer that is too large to be kept. */
-    private void passOn() {
+    /** Starts to stream a response that exceeds the buffer limit. */
+    private void startStreaming() {
         mStream =
                 new StreamedResponse(
                         mHead.status(),
-                        forCaller(),
+                        callerHeaders(),
                         HttpUtil.getContentLength(mHead, -1L),
-                        mKept,
+                        mBuffer,
                         mCall::setAutoRead,
                         () -> abort(FailureKind.CANCELLED_BY_CALLER));
-        mKept = null;
+        mBuffer = null;
         mResult.complete(new AttemptResult.Responded(target(), mHead.status().code(), mStream));
     }
 
@@ -201,10 +207,11 @@
             mStream.end(trailers);
             return;
         }
-        ServerResponse answer = new ServerResponse(mHead.status(), forCaller(), mKept, trailers);
+        ServerResponse response =
+                new ServerResponse(mHead.status(), callerHeaders(), mBuffer, trailers);
         mResult.complete(
                 new AttemptResult.Responded(
-                        target(), mHead.status().code(), CallerResponse.buffered(answer)));
+                        target(), mHead.status().code(), CallerResponse.buffered(response)));
     }
 
     @Override
@@ -230,9 +237,9 @@
         mResult.complete(new AttemptResult.Failed(target(), kind, cause));
     }
 
-    private HttpHeaders forCaller() {
+    private HttpHeaders callerHeaders() {
         HttpHeaders headers = mHead.headers();
-        HopByHopHeaders.strip(headers, ALWAYS_PASSED_ON);
+        HopByHopHeaders.strip(headers, ALWAYS_FORWARDED);
         return headers;
     }
 
@@ -241,8 +248,8 @@
             return;
         }
         mReleased = true;
-        long until = mHeadMillis == 0 ? mClock.millis() : mHeadMillis;
-        mPool.runtime().release(mSlot, outcome(kind), until - mSentMillis);
+        long endMillis = mHeadMillis == 0 ? mClock.millis() : mHeadMillis;
+        mPool.runtime().release(mSlot, outcome(kind), endMillis - mSentMillis);
     }
 
     private static Outcome outcome(FailureKind kind) {
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetConnections.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetConnections.java
@@ -10,15 +10,15 @@
 import org.dahliapass.http.HttpClient;
 import org.dahliapass.kernel.KernelService;
 
-/** Holds the traffic thread and the HTTP client that sends to targets and to the platform. */
+/** The traffic thread with the HTTP client for targets and the platform. */
 public final class TargetConnections implements KernelService {
-    /** The name under which the kernel holds the connections. */
+    /** The service name in the kernel. */
     public static final String NAME = "target-connections";
 
-    /** Well over a round trip within a region; a target that is gone doesn't answer at all. */
+    /** Exceeds the round-trip time within a region; a failed target does not respond at all. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
 
-    /** Under half of the shortest time after which targets close idle connections, 10 seconds. */
+    /** Less than half of the shortest idle timeout of targets, which is 10 s. */
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(4);
 
     private final EventLoopGroup mLoops = EventLoops.singleThreaded("traffic");
@@ -28,17 +28,17 @@
         mClient = new HttpClient(mLoops, clock, CONNECT_TIMEOUT, IDLE_TIMEOUT);
     }
 
-    /** Returns the traffic thread as a group of one. */
+    /** Returns the traffic thread as an event loop group. */
     EventLoopGroup loops() {
         return mLoops;
     }
 
-    /** Returns the traffic thread. */
+    /** Returns the event loop of the traffic thread. */
     EventLoop loop() {
         return mClient.loop();
     }
 
-    /** Returns the client that owns all connections to targets and to the platform. */
+    /** Returns the client with all connections to targets and the platform. */
     HttpClient client() {
         return mClient;
     }
--- a/gateway/src/main/java/org/dahliapass/gateway/TargetLivenessCheck.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/TargetLivenessCheck.java
@@ -9,17 +9,17 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Finds out whether a target whose connection broke has ended, or only that connection has.
+ * Checks whether a target has exited after a connection to it broke.
  *
- * <p>A process that ended listens no more. Checks of one target are made once for all who ask
- * meanwhile. All state belongs to the traffic thread.
+ * <p>A process that has exited does not listen any more. Concurrent checks of a target share one
+ * connection attempt. Confined to the traffic thread.
  */
 final class TargetLivenessCheck {
-    /** Targets that are checked at once; a rack that is lost must not cost more than that. */
-    private static final int MOST_AT_ONCE = 32;
+    /** The maximum number of concurrent checks; bounds the cost of the loss of a rack. */
+    private static final int MAX_CONCURRENT_CHECKS = 32;
 
     private final TargetConnections mConnections;
-    private final Map<Endpoint, List<Consumer<Boolean>>> mAsking = new HashMap<>();
+    private final Map<Endpoint, List<Consumer<Boolean>>> mListeners = new HashMap<>();
 
     TargetLivenessCheck(TargetConnections connections) {
         mConnections = connections;
@@ -28,24 +28,24 @@
     /**
      * Checks a target.
      *
-     * @param onChecked gets whether the target has ended; false while too many are checked
+     * @param onChecked receives whether the target has exited; false if too many checks are running
      */
     void check(Endpoint target, Consumer<Boolean> onChecked) {
-        List<Consumer<Boolean>> asking = mAsking.get(target);
-        if (asking != null) {
-            asking.add(onChecked);
+        List<Consumer<Boolean>> listeners = mListeners.get(target);
+        if (listeners != null) {
+            listeners.add(onChecked);
             return;
         }
-        if (mAsking.size() >= MOST_AT_ONCE) {
+        if (mListeners.size() >= MAX_CONCURRENT_CHECKS) {
             onChecked.accept(false);
             return;
         }
-        mAsking.put(target, new ArrayList<>(List.of(onChecked)));
+        mListeners.put(target, new ArrayList<>(List.of(onChecked)));
         Futures.whenDone(
                 mConnections.client().isListening(target),
                 (listening, failure) -> {
-                    boolean ended = failure == null && !listening;
-                    mAsking.remove(target).forEach(waiter -> waiter.accept(ended));
+                    boolean hasExited = failure == null && !listening;
+                    mListeners.remove(target).forEach(listener -> listener.accept(hasExited));
                 });
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
@@ -13,20 +13,20 @@
 import org.dahliapass.wire.message.WorkEnd;
 
 /**
- * Translates reports of work at targets between the VMs' messages and the decisions' records.
+ * Converts target reports between the peer messages and the decision records.
  *
- * <p>Messages name instances, since an address may belong to another target by now, and ages, since
- * the clocks of two VMs differ.
+ * <p>Messages contain instances, because an endpoint may be reused by another target, and ages,
+ * because the clocks of two VMs differ.
  */
 final class WorkReportCodec {
-    /** The least that a report may make of the odds of a bout. */
-    private static final double LEAST_SILENCE = 0.1;
+    /** The minimum silence ratio that is accepted from a peer. */
+    private static final double MIN_SILENCE_RATIO = 0.1;
 
     private WorkReportCodec() {}
 
-    /** Encodes how a piece of work ended. */
-    static WorkEnd encode(Observation sign) {
-        return switch (sign) {
+    /** Encodes the observation of an attempt. */
+    static WorkEnd encode(Observation observation) {
+        return switch (observation) {
             case ANSWERED -> WorkEnd.WORK_END_ANSWERED;
             case ERROR -> WorkEnd.WORK_END_ERROR;
             case BROKEN -> WorkEnd.WORK_END_BROKEN;
@@ -35,7 +35,7 @@
         };
     }
 
-    /** Decodes how a piece of work ended; empty for an end that only a newer release knows. */
+    /** Decodes the observation of an attempt; empty for a value of a newer release. */
     static Optional<Observation> decode(WorkEnd end) {
         return switch (end) {
             case WORK_END_ANSWERED -> Optional.of(Observation.ANSWERED);
@@ -47,54 +47,56 @@
         };
     }
 
-    /** Encodes the work at targets that are registered; work at others is left out. */
+    /** Encodes reports on registered targets; reports on other targets are omitted. */
     static List<WorkAtTarget> encode(
             List<TargetReport> report, Map<Endpoint, TargetRegistration> targets, long nowMillis) {
         List<WorkAtTarget> encoded = new ArrayList<>();
-        for (TargetReport work : report) {
-            TargetRegistration target = targets.get(work.target());
+        for (TargetReport targetReport : report) {
+            TargetRegistration target = targets.get(targetReport.target());
             if (target != null) {
-                encoded.add(encode(target.incarnation(), work, nowMillis));
+                encoded.add(encode(target.incarnation(), targetReport, nowMillis));
             }
         }
         return encoded;
     }
 
-    private static WorkAtTarget encode(String instance, TargetReport work, long nowMillis) {
+    private static WorkAtTarget encode(String instance, TargetReport targetReport, long nowMillis) {
         WorkAtTarget.Builder encoded =
                 WorkAtTarget.newBuilder()
                         .setInstance(instance)
-                        .setInFlight(work.inFlight())
-                        .setSilence((float) work.silenceRatio());
-        work.lastAnsweredMillis()
+                        .setInFlight(targetReport.inFlight())
+                        .setSilence((float) targetReport.silenceRatio());
+        targetReport
+                .lastAnsweredMillis()
                 .ifPresent(
-                        proven ->
-                                encoded.setProvenAgeMillis((int) Math.max(0, nowMillis - proven)));
+                        lastAnswered ->
+                                encoded.setProvenAgeMillis(
+                                        (int) Math.max(0, nowMillis - lastAnswered)));
         return encoded.build();
     }
 
-    /** Decodes the work at instances that are registered here; what is unknown is left out. */
+    /** Decodes reports on registered targets; reports on other targets are omitted. */
     static List<TargetReport> decode(
             List<WorkAtTarget> report,
             Map<String, TargetRegistration> byIncarnation,
             long nowMillis) {
         List<TargetReport> decoded = new ArrayList<>();
-        for (WorkAtTarget work : report) {
-            TargetRegistration target = byIncarnation.get(work.getInstance());
+        for (WorkAtTarget targetReport : report) {
+            TargetRegistration target = byIncarnation.get(targetReport.getInstance());
             if (target != null) {
-                decoded.add(decode(target.endpoint(), work, nowMillis));
+                decoded.add(decode(target.endpoint(), targetReport, nowMillis));
             }
         }
         return decoded;
     }
 
-    private static TargetReport decode(Endpoint target, WorkAtTarget work, long nowMillis) {
-        OptionalLong proven =
-                work.hasProvenAgeMillis()
-                        ? OptionalLong.of(nowMillis - work.getProvenAgeMillis())
+    private static TargetReport decode(Endpoint target, WorkAtTarget targetReport, long nowMillis) {
+        OptionalLong lastAnswered =
+                targetReport.hasProvenAgeMillis()
+                        ? OptionalLong.of(nowMillis - targetReport.getProvenAgeMillis())
                         : OptionalLong.empty();
-        // No silence speaks for a target by much: a broken report must not hide one that is silent.
-        double silence = Math.max(LEAST_SILENCE, work.getSilence());
-        return new TargetReport(target, work.getInFlight(), silence, proven);
+        // A malformed report must not hide a silent target.
+        double silenceRatio = Math.max(MIN_SILENCE_RATIO, targetReport.getSilence());
+        return new TargetReport(target, targetReport.getInFlight(), silenceRatio, lastAnswered);
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/package-info.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The gateway VM: an entry VM whose routes, targets and fellow VMs stand in the platform's store.
+ * The gateway VM: an entry VM that reads its routes, targets and peers from the store of the
+ * platform.
  */
 package org.dahliapass.gateway;
--- a/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
@@ -35,7 +35,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ChangeFeed} over a store that answers only what a test lets it answer. */
+/** Tests of {@link ChangeFeed} with a store whose responses are controlled by the test. */
 public final class ChangeFeedTest {
     private EventLoopGroup mLoops;
     private ManualClock mClock;
@@ -55,7 +55,7 @@
                 GatewaySettings.from(
                         IniFile.parse(
                                 "test", GatewaySample.settings(new Endpoint("127.0.0.1", 9))));
-        mStore.mSelf =
+        mStore.mSelfEntry =
                 StoredItem.of(
                         VmEntry.key(settings.self().name()), VmEntry.encode(settings.self()), 1);
         mLoop = new ControlLoop(mClock);
@@ -74,7 +74,7 @@
                         .register(StoreFollower.NAME, mFollower)
                         .register(ChangeFeed.NAME, mFeed);
         mKernel.start().join();
-        GatewayFixture.await(() -> mStore.mWatches.get() == 1);
+        GatewayFixture.await(() -> mStore.mWatchCount.get() == 1);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -85,132 +85,132 @@
     }
 
     /**
-     * Callers get 404 for a new route long after the operator's change was acknowledged. The store
-     * falls silent towards the VM that all others follow; its watch just goes on waiting, so the
-     * others take the silence for peace. It has to turn them away within well under 2 seconds.
+     * Guards against followers that miss a change for too long, because the store stopped
+     * responding to the VM they follow while its watch kept waiting. The VM must reject its
+     * followers well within 2 seconds.
      */
     @Test
-    public void storeThatFallsSilentIsLeftBeforeItsWatchTimesOut() {
-        mStore.answerWatch(0, List.of());
+    public void followersAreRejectedBeforeTheWatchOnASilentStoreTimesOut() {
+        mStore.completeWatch(0, List.of());
         GatewayFixture.await(this::isCurrent);
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
         mClock.advance(Duration.ofMillis(1_100));
         GatewayFixture.await(() -> !isCurrent());
     }
 
     /**
-     * Callers get 404 for a route whose change was acknowledged before the VM started. Its first
-     * read may be answered from an older state, and each page from another one; the watch goes on
-     * from the oldest of them, so that what the read lacks is told.
+     * Guards against changes that are missed because the first read is stale: its pages may have
+     * different revisions, and the watch must start at the oldest one.
      */
     @Test
-    public void firstReadMayBeOldAndTheWatchGoesOnFromItsOldestPage() {
+    public void firstReadIsStaleAndWatchStartsAtOldestPage() {
         assertEquals(
-                mStore.mFreshness, List.of(Consistency.STALE_ALLOWED, Consistency.STALE_ALLOWED));
-        assertEquals(mStore.mWatched, List.of(1L));
+                mStore.mConsistencies,
+                List.of(Consistency.STALE_ALLOWED, Consistency.STALE_ALLOWED));
+        assertEquals(mStore.mWatchedRevisions, List.of(1L));
     }
 
     /**
-     * Callers get 404 for a new route 4 seconds after its change was acknowledged. The store drops
-     * its history: it cuts all watches, and one that begins just then hears nothing until its wait
-     * is over and is told only then that the history is gone. So the first watch after trouble is
-     * short, and only a store that goes on answering is asked for long ones.
+     * Guards against a watch that starts just after the store dropped its history and learns of it
+     * only at its timeout. The first watch after a failure must be short; later ones become longer.
      */
     @Test
-    public void watchAfterTroubleIsShort() {
-        long longest = 0;
+    public void firstWatchAfterFailureIsShort() {
+        long steadyMillis = 0;
         for (int number = 0; number < 5; number++) {
-            mStore.answerWatch(number, List.of());
+            mStore.completeWatch(number, List.of());
             int next = number + 2;
-            GatewayFixture.await(() -> mStore.mWatches.get() == next);
-            longest = mStore.mWaits.get(number + 1).toMillis();
+            GatewayFixture.await(() -> mStore.mWatchCount.get() == next);
+            steadyMillis = mStore.mWatchTimeouts.get(number + 1).toMillis();
         }
-        assertTrue(mStore.mWaits.get(0).toMillis() <= 500, "first: " + mStore.mWaits);
-        assertTrue(longest >= 3_000, "steady: " + mStore.mWaits);
-        mStore.mWaiting.get(5).completeExceptionally(new IllegalStateException("cut"));
-        GatewayFixture.await(() -> passTime() && mStore.mWatches.get() == 7);
-        assertTrue(mStore.mWaits.get(6).toMillis() <= 500, "after trouble: " + mStore.mWaits);
+        assertTrue(
+                mStore.mWatchTimeouts.get(0).toMillis() <= 500, "first: " + mStore.mWatchTimeouts);
+        assertTrue(steadyMillis >= 3_000, "without failures: " + mStore.mWatchTimeouts);
+        mStore.mPendingWatches.get(5).completeExceptionally(new IllegalStateException("cut"));
+        GatewayFixture.await(() -> advanceClock() && mStore.mWatchCount.get() == 7);
+        assertTrue(
+                mStore.mWatchTimeouts.get(6).toMillis() <= 500,
+                "after a failure: " + mStore.mWatchTimeouts);
     }
 
-    private boolean passTime() {
+    private boolean advanceClock() {
         mClock.advance(Duration.ofMillis(10));
         return true;
     }
 
-    /** After a loss of history what was removed meanwhile is known from a current read only. */
+    /** Removals before the compaction are visible in an up-to-date read only. */
     @Test
-    public void readAfterALossOfHistoryIsCurrent() {
-        mStore.mWaiting.get(0).complete(new WatchResponse.Compacted());
-        GatewayFixture.await(() -> mStore.mWatches.get() == 2);
-        assertEquals(mStore.mFreshness.get(2), Consistency.LINEARIZABLE);
+    public void readAfterCompactionIsLinearizable() {
+        mStore.mPendingWatches.get(0).complete(new WatchResponse.Compacted());
+        GatewayFixture.await(() -> mStore.mWatchCount.get() == 2);
+        assertEquals(mStore.mConsistencies.get(2), Consistency.LINEARIZABLE);
     }
 
-    /** The watch that was left behind is answered after all: its news must not start a second. */
+    /** A late response to an abandoned watch must be ignored. */
     @Test
-    public void answerOfAnAbandonedWatchStartsNoSecondOne() {
-        mStore.answerWatch(0, List.of());
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2 && isCurrent());
+    public void responseToAbandonedWatchIsIgnored() {
+        mStore.completeWatch(0, List.of());
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2 && isCurrent());
         mClock.advance(Duration.ofMillis(1_100));
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 3);
-        int watches = mStore.mWatches.get();
-        mStore.answerWatch(1, List.of());
-        assertTrue(mLoop.submit(() -> mStore.mWatches.get() == watches).join());
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 3);
+        int watches = mStore.mWatchCount.get();
+        mStore.completeWatch(1, List.of());
+        assertTrue(mLoop.submit(() -> mStore.mWatchCount.get() == watches).join());
     }
 
     /**
-     * All VMs stop hearing of changes for good. An entry of another writer holds a number that fits
-     * no type of ours; reading it throws, and the loop that waits for changes ends with it.
+     * Guards against a malformed entry of another writer that ends the watch loop: the number of
+     * slots exceeds the range of the type.
      */
     @Test
-    public void entryThatCannotBeReadDoesNotEndTheFeed() {
-        byte[] odd =
+    public void malformedEntryDoesNotEndTheFeed() {
+        byte[] malformed =
                 ("{\"service\":\"x\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
                                 + "\"state\":\"ready\",\"slots\":99999999999999}")
                         .getBytes(StandardCharsets.UTF_8);
-        mStore.answerWatch(
+        mStore.completeWatch(
                 0,
                 List.of(
-                        new StoreEvent.Written(StoredItem.of("servers/odd", odd, 2)),
+                        new StoreEvent.Written(StoredItem.of("servers/odd", malformed, 2)),
                         new StoreEvent.Written(
                                 StoredItem.of(
                                         ConfigurationDocument.KEY,
                                         GatewaySample.configuration(3, "/r/"),
                                         3))));
         GatewayFixture.await(() -> mFollower.view().routes().isPresent());
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
     }
 
     /**
-     * Locks go to an address that is over. A target started again under its name, and an entry of
-     * the start before reaches the store late; it must change nothing.
+     * Guards against a delayed write of an earlier start of a target that restores its old address.
      */
     @Test
-    public void entryOfAnEarlierStartChangesNothing() {
-        mStore.answerWatch(0, List.of(target("i-1", 2_000, 7, 2), target("i-1", 1_000, 6, 3)));
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
+    public void entryOfEarlierStartIsIgnored() {
+        mStore.completeWatch(0, List.of(target("i-1", 2_000, 7, 2), target("i-1", 1_000, 6, 3)));
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
         assertEquals(
                 mLoop.submit(() -> mFollower.targets().get("i-1").endpoint().port()).join(), 7);
     }
 
     @Test
-    public void entryOfALaterStartReplacesTheEarlierOne() {
-        mStore.answerWatch(0, List.of(target("i-1", 1_000, 6, 2), target("i-1", 2_000, 7, 3)));
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
+    public void entryOfLaterStartReplacesEarlierOne() {
+        mStore.completeWatch(0, List.of(target("i-1", 1_000, 6, 2), target("i-1", 2_000, 7, 3)));
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
         assertEquals(
                 mLoop.submit(() -> mFollower.targets().get("i-1").incarnation()).join(),
                 "i-1@2000");
     }
 
-    /** A target whose entry can't be read any more gets no work; the others go on. */
+    /** A target with a malformed entry receives no requests; others are not affected. */
     @Test
-    public void entryThatBecomesUnreadableNamesNobody() {
-        mStore.answerWatch(
+    public void malformedEntryRemovesItsTarget() {
+        mStore.completeWatch(
                 0,
                 List.of(
                         target("i-1", 1_000, 6, 2),
                         target("i-2", 1_000, 7, 3),
                         new StoreEvent.Written(StoredItem.of("servers/i-1", "no JSON", 4))));
-        GatewayFixture.await(() -> mStore.mWatches.get() >= 2);
+        GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
         assertEquals(
                 mLoop.submit(() -> List.copyOf(mFollower.targets().keySet())).join(),
                 List.of("i-2"));
@@ -230,40 +230,42 @@
         return mLoop.submit(mFeed::isCurrent).join();
     }
 
-    /** A store whose watches wait until a test answers them, and never time out. */
+    /** A store whose watches complete only when the test responds to them. */
     private static final class FakeStore implements KeyValueStore {
-        private final AtomicInteger mWatches = new AtomicInteger();
-        private final List<CompletableFuture<WatchResponse>> mWaiting =
+        private final AtomicInteger mWatchCount = new AtomicInteger();
+        private final List<CompletableFuture<WatchResponse>> mPendingWatches =
                 new CopyOnWriteArrayList<>();
-        private final List<Consistency> mFreshness = new CopyOnWriteArrayList<>();
-        private final List<Long> mWatched = new CopyOnWriteArrayList<>();
-        private final List<Duration> mWaits = new CopyOnWriteArrayList<>();
-        private volatile StoredItem mSelf;
+        private final List<Consistency> mConsistencies = new CopyOnWriteArrayList<>();
+        private final List<Long> mWatchedRevisions = new CopyOnWriteArrayList<>();
+        private final List<Duration> mWatchTimeouts = new CopyOnWriteArrayList<>();
+        private volatile StoredItem mSelfEntry;
 
-        private void answerWatch(int number, List<StoreEvent> events) {
-            mWaiting.get(number).complete(new WatchResponse.Changes(events, 3 + events.size()));
+        private void completeWatch(int number, List<StoreEvent> events) {
+            mPendingWatches
+                    .get(number)
+                    .complete(new WatchResponse.Changes(events, 3 + events.size()));
         }
 
-        /** Two pages, of which the second comes from an older state. */
+        /** Returns two pages; the second one has an older revision. */
         @Override
         public CompletableFuture<RangePage> range(
-                String prefix, String after, Consistency freshness) {
-            mFreshness.add(freshness);
+                String prefix, String after, Consistency consistency) {
+            mConsistencies.add(consistency);
             RangePage page =
                     after.isEmpty()
-                            ? new RangePage(List.of(mSelf), true, 3)
+                            ? new RangePage(List.of(mSelfEntry), true, 3)
                             : new RangePage(List.of(), false, 1);
             return CompletableFuture.completedFuture(page);
         }
 
         @Override
         public CompletableFuture<WatchResponse> watch(String prefix, long revision, Duration wait) {
-            CompletableFuture<WatchResponse> answer = new CompletableFuture<>();
-            mWatched.add(revision);
-            mWaits.add(wait);
-            mWaiting.add(answer);
-            mWatches.incrementAndGet();
-            return answer;
+            CompletableFuture<WatchResponse> response = new CompletableFuture<>();
+            mWatchedRevisions.add(revision);
+            mWatchTimeouts.add(wait);
+            mPendingWatches.add(response);
+            mWatchCount.incrementAndGet();
+            return response;
         }
 
         @Override
--- a/gateway/src/test/java/org/dahliapass/gateway/EventLogTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/EventLogTest.java
@@ -22,30 +22,30 @@
 public final class EventLogTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
-    /** Each write stands for a line; a reader that stalls holds up every write. */
-    private static final class Reader extends OutputStream {
-        private final CountDownLatch mReads;
+    /** An output that records each write as a line; while stalled, it blocks every write. */
+    private static final class RecordingOutput extends OutputStream {
+        private final CountDownLatch mUnblocked;
         private final List<String> mLines = new ArrayList<>();
 
-        private Reader(boolean stalled) {
-            mReads = new CountDownLatch(stalled ? 1 : 0);
+        private RecordingOutput(boolean stalled) {
+            mUnblocked = new CountDownLatch(stalled ? 1 : 0);
         }
 
         @Override
-        public void write(int one) throws IOException {
+        public void write(int value) throws IOException {
             throw new IOException("Lines are written whole.");
         }
 
         @Override
-        public void write(byte[] bytes, int from, int length) throws IOException {
+        public void write(byte[] bytes, int offset, int length) throws IOException {
             try {
-                mReads.await();
+                mUnblocked.await();
             } catch (InterruptedException failure) {
                 Thread.currentThread().interrupt();
                 throw new IOException(failure);
             }
             synchronized (mLines) {
-                mLines.add(new String(bytes, from, length, StandardCharsets.UTF_8));
+                mLines.add(new String(bytes, offset, length, StandardCharsets.UTF_8));
             }
         }
 
@@ -61,8 +61,8 @@
             }
         }
 
-        /** Returns how many lines all lines together tell to be dropped. */
-        private int toldDropped() throws IOException {
+        /** Returns the total of dropped lines that the recorded lines report. */
+        private int reportedDrops() throws IOException {
             synchronized (mLines) {
                 int dropped = 0;
                 for (String line : mLines) {
@@ -76,71 +76,71 @@
     private final ManualClock mClock = new ManualClock(Instant.EPOCH);
 
     @Test
-    public void lineNamesTimeVmPartAndEvent() throws IOException {
-        Reader reader = new Reader(false);
-        log(reader).write(EventLog.Kind.LIFE, "started", line -> line.put("release", "1"));
-        GatewayFixture.await(() -> reader.count() == 1);
-        assertEquals(reader.last().path("at_ms").asLong(), mClock.millis());
-        assertEquals(reader.last().path("vm").asText(), "vm");
-        assertEquals(reader.last().path("part").asText(), "life");
-        assertEquals(reader.last().path("event").asText(), "started");
-        assertEquals(reader.last().path("release").asText(), "1");
+    public void lineContainsTimeVmPartAndEvent() throws IOException {
+        RecordingOutput output = new RecordingOutput(false);
+        log(output).write(EventLog.Kind.LIFE, "started", line -> line.put("release", "1"));
+        GatewayFixture.await(() -> output.count() == 1);
+        assertEquals(output.last().path("at_ms").asLong(), mClock.millis());
+        assertEquals(output.last().path("vm").asText(), "vm");
+        assertEquals(output.last().path("part").asText(), "life");
+        assertEquals(output.last().path("event").asText(), "started");
+        assertEquals(output.last().path("release").asText(), "1");
     }
 
-    /** A flood of failures must cost neither the processor nor the lines of other kinds. */
+    /** Guards against a burst of one kind that consumes the processor or displaces other kinds. */
     @Test
-    public void linesBeyondTheBudgetOfASecondAreCountedAndTold() throws IOException {
-        Reader reader = new Reader(false);
-        EventLog log = log(reader);
+    public void linesOverTheBudgetAreDroppedAndReported() throws IOException {
+        RecordingOutput output = new RecordingOutput(false);
+        EventLog log = log(output);
         for (int number = 0; number < 25; number++) {
             log.write(EventLog.Kind.DEPENDENCY, "flood", line -> {});
         }
         log.write(EventLog.Kind.LIFE, "other", line -> {});
-        GatewayFixture.await(() -> reader.count() == 21);
-        assertEquals(reader.last().path("event").asText(), "other");
-        assertEquals(reader.last().path("lines_dropped").asInt(), 5);
+        GatewayFixture.await(() -> output.count() == 21);
+        assertEquals(output.last().path("event").asText(), "other");
+        assertEquals(output.last().path("lines_dropped").asInt(), 5);
         mClock.advance(SECOND);
         log.write(EventLog.Kind.DEPENDENCY, "next", line -> {});
-        GatewayFixture.await(() -> reader.count() == 22);
-        assertTrue(reader.last().path("lines_dropped").isMissingNode());
+        GatewayFixture.await(() -> output.count() == 22);
+        assertTrue(output.last().path("lines_dropped").isMissingNode());
     }
 
     /**
-     * Requests would stand still with the log. The pipe's reader stalls, the writing thread blocks
-     * in its first line, and the lines that follow fill the queue; writers never wait.
+     * Guards against requests that block on the log: when the reader of the output stalls, the
+     * queue fills and callers must not wait.
      */
     @Test
-    public void stalledReaderHoldsUpNobodyAndLosesOnlyWhatDoesNotFit() throws IOException {
-        Reader reader = new Reader(true);
-        EventLog log = log(reader);
+    public void stalledOutputDropsLinesWithoutBlockingCallers() throws IOException {
+        RecordingOutput output = new RecordingOutput(true);
+        EventLog log = log(output);
         int lines = 3_000;
         for (int number = 0; number < lines; number++) {
             mClock.advance(SECOND);
             log.write(EventLog.Kind.REQUEST, "request", line -> {});
         }
-        reader.mReads.countDown();
-        // The queue holds 1,000 lines, and the writing thread may hold one more.
-        GatewayFixture.await(() -> reader.count() >= 1_000);
-        int before = reader.count();
+        output.mUnblocked.countDown();
+        // The queue holds 1,000 lines, and the writer thread may hold one more.
+        GatewayFixture.await(() -> output.count() >= 1_000);
+        int before = output.count();
         mClock.advance(SECOND);
         log.write(EventLog.Kind.REQUEST, "after", line -> {});
-        GatewayFixture.await(() -> reader.count() > before);
-        GatewayFixture.await(() -> lastEvent(reader).equals("after"));
-        int written = reader.count();
+        GatewayFixture.await(() -> output.count() > before);
+        GatewayFixture.await(() -> lastEvent(output).equals("after"));
+        int written = output.count();
         assertTrue(written <= 1_002, "lines written: " + written);
-        // A line that found room while others were lost tells of those before it; none goes untold.
-        assertEquals(reader.toldDropped(), lines + 1 - written);
+        // Each dropped line is reported by a later line.
+        assertEquals(output.reportedDrops(), lines + 1 - written);
     }
 
-    private static String lastEvent(Reader reader) {
+    private static String lastEvent(RecordingOutput output) {
         try {
-            return reader.last().path("event").asText();
+            return output.last().path("event").asText();
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
     }
 
-    private EventLog log(Reader reader) {
-        return new EventLog(mClock, "vm", new PrintStream(reader));
+    private EventLog log(RecordingOutput output) {
+        return new EventLog(mClock, "vm", new PrintStream(output));
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
@@ -16,7 +16,7 @@
 import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
 import org.dahliapass.standins.SealingTargetStandIn.Seen;
 
-/** Gateway VMs that know each other, before one store and several targets, on loopback. */
+/** Several gateway VMs that know each other, with one store and several targets on loopback. */
 final class FleetFixture implements AutoCloseable {
     private static final int TARGETS = 10;
 
@@ -28,7 +28,7 @@
     private final List<GatewaySettings> mSettings = new ArrayList<>();
     private final List<GatewayVm> mVms = new ArrayList<>();
 
-    /** Starts VMs of which each has served a read and knows the others. */
+    /** Starts the VMs and waits until each has served a read and knows the others. */
     FleetFixture(int vms) {
         mStore.start();
         mTargets.forEach(SealingTargetStandIn::start);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Starts one more VM and waits until it has served a read and all know each other. */
+    /** Starts another VM and waits until it has served a read and all VMs know each other. */
     void startVm() {
         int number = mVms.size();
         String text =
@@ -56,17 +56,17 @@
         mVms.add(vm);
         vm.start().join();
         GatewayFixture.await(() -> CallerStandIn.status(get(number, "/r/warm")) == 200);
-        for (int asked = 0; asked <= number; asked++) {
-            awaitNamed(asked, number + 1);
+        for (int queried = 0; queried <= number; queried++) {
+            awaitAdvertised(queried, number + 1);
         }
     }
 
-    /** Waits until a VM names so many VMs to callers. */
-    private void awaitNamed(int asked, int vms) {
+    /** Waits until a VM advertises the given number of VMs to callers. */
+    private void awaitAdvertised(int queried, int vms) {
         GatewayFixture.await(
                 () ->
                         CallerStandIn.read(
-                                                mSettings.get(asked).discovery(),
+                                                mSettings.get(queried).discovery(),
                                                 DiscoveryCalls.DISCOVERY_PATH
                                                         + "?name=a.example&region=r&zone=zone-a")
                                         .split("127.0.0.1")
@@ -74,17 +74,17 @@
                                 > vms);
     }
 
-    /** Sets what all targets do with each request. */
+    /** Sets the behaviour of all targets. */
     void behave(Function<Seen, Behaviour> behaviour) {
         mTargets.forEach(target -> target.behave(behaviour));
     }
 
-    /** Sends a read to a VM and returns the whole answer as it came. */
+    /** Sends a read to a VM and returns the raw response. */
     String get(int vm, String path) {
         return caller(vm).send("GET " + path, "read", "");
     }
 
-    /** Sends a lock to a VM and returns the whole answer as it came. */
+    /** Sends a lock to a VM and returns the raw response. */
     String post(int vm, String path, String body) {
         return caller(vm).send("POST " + path, "lock", body);
     }
@@ -93,8 +93,8 @@
         return new CallerStandIn(mSettings.get(vm).self().callerEndpoint(), "a.example");
     }
 
-    /** Returns how many targets have ended. */
-    long ended() {
+    /** Returns the number of targets that have exited. */
+    long exitedTargets() {
         return mTargets.stream().filter(SealingTargetStandIn::hasEnded).count();
     }
 
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayAddressPlanTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayAddressPlanTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of whom a VM names to callers in a large fleet of unequal VMs. */
+/** Tests of the VMs that are advertised to callers in a large fleet of unequal VMs. */
 public final class GatewayAddressPlanTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final List<String> ZONES = List.of("zone-b", "zone-c", "zone-d");
@@ -30,79 +30,76 @@
     private static final VmCapacity SMALL = new VmCapacity(0.3, 7);
     private static final int TARGETS = 244;
 
-    /** What callers of one zone send: a third of 730 requests/s. */
+    /** The requests from one zone: a third of 730 requests/s. */
     private static final double REQUESTS_PER_SECOND = 243;
 
-    /** Answers and bodies of that load on the way through a VM, each way: 60 Mbit/s for 730/s. */
-    private static final double MEGABITS_A_REQUEST = 0.082;
+    /** The traffic of a request through a VM, in each direction. */
+    private static final double MEGABITS_PER_REQUEST = 0.082;
 
-    /** Processor time of a request at a VM that is warm, by the load that it was seen to bear. */
-    private static final double CORE_SECONDS_A_REQUEST = 0.003;
+    /** The processor time of a request. */
+    private static final double CORE_SECONDS_PER_REQUEST = 0.003;
 
     private final Map<String, VmCapacity> mCapacities = new HashMap<>();
-    private GatewayFixture mPath;
+    private GatewayFixture mFixture;
 
     @BeforeMethod
     public void start() {
-        mPath = new GatewayFixture();
+        mFixture = new GatewayFixture();
         mCapacities.clear();
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mPath.close();
+        mFixture.close();
     }
 
     /**
-     * Callers give up on most requests while the fleet looks idle. Each zone's callers are sent to
-     * two of its 29 VMs, chosen by a hash of their names whatever they can carry: mostly to VMs
-     * with a fifth of the processor and a twentieth of the link of the largest two. On a quiet day
-     * 0.30 of the requests were served, in the first two seconds 0.74 of the worth and from the
-     * sixth on 0.01. Of eight VMs that took callers the one large VM answered 696 of its 732
-     * requests, the seven small ones 200 to 324 of about 550.
+     * Guards against a fleet that advertises VMs without regard to their capacity, so that small
+     * VMs are overloaded while large ones are idle.
      */
     @Test
-    public void callersAreSentToVmsThatCarryThem() {
-        enterFleet(LARGE_PER_ZONE);
-        ZONES.forEach(zone -> GatewayFixture.await(() -> isCarried(zone)));
+    public void advertisedVmsHaveCapacityForTheLoad() {
+        registerFleet(LARGE_PER_ZONE);
+        ZONES.forEach(zone -> GatewayFixture.await(() -> hasCapacity(zone)));
     }
 
-    /** The same after the large VMs of all zones are lost: many small ones carry the load. */
+    /** Without large VMs, many small VMs share the load. */
     @Test
-    public void smallVmsShareTheLoadOnceTheLargeAreGone() {
-        enterFleet(0);
-        ZONES.forEach(zone -> GatewayFixture.await(() -> isCarried(zone)));
+    public void smallVmsShareTheLoadWithoutLargeVms() {
+        registerFleet(0);
+        ZONES.forEach(zone -> GatewayFixture.await(() -> hasCapacity(zone)));
     }
 
-    /** Callers of a small load stay at two VMs, which then see most of what the targets do. */
+    /** A small load is concentrated on two VMs, which then observe most of the targets. */
     @Test
-    public void fewCallersStayTogether() {
-        ZONES.forEach(zone -> enterZone(zone, LARGE_PER_ZONE));
+    public void smallLoadIsConcentratedOnLargeVms() {
+        ZONES.forEach(zone -> registerZone(zone, LARGE_PER_ZONE));
         GatewayFixture.await(
                 () ->
-                        named("zone-b").stream()
+                        advertised("zone-b").stream()
                                 .map(mCapacities::get)
                                 .toList()
                                 .equals(List.of(LARGE, LARGE)));
     }
 
-    private boolean isCarried(String zone) {
-        List<String> named = named(zone);
-        double requests = REQUESTS_PER_SECOND / named.size();
-        return !named.isEmpty()
-                && named.stream().allMatch(name -> carries(mCapacities.get(name), requests));
+    private boolean hasCapacity(String zone) {
+        List<String> advertised = advertised(zone);
+        double requests = REQUESTS_PER_SECOND / advertised.size();
+        return !advertised.isEmpty()
+                && advertised.stream()
+                        .allMatch(name -> hasCapacityFor(mCapacities.get(name), requests));
     }
 
-    /** Returns whether an even share of a zone's requests leaves a VM a fifth of its capacity. */
-    private static boolean carries(VmCapacity capacity, double requests) {
-        double most = 0.8;
+    /** Returns whether an even share of the load leaves a fifth of the capacity free. */
+    private static boolean hasCapacityFor(VmCapacity capacity, double requests) {
+        double maxUtilization = 0.8;
         return capacity != null
-                && requests * CORE_SECONDS_A_REQUEST <= most * capacity.cores()
-                && requests * MEGABITS_A_REQUEST <= most * capacity.linkMegabits();
+                && requests * CORE_SECONDS_PER_REQUEST <= maxUtilization * capacity.cores()
+                && requests * MEGABITS_PER_REQUEST <= maxUtilization * capacity.linkMegabits();
     }
 
-    private void enterFleet(int large) {
-        ZONES.forEach(zone -> enterZone(zone, large));
+    private void registerFleet(int large) {
+        ZONES.forEach(zone -> registerZone(zone, large));
         for (int number = 0; number < TARGETS; number++) {
             String target =
                     "{\"service\":\"x\",\"address\":\"10.9."
@@ -110,35 +107,35 @@
                             + "."
                             + number % 100
                             + ":80\",\"zone\":\"zone-b\",\"state\":\"ready\",\"slots\":3}";
-            mPath.mStore.put("servers/crowd-" + number, target);
+            mFixture.mStore.put("servers/crowd-" + number, target);
         }
-        mPath.mStore.put("op/config", GatewaySample.configuration(2, "/r/"));
+        mFixture.mStore.put("op/config", GatewaySample.configuration(2, "/r/"));
     }
 
-    private void enterZone(String zone, int large) {
+    private void registerZone(String zone, int large) {
         for (int number = 0; number < VMS_PER_ZONE; number++) {
             VmCapacity capacity = number < large ? LARGE : SMALL;
             Endpoint address = new Endpoint("10." + ZONES.indexOf(zone) + ".0." + number, 80);
             FleetVm vm = new FleetVm(zone + "-" + number, zone, "r", address, address, capacity);
             mCapacities.put(address.toString(), capacity);
-            mPath.mStore.put(
+            mFixture.mStore.put(
                     VmEntry.key(vm.name()), new String(VmEntry.encode(vm), StandardCharsets.UTF_8));
         }
     }
 
-    /** Returns the addresses that callers of a zone are told to use. */
-    private List<String> named(String zone) {
-        String answer =
+    /** Returns the addresses that are advertised to the callers of a zone. */
+    private List<String> advertised(String zone) {
+        String response =
                 CallerStandIn.read(
-                        mPath.mSettings.discovery(),
+                        mFixture.mSettings.discovery(),
                         DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=" + zone);
-        List<String> named = new ArrayList<>();
+        List<String> advertised = new ArrayList<>();
         try {
-            JsonNode body = JSON.readTree(answer.substring(answer.indexOf('{')));
-            body.path("addresses").forEach(address -> named.add(address.asText()));
+            JsonNode body = JSON.readTree(response.substring(response.indexOf('{')));
+            body.path("addresses").forEach(address -> advertised.add(address.asText()));
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
-        return named;
+        return advertised;
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
@@ -17,155 +17,154 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what a gateway VM does when a caller leaves while its request is at a target. */
+/** Tests of a caller that disconnects while its request is at a target. */
 public final class GatewayCallerDisconnectTest {
-    /** The requests that both targets take together: three slots each. */
-    private static final int PLACES = 6;
+    /** The slots of both targets. */
+    private static final int SLOTS = 6;
 
-    private GatewayFixture mPath;
+    private GatewayFixture mFixture;
 
-    /** How a caller leaves. */
-    private enum Leaving {
-        /** It closes its connection in order. */
+    /** How a caller disconnects. */
+    private enum Disconnection {
+        /** An orderly close. */
         CLOSE {
             @Override
-            void leave(Socket connection) throws IOException {
+            void disconnect(Socket connection) throws IOException {
                 connection.close();
             }
         },
-        /** It resets its connection, as one does that leaves with bytes unread. */
+        /** A reset, as after a close with unread data. */
         RESET {
             @Override
-            void leave(Socket connection) throws IOException {
+            void disconnect(Socket connection) throws IOException {
                 connection.setSoLinger(true, 0);
                 connection.close();
             }
         };
 
-        abstract void leave(Socket connection) throws IOException;
+        abstract void disconnect(Socket connection) throws IOException;
     }
 
     /**
-     * Reads may take a minute and go to one target, so that only the caller's leaving ends them.
+     * Configures reads with a timeout of a minute and one target, so that only the disconnection
+     * ends them.
      */
     @BeforeMethod
     public void start() {
-        mPath = new GatewayFixture();
-        String patient =
+        mFixture = new GatewayFixture();
+        String configuration =
                 GatewaySample.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "60,30,2,null,1");
-        mPath.mStore.put("op/config", patient);
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
+        mFixture.mStore.put("op/config", configuration);
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/slow/warm")) == 200);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mPath.close();
+        mFixture.close();
     }
 
-    /** How the caller leaves, and whether it asked for its connection to be closed afterwards. */
+    /** How the caller disconnects, and whether it sends {@code Connection: close}. */
     @DataProvider
-    public Object[][] leavings() {
+    public Object[][] disconnections() {
         return new Object[][] {
-            {Leaving.CLOSE, false},
-            {Leaving.CLOSE, true},
-            {Leaving.RESET, false},
-            {Leaving.RESET, true}
+            {Disconnection.CLOSE, false},
+            {Disconnection.CLOSE, true},
+            {Disconnection.RESET, false},
+            {Disconnection.RESET, true}
         };
     }
 
     /**
-     * A slow target stays busy for nobody. The caller of a listing leaves before its time is over;
-     * the target works on until the deadline, and requests that somebody waits for queue behind it.
+     * Guards against a target that works on a read until its deadline after the caller has
+     * disconnected.
      */
-    @Test(dataProvider = "leavings")
-    public void listingWhoseCallerLeftIsStopped(Leaving leaving, boolean once) throws IOException {
+    @Test(dataProvider = "disconnections")
+    public void readIsAbortedWhenCallerDisconnects(
+            Disconnection disconnection, boolean closeAfterwards) throws IOException {
         behave(Behaviour.HANG);
-        Socket caller = mPath.caller().open(request("/slow/left", once));
-        GatewayFixture.await(() -> mPath.seen("/slow/left") == 1);
-        int before = ended();
-        leaving.leave(caller);
-        GatewayFixture.await(() -> ended() == before + 1);
-        assertEquals(mPath.seen("/slow/left"), 1);
+        Socket caller = mFixture.caller().open(request("/slow/left", closeAfterwards));
+        GatewayFixture.await(() -> mFixture.seen("/slow/left") == 1);
+        int before = closedConnections();
+        disconnection.disconnect(caller);
+        GatewayFixture.await(() -> closedConnections() == before + 1);
+        assertEquals(mFixture.seen("/slow/left"), 1);
     }
 
-    /** The same on a connection that has served a request before. */
+    /** The same on a kept-alive connection that has served a request. */
     @Test
-    public void listingOnAKeptConnectionWhoseCallerLeftIsStopped() throws IOException {
-        Socket caller = mPath.caller().open(request("/slow/first", false));
-        GatewayFixture.await(() -> mPath.seen("/slow/first") == 1);
+    public void readOnKeptAliveConnectionIsAbortedWhenCallerDisconnects() throws IOException {
+        Socket caller = mFixture.caller().open(request("/slow/first", false));
+        GatewayFixture.await(() -> mFixture.seen("/slow/first") == 1);
         int first = caller.getInputStream().read();
         assertEquals(first, 'H');
         behave(Behaviour.HANG);
         caller.getOutputStream()
                 .write(request("/slow/second", false).getBytes(StandardCharsets.ISO_8859_1));
-        GatewayFixture.await(() -> mPath.seen("/slow/second") == 1);
-        int before = ended();
+        GatewayFixture.await(() -> mFixture.seen("/slow/second") == 1);
+        int before = closedConnections();
         caller.close();
-        GatewayFixture.await(() -> ended() == before + 1);
+        GatewayFixture.await(() -> closedConnections() == before + 1);
     }
 
-    /**
-     * A target gets work that nobody waits for. All slots are taken and a request with a body waits
-     * for one; its caller leaves, and only then slots come free.
-     */
-    @Test(dataProvider = "leavings")
-    public void requestThatWaitsForASlotIsNotSentOnceItsCallerLeft(Leaving leaving, boolean once)
-            throws IOException {
+    /** Guards against sending a queued request to a target after its caller has disconnected. */
+    @Test(dataProvider = "disconnections")
+    public void queuedRequestIsNotSentAfterCallerDisconnects(
+            Disconnection disconnection, boolean closeAfterwards) throws IOException {
         behave(Behaviour.HANG);
-        List<Socket> busy = new ArrayList<>();
-        for (int number = 0; number < PLACES; number++) {
-            busy.add(mPath.caller().open(request("/slow/busy", false)));
+        List<Socket> occupying = new ArrayList<>();
+        for (int number = 0; number < SLOTS; number++) {
+            occupying.add(mFixture.caller().open(request("/slow/busy", false)));
         }
-        GatewayFixture.await(() -> mPath.seen("/slow/busy") == PLACES);
+        GatewayFixture.await(() -> mFixture.seen("/slow/busy") == SLOTS);
         String queued =
-                request("/slow/queued", once)
+                request("/slow/queued", closeAfterwards)
                         .replace("GET", "POST")
                         .replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
-        Socket caller = mPath.caller().open(queued);
-        assertEquals(CallerStandIn.status(mPath.get("/other/")), 404);
-        leaving.leave(caller);
-        assertEquals(CallerStandIn.status(mPath.get("/other/")), 404);
+        Socket caller = mFixture.caller().open(queued);
+        assertEquals(CallerStandIn.status(mFixture.get("/other/")), 404);
+        disconnection.disconnect(caller);
+        assertEquals(CallerStandIn.status(mFixture.get("/other/")), 404);
         behave(Behaviour.ANSWER);
-        for (Socket one : busy) {
-            one.close();
+        for (Socket connection : occupying) {
+            connection.close();
         }
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/after")) == 200);
-        assertEquals(mPath.seen("/slow/queued"), 0);
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/slow/after")) == 200);
+        assertEquals(mFixture.seen("/slow/queued"), 0);
     }
 
     /**
-     * A target ran a sign-off ten seconds after its caller had left. A request that must not repeat
-     * goes on when its caller leaves, since stopping it midway would leave its effect unknown; but
-     * nothing ended it once its time was over, so what a cut link held back was still delivered.
+     * Guards against an at-most-once request that is delivered after its deadline. It continues
+     * after its caller disconnects, because aborting it leaves its effect unknown, but must be
+     * aborted at the deadline.
      */
     @Test
-    public void lockWhoseCallerLeftEndsWithItsTime() throws IOException {
+    public void lockOfDisconnectedCallerIsAbortedAtDeadline() throws IOException {
         behave(Behaviour.HANG);
         String lock =
                 request("/l/left", false)
                         .replace("GET", "POST")
                         .replace(": 60000\r\n", ": 300\r\nContent-Length: 0\r\n");
-        Socket caller = mPath.caller().open(lock);
-        GatewayFixture.await(() -> mPath.seen("/l/left") == 1);
+        Socket caller = mFixture.caller().open(lock);
+        GatewayFixture.await(() -> mFixture.seen("/l/left") == 1);
         caller.close();
-        // Idle connections end after a while, too; the one that carries the lock is the last.
-        GatewayFixture.await(() -> ended() == opened());
+        // Idle connections are closed as well; the connection of the lock is the last one.
+        GatewayFixture.await(() -> closedConnections() == openedConnections());
     }
 
-    private int opened() {
-        return mPath.mTargets.stream().mapToInt(SealingTargetStandIn::connections).sum();
+    private int openedConnections() {
+        return mFixture.mTargets.stream().mapToInt(SealingTargetStandIn::connections).sum();
     }
 
-    private int ended() {
-        return mPath.mTargets.stream().mapToInt(SealingTargetStandIn::endedConnections).sum();
+    private int closedConnections() {
+        return mFixture.mTargets.stream().mapToInt(SealingTargetStandIn::endedConnections).sum();
     }
 
     private void behave(Behaviour behaviour) {
-        mPath.mTargets.forEach(target -> target.behave(seen -> behaviour));
+        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour));
     }
 
-    private static String request(String path, boolean once) {
+    private static String request(String path, boolean closeAfterwards) {
         return "GET "
                 + path
                 + " HTTP/1.1\r\nHost: a.example\r\n"
@@ -173,7 +172,7 @@
                 + ": gone\r\n"
                 + TargetHeaders.REMAINING_MILLIS
                 + ": 60000\r\n"
-                + (once ? "Connection: close\r\n" : "")
+                + (closeAfterwards ? "Connection: close\r\n" : "")
                 + "\r\n";
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
@@ -11,10 +11,10 @@
 import org.dahliapass.standins.MetadataStoreStandIn;
 import org.dahliapass.standins.SealingTargetStandIn;
 
-/** One gateway VM before a store and two targets, all on the loopback address. */
+/** A gateway VM with a store and two targets, all on the loopback address. */
 final class GatewayFixture implements AutoCloseable {
     private static final int POLL_MILLIS = 5;
-    private static final int TRIES = 4_000;
+    private static final int MAX_POLLS = 4_000;
 
     final MetadataStoreStandIn mStore = new MetadataStoreStandIn(0, new MonotonicClock());
     final List<SealingTargetStandIn> mTargets =
@@ -22,7 +22,7 @@
     final GatewaySettings mSettings;
     final GatewayVm mVm;
 
-    /** Starts a VM that has served a read. */
+    /** Starts the VM and waits until it has served a read. */
     GatewayFixture() {
         this(true);
         await(() -> CallerStandIn.status(get("/r/warm")) == 200);
@@ -47,24 +47,24 @@
         mVm.start().join();
     }
 
-    /** Starts a VM that has its routes and no target yet. */
+    /** Starts a VM with routes and without targets. */
     static GatewayFixture withoutTargets() {
-        GatewayFixture path = new GatewayFixture(false);
-        await(() -> CallerStandIn.status(path.get("/other/")) == 404);
-        return path;
+        GatewayFixture fixture = new GatewayFixture(false);
+        await(() -> CallerStandIn.status(fixture.get("/other/")) == 404);
+        return fixture;
     }
 
-    /** Enters both targets into the store, ready for work. */
+    /** Registers both targets in the store as ready. */
     void registerTargets() {
         mTargets.forEach(target -> mStore.put(target.key(), target.registration("x", "ready")));
     }
 
-    /** Sends a read and returns the whole answer as it came. */
+    /** Sends a read and returns the raw response. */
     String get(String path) {
         return caller().send("GET " + path, "read-" + path.hashCode(), "");
     }
 
-    /** Sends a lock and returns the whole answer as it came. */
+    /** Sends a lock and returns the raw response. */
     String post(String path, String body) {
         return caller().send("POST " + path, "lock-" + path.hashCode(), body);
     }
@@ -74,23 +74,23 @@
         return new CallerStandIn(mSettings.self().callerEndpoint(), "a.example");
     }
 
-    /** Returns the requests for a path that both targets saw together. */
+    /** Returns the number of requests for a path at both targets. */
     long seen(String path) {
         return mTargets.stream()
                 .flatMap(target -> target.seen().stream())
-                .filter(seen -> seen.line().contains(" " + path + " "))
+                .filter(request -> request.line().contains(" " + path + " "))
                 .count();
     }
 
-    /** Waits until a condition holds, however long it takes on a busy machine. */
+    /** Waits until a condition holds; long enough for a busy machine. */
     static void await(BooleanSupplier condition) {
-        for (int number = 0; number < TRIES; number++) {
+        for (int poll = 0; poll < MAX_POLLS; poll++) {
             if (condition.getAsBoolean()) {
                 return;
             }
             java.util.concurrent.locks.LockSupport.parkNanos(POLL_MILLIS * 1_000_000L);
         }
-        throw new AssertionError("The condition did not come true.");
+        throw new AssertionError("The condition was not met in time.");
     }
 
     @Override
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
@@ -17,63 +17,67 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of second offers beside one that is slow. */
+/** Tests of hedged requests. */
 public final class GatewayHedgeTest {
-    /** Two targets with three slots, and one request more that may wait at each. */
-    private static final int PLACES = 8;
+    /** Two targets with three slots and one queued request each. */
+    private static final int CAPACITY = 8;
 
-    private GatewayFixture mPath;
+    private GatewayFixture mFixture;
 
-    /** Reads may take half a minute and have an objective of 0.8 s, after which they are hedged. */
+    /**
+     * Configures reads with a timeout of 30 s and a latency objective of 0.8 s, which triggers
+     * hedges.
+     */
     @BeforeMethod
     public void start() {
-        mPath = new GatewayFixture();
-        String patient =
+        mFixture = new GatewayFixture();
+        String configuration =
                 GatewaySample.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "30,0.8,2,null,2");
-        mPath.mStore.put("op/config", patient);
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/slow/warm")) == 200);
+        mFixture.mStore.put("op/config", configuration);
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/slow/warm")) == 200);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mPath.close();
+        mFixture.close();
     }
 
     /**
-     * A listing would wait its whole time at a target that hangs. When its hedge was due, locks
-     * held every other slot for a moment; they end, and the hedge has to be asked for again.
+     * Guards against a read that waits for a hung target until its deadline because all other slots
+     * were taken when its hedge was due.
      */
     @Test
-    public void hedgeIsAskedForAgainOnceASlotComesFree() throws IOException {
+    public void hedgeIsRetriedWhenASlotIsReleased() throws IOException {
         AtomicBoolean first = new AtomicBoolean(true);
-        mPath.mTargets.forEach(target -> target.behave(seen -> behaviour(seen, first)));
+        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour(seen, first)));
         CompletableFuture<String> read =
-                CompletableFuture.supplyAsync(() -> mPath.caller().raw(request("GET /slow/read")));
-        GatewayFixture.await(() -> mPath.seen("/slow/read") == 1);
+                CompletableFuture.supplyAsync(
+                        () -> mFixture.caller().raw(request("GET /slow/read")));
+        GatewayFixture.await(() -> mFixture.seen("/slow/read") == 1);
         List<Socket> locks = new ArrayList<>();
-        for (int number = 0; number < PLACES - 1; number++) {
-            locks.add(mPath.caller().open(request("POST /l/" + number)));
+        for (int number = 0; number < CAPACITY - 1; number++) {
+            locks.add(mFixture.caller().open(request("POST /l/" + number)));
         }
         assertEquals(CallerStandIn.status(read.join()), 200);
-        assertEquals(mPath.seen("/slow/read"), 2);
+        assertEquals(mFixture.seen("/slow/read"), 2);
         for (Socket lock : locks) {
             lock.close();
         }
     }
 
-    /** Locks hang for their 1.2 s, and so does the first read. */
+    /** Locks and the first read hang. */
     private static Behaviour behaviour(SealingTargetStandIn.Seen seen, AtomicBoolean first) {
         boolean hangs = seen.line().startsWith("POST") || first.getAndSet(false);
         return hangs ? Behaviour.HANG : Behaviour.ANSWER;
     }
 
-    private static String request(String call) {
-        return call
+    private static String request(String requestLine) {
+        return requestLine
                 + " HTTP/1.1\r\nHost: a.example\r\nConnection: close\r\n"
                 + TargetHeaders.ATTEMPT_ID
                 + ": "
-                + call.hashCode()
+                + requestLine.hashCode()
                 + "\r\n"
                 + TargetHeaders.REMAINING_MILLIS
                 + ": 30000\r\nContent-Length: 0\r\n\r\n";
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
@@ -13,147 +13,147 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of what a gateway VM does while targets, the store or it itself come and go. */
+/** Tests of a gateway VM during changes of targets, the store and its own lifecycle. */
 public final class GatewayLifecycleTest {
-    private GatewayFixture mPath;
+    private GatewayFixture mFixture;
 
     @BeforeMethod
     public void start() {
-        mPath = new GatewayFixture();
+        mFixture = new GatewayFixture();
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        mPath.close();
+        mFixture.close();
     }
 
-    /** A lock sent to a target that is leaving may be lost with it. */
+    /** A lock at a draining target may be lost with it. */
     @Test
-    public void drainingTargetGetsNothingNew() {
-        mPath.mStore.put(
-                mPath.mTargets.get(0).key(), mPath.mTargets.get(0).registration("x", "draining"));
+    public void drainingTargetReceivesNoNewRequests() {
+        mFixture.mStore.put(
+                mFixture.mTargets.get(0).key(),
+                mFixture.mTargets.get(0).registration("x", "draining"));
         GatewayFixture.await(
                 () -> {
-                    int before = mPath.mTargets.get(0).seen().size();
+                    int previous = mFixture.mTargets.get(0).seen().size();
                     for (int number = 0; number < 10; number++) {
-                        mPath.get("/r/after");
+                        mFixture.get("/r/after");
                     }
-                    return mPath.mTargets.get(0).seen().size() == before;
+                    return mFixture.mTargets.get(0).seen().size() == previous;
                 });
-        assertEquals(CallerStandIn.status(mPath.get("/r/other")), 200);
+        assertEquals(CallerStandIn.status(mFixture.get("/r/other")), 200);
     }
 
     /**
-     * Locks would be refused at a VM until somebody sends it a read. The targets come after the VM
-     * and begin with a slow start, in which they take no locks; it has to end without any work.
+     * Guards against a VM that refuses locks until its first read, because new targets accept no
+     * locks during their slow start.
      */
     @Test
-    public void slowStartOfTargetsEndsWithoutWork() {
-        try (GatewayFixture path = GatewayFixture.withoutTargets()) {
-            path.registerTargets();
-            GatewayFixture.await(() -> CallerStandIn.status(path.post("/l/first", "body")) == 200);
+    public void slowStartEndsWithoutRequests() {
+        try (GatewayFixture fixture = GatewayFixture.withoutTargets()) {
+            fixture.registerTargets();
+            GatewayFixture.await(
+                    () -> CallerStandIn.status(fixture.post("/l/first", "body")) == 200);
         }
     }
 
     @Test
-    public void newConfigurationIsInForceAndAnOlderOneIsIgnored() {
-        mPath.mStore.put("op/config", GatewaySample.configuration(5, "/new/"));
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/new/1")) == 200);
-        assertEquals(CallerStandIn.status(mPath.get("/r/1")), 404);
-        mPath.mStore.put("op/config", GatewaySample.configuration(4, "/r/"));
-        mPath.mStore.put("op/config", GatewaySample.configuration(6, "/newest/"));
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/newest/1")) == 200);
-        assertEquals(CallerStandIn.status(mPath.get("/r/1")), 404);
+    public void newerConfigurationIsAppliedAndOlderOneIsIgnored() {
+        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/new/"));
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/new/1")) == 200);
+        assertEquals(CallerStandIn.status(mFixture.get("/r/1")), 404);
+        mFixture.mStore.put("op/config", GatewaySample.configuration(4, "/r/"));
+        mFixture.mStore.put("op/config", GatewaySample.configuration(6, "/newest/"));
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/newest/1")) == 200);
+        assertEquals(CallerStandIn.status(mFixture.get("/r/1")), 404);
     }
 
-    /** Callers would get 404 for hours if a broken document took the place of a good one. */
+    /** A malformed configuration must not replace a valid one. */
     @Test
-    public void brokenConfigurationLeavesTheLastOneInForce() {
-        mPath.mStore.put("op/config", "{\"version\":9,\"routes\":");
-        mPath.mStore.put(
-                mPath.mTargets.get(0).key(), mPath.mTargets.get(0).registration("x", "draining"));
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/r/1")) == 200);
+    public void malformedConfigurationLeavesLastOneInForce() {
+        mFixture.mStore.put("op/config", "{\"version\":9,\"routes\":");
+        mFixture.mStore.put(
+                mFixture.mTargets.get(0).key(),
+                mFixture.mTargets.get(0).registration("x", "draining"));
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/r/1")) == 200);
     }
 
     @Test
-    public void requestsAreServedWhileTheStoreIsAway() {
-        mPath.mStore.setAway(true);
+    public void requestsAreServedWhileStoreIsUnavailable() {
+        mFixture.mStore.setAway(true);
         for (int number = 0; number < 20; number++) {
-            assertEquals(CallerStandIn.status(mPath.get("/r/away" + number)), 200);
+            assertEquals(CallerStandIn.status(mFixture.get("/r/away" + number)), 200);
         }
-        mPath.mStore.setAway(false);
-        mPath.mStore.put("op/config", GatewaySample.configuration(5, "/back/"));
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/back/1")) == 200);
+        mFixture.mStore.setAway(false);
+        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/back/"));
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/back/1")) == 200);
     }
 
     @Test
-    public void changesAfterALostHistoryAreFound() {
-        mPath.mStore.setAway(true);
-        mPath.mStore.put("op/config", GatewaySample.configuration(5, "/lost/"));
-        mPath.mStore.forgetHistory();
-        mPath.mStore.setAway(false);
-        GatewayFixture.await(() -> CallerStandIn.status(mPath.get("/lost/1")) == 200);
+    public void changesBeforeCompactionAreApplied() {
+        mFixture.mStore.setAway(true);
+        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/lost/"));
+        mFixture.mStore.forgetHistory();
+        mFixture.mStore.setAway(false);
+        GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/lost/1")) == 200);
     }
 
     /**
-     * A caller would be cut off by a planned stop. After SIGTERM the VM is no longer ready, its
-     * entry is gone, and yet a request that comes at that moment gets its answer.
+     * Guards against requests that fail during a planned stop: the draining VM is not ready and not
+     * registered, but still serves requests.
      */
     @Test
-    public void vmThatLeavesIsNotReadyAndServesWhatComes() {
-        GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").size() == 1);
-        CompletableFuture<Void> drained = mPath.mVm.drain();
-        assertEquals(CallerStandIn.status(mPath.get("/r/leaving")), 200);
+    public void drainingVmIsNotReadyAndServesRequests() {
+        GatewayFixture.await(() -> mFixture.mStore.keys("dahliapass/vms/").size() == 1);
+        CompletableFuture<Void> drained = mFixture.mVm.drain();
+        assertEquals(CallerStandIn.status(mFixture.get("/r/leaving")), 200);
         String readiness =
-                CallerStandIn.read(mPath.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
+                CallerStandIn.read(mFixture.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
         assertEquals(CallerStandIn.status(readiness), 503);
-        GatewayFixture.await(() -> mPath.mStore.keys("dahliapass/vms/").equals(List.of()));
+        GatewayFixture.await(() -> mFixture.mStore.keys("dahliapass/vms/").equals(List.of()));
         drained.join();
     }
 
     @Test
-    public void asksNameThisVm() {
+    public void discoveryReturnsThisVm() {
         GatewayFixture.await(
                 () ->
                         CallerStandIn.read(
-                                        mPath.mSettings.discovery(),
+                                        mFixture.mSettings.discovery(),
                                         DiscoveryCalls.DISCOVERY_PATH
                                                 + "?name=a.example&region=r&zone=zone-a")
-                                .contains(mPath.mSettings.self().callerEndpoint().toString()));
+                                .contains(mFixture.mSettings.self().callerEndpoint().toString()));
     }
 
-    /** Other VMs follow this one's copy instead of asking the store themselves. */
+    /** Other VMs read the mirror of this VM instead of the store. */
     @Test
-    public void copyOfTheStoreIsOffered() {
-        String copy =
+    public void mirrorOfTheStoreIsServed() {
+        String mirror =
                 CallerStandIn.read(
-                        mPath.mSettings.self().peerEndpoint(), StoreCalls.RANGE_PATH + "?prefix=");
-        assertTrue(copy.contains("op/config"), copy);
-        assertTrue(copy.contains("servers/i-1"), copy);
+                        mFixture.mSettings.self().peerEndpoint(),
+                        StoreCalls.RANGE_PATH + "?prefix=");
+        assertTrue(mirror.contains("op/config"), mirror);
+        assertTrue(mirror.contains("servers/i-1"), mirror);
     }
 
-    /** The store's operators pay for each call, and must see which kind of call grows. */
+    /** The platform bills each call to the store. */
     @Test
-    public void callsToTheStoreAreCountedByKind() {
+    public void storeCallsAreCountedByKind() {
         GatewayFixture.await(
                 () ->
-                        CallerStandIn.read(mPath.mSettings.self().peerEndpoint(), "/metrics")
+                        CallerStandIn.read(mFixture.mSettings.self().peerEndpoint(), "/metrics")
                                 .contains("dahliapass_store_calls_total{call=\"watch\"}"));
     }
 
-    /**
-     * Callers of a new route are told for good that there is none. The VM hears nothing from the
-     * store, so its newest version is old; on a fleet whose VMs were all short of processor, 772
-     * proper requests ended 404 within seconds of the acknowledgement of the route.
-     */
+    /** Guards against a final 404 for a new route from a VM that receives no updates. */
     @Test
-    public void routeIsNotDeniedByAVmWithoutNews() {
-        try (GatewayFixture path = new GatewayFixture()) {
-            assertEquals(CallerStandIn.status(path.get("/new/")), 404);
-            path.mStore.setAway(true);
-            GatewayFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 503);
-            path.mStore.setAway(false);
-            GatewayFixture.await(() -> CallerStandIn.status(path.get("/new/")) == 404);
+    public void unknownRouteIsRetriedWithoutRecentUpdates() {
+        try (GatewayFixture fixture = new GatewayFixture()) {
+            assertEquals(CallerStandIn.status(fixture.get("/new/")), 404);
+            fixture.mStore.setAway(true);
+            GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/new/")) == 503);
+            fixture.mStore.setAway(false);
+            GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/new/")) == 404);
         }
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
@@ -10,96 +10,102 @@
 import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
 import org.testng.annotations.Test;
 
-/** Tests of requests that end each target that runs them. */
+/** Tests of poison requests, which crash each target that runs them. */
 public final class GatewayPoisonTest {
-    /** The targets that a request may end before it is kept from the others. */
-    private static final int MOST_ENDED = 3;
+    /** The maximum number of crashed targets before a request is quarantined. */
+    private static final int MAX_CRASHES = 3;
 
     /**
-     * The most that may end where several VMs have to hear of it: three, and three more while news
-     * are on their way.
+     * The maximum with several VMs: three more targets may crash while the reports are on their
+     * way.
      */
-    private static final int MOST_ENDED_BY_ALL = 6;
+    private static final int MAX_CRASHES_BY_FLEET = 6;
 
     private static final int ATTEMPTS = 8;
 
-    /** Guards against a read that takes the service down, two targets with each attempt. */
+    /** Guards against a read that crashes two targets with each attempt. */
     @Test
-    public void readThatEndsItsTargetsIsQuarantined() {
+    public void readThatCrashesTargetsIsQuarantined() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             poison(fleet, "/r/poison");
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 fleet.get(0, "/r/poison");
             }
-            assertTrue(fleet.ended() <= MOST_ENDED, fleet.ended() + " targets ended.");
+            assertTrue(
+                    fleet.exitedTargets() <= MAX_CRASHES,
+                    fleet.exitedTargets() + " targets crashed.");
             assertRefused(fleet.get(0, "/r/poison"));
             assertEquals(CallerStandIn.status(fleet.get(0, "/r/sound")), 200);
         }
     }
 
-    /** Guards against a lock that takes the service down, one target with each attempt. */
+    /** Guards against a lock that crashes one target with each attempt. */
     @Test
-    public void lockThatEndsItsTargetsIsQuarantined() {
+    public void lockThatCrashesTargetsIsQuarantined() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             poison(fleet, "/l/poison");
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 fleet.post(0, "/l/poison", "body");
             }
-            assertTrue(fleet.ended() <= MOST_ENDED, fleet.ended() + " targets ended.");
+            assertTrue(
+                    fleet.exitedTargets() <= MAX_CRASHES,
+                    fleet.exitedTargets() + " targets crashed.");
             assertRefused(fleet.post(0, "/l/poison", "body"));
         }
     }
 
-    /** Guards against a request that starts anew at each VM, as none hears of the others' ends. */
+    /** Guards against VMs that ignore the crashes observed by others. */
     @Test
-    public void requestThatComesToAnyVmIsQuarantinedByAll() {
+    public void poisonRequestIsQuarantinedByAllVms() {
         try (FleetFixture fleet = new FleetFixture(2)) {
             poison(fleet, "/l/poison");
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 fleet.post(attempt % 2, "/l/poison", "body");
             }
-            assertTrue(fleet.ended() <= MOST_ENDED_BY_ALL, fleet.ended() + " targets ended.");
+            assertTrue(
+                    fleet.exitedTargets() <= MAX_CRASHES_BY_FLEET,
+                    fleet.exitedTargets() + " targets crashed.");
             assertRefused(fleet.post(0, "/l/poison", "body"));
             assertRefused(fleet.post(1, "/l/poison", "body"));
         }
     }
 
-    /** Guards against a VM that starts later and ends three targets of its own. */
+    /** Guards against a VM that starts later and crashes more targets. */
     @Test
-    public void vmThatStartsLaterKnowsWhatIsQuarantined() {
+    public void vmThatStartsLaterLoadsTheQuarantine() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             poison(fleet, "/l/poison");
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 fleet.post(0, "/l/poison", "body");
             }
-            long ended = fleet.ended();
+            long exited = fleet.exitedTargets();
             GatewayFixture.await(() -> fleet.mStore.keys(QuarantineEntry.PREFIX).size() == 1);
             fleet.startVm();
             assertRefused(fleet.post(1, "/l/poison", "body"));
-            assertEquals(fleet.ended(), ended);
+            assertEquals(fleet.exitedTargets(), exited);
         }
     }
 
-    /** Guards against a read that is refused because another request ended the target it was at. */
+    /** Guards against refusing a request because another one crashed the target it was at. */
     @Test
-    public void requestBesideOneThatEndsItsTargetIsServed() {
+    public void requestThatCrashesOneTargetOnlyIsServed() {
         try (FleetFixture fleet = new FleetFixture(1)) {
-            AtomicInteger ends = new AtomicInteger();
+            AtomicInteger crashes = new AtomicInteger();
             fleet.behave(
                     seen ->
-                            seen.line().contains("/r/beside") && ends.getAndIncrement() < 1
+                            seen.line().contains("/r/beside") && crashes.getAndIncrement() < 1
                                     ? Behaviour.END_PROCESS
                                     : Behaviour.ANSWER);
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 assertEquals(CallerStandIn.status(fleet.get(0, "/r/beside")), 200);
             }
-            assertEquals(fleet.ended(), 1);
+            assertEquals(fleet.exitedTargets(), 1);
         }
     }
 
-    /** Guards against a target that is blamed on a request whose connection alone was closed. */
+    /** Guards against a quarantine because of broken connections alone. */
     @Test
-    public void connectionsThatBreakDoNotQuarantine() {
+    public void brokenConnectionsDoNotQuarantine() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             fleet.behave(
                     seen -> seen.line().contains("/r/reset") ? Behaviour.CLOSE : Behaviour.ANSWER);
@@ -119,8 +125,8 @@
                                 : Behaviour.ANSWER);
     }
 
-    private static void assertRefused(String answer) {
-        assertEquals(CallerStandIn.status(answer), 503, answer);
-        assertTrue(answer.toLowerCase(Locale.ROOT).contains("retry-after: "), answer);
+    private static void assertRefused(String response) {
+        assertEquals(CallerStandIn.status(response), 503, response);
+        assertTrue(response.toLowerCase(Locale.ROOT).contains("retry-after: "), response);
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayRequestTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayRequestTest.java
@@ -14,40 +14,40 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of the whole path of a gateway VM: callers, VM, targets, store. */
+/** End-to-end tests of requests through a gateway VM with callers, targets and a store. */
 public final class GatewayRequestTest {
-    private GatewayFixture mPath;
+    private GatewayFixture mFixture;
 
     @BeforeClass
     public void start() {
-        mPath = new GatewayFixture();
+        mFixture = new GatewayFixture();
     }
 
     @AfterClass(alwaysRun = true)
     public void stop() {
-        mPath.close();
+        mFixture.close();
     }
 
     @BeforeMethod
-    public void heal() {
+    public void resetBehaviour() {
         behave(Behaviour.ANSWER);
     }
 
     @Test
-    public void answerIsPassedOnWithItsSignature() {
-        String answer = mPath.get("/r/1");
-        assertEquals(CallerStandIn.status(answer), 200);
+    public void responseIsForwardedWithItsSignature() {
+        String response = mFixture.get("/r/1");
+        assertEquals(CallerStandIn.status(response), 200);
         assertTrue(
-                answer.toLowerCase(Locale.ROOT).contains(TargetHeaders.SIGNATURE + ": 3e1b"),
-                answer);
-        assertTrue(answer.endsWith("answer to read-" + "/r/1".hashCode()), answer);
+                response.toLowerCase(Locale.ROOT).contains(TargetHeaders.SIGNATURE + ": 3e1b"),
+                response);
+        assertTrue(response.endsWith("answer to read-" + "/r/1".hashCode()), response);
     }
 
     @Test
-    public void targetIsToldTheTimeLeftAndWhoIsMeant() {
-        mPath.get("/r/2");
+    public void remainingTimeAndExpectedInstanceAreSent() {
+        mFixture.get("/r/2");
         var seen =
-                mPath.mTargets.stream()
+                mFixture.mTargets.stream()
                         .flatMap(target -> target.seen().stream())
                         .filter(request -> request.line().contains("/r/2 "))
                         .findFirst()
@@ -58,155 +58,153 @@
     }
 
     @Test
-    public void pathThatMatchesNoRouteIsNotFound() {
-        assertEquals(CallerStandIn.status(mPath.get("/other/")), 404);
+    public void pathWithoutRouteIsNotFound() {
+        assertEquals(CallerStandIn.status(mFixture.get("/other/")), 404);
     }
 
-    /** A target must see the path as the caller sent it, or another thing is read or locked. */
+    /** The path must be forwarded byte by byte; a normalized path may name another resource. */
     @Test
-    public void oddPathsReachTheTargetUnchanged() {
+    public void unusualPathsAreForwardedUnchanged() {
         for (String path :
                 new String[] {
                     "/r//double", "/r/a%2Fb", "/r/x?q=a+b&c=%20;d", "/r/%7Etilde", "/r/a;b"
                 }) {
-            assertEquals(CallerStandIn.status(mPath.get(path)), 200, path);
-            assertEquals(mPath.seen(path), 1, path);
+            assertEquals(CallerStandIn.status(mFixture.get(path)), 200, path);
+            assertEquals(mFixture.seen(path), 1, path);
         }
     }
 
     /**
-     * A selection would be signed off twice. The target takes the lock, and its connection breaks
-     * before the answer: the lock may have run, so it must not be sent to the other target, and the
-     * caller must not be told that it did not run.
+     * Guards against a lock that is executed twice: after its connection broke it may have run, so
+     * it must not be retried or reported as not executed.
      */
     @Test
-    public void lockWhoseConnectionBreaksIsNotSentAgain() {
+    public void lockIsNotRetriedAfterBrokenConnection() {
         behave(Behaviour.CLOSE);
-        assertEquals(CallerStandIn.status(mPath.post("/l/broken", "body")), 502);
-        assertEquals(mPath.seen("/l/broken"), 1);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/broken", "body")), 502);
+        assertEquals(mFixture.seen("/l/broken"), 1);
     }
 
-    /** The target takes the lock and hangs; the caller gets its final answer at the timeout. */
+    /** A hung lock is answered at the timeout of the route. */
     @Test
-    public void lockThatHangsEndsAtTheRoutesTimeout() {
+    public void hungLockEndsAtTimeoutOfRoute() {
         behave(Behaviour.HANG);
-        assertEquals(CallerStandIn.status(mPath.post("/l/hung", "body")), 504);
-        assertEquals(mPath.seen("/l/hung"), 1);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/hung", "body")), 504);
+        assertEquals(mFixture.seen("/l/hung"), 1);
     }
 
-    /** A target that states that it didn't run a lock proves that it may be sent elsewhere. */
+    /** A target that did not execute a lock says so, and the lock may be retried at another one. */
     @Test
-    public void lockThatWasRefusedUnrunIsSentElsewhere() {
+    public void lockThatWasNotExecutedIsRetried() {
         AtomicInteger first = new AtomicInteger();
-        mPath.mTargets.forEach(
+        mFixture.mTargets.forEach(
                 target ->
                         target.behave(
                                 seen ->
                                         first.getAndIncrement() == 0
                                                 ? Behaviour.SHED
                                                 : Behaviour.ANSWER));
-        assertEquals(CallerStandIn.status(mPath.post("/l/shed", "body")), 200);
-        assertEquals(mPath.seen("/l/shed"), 2);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/shed", "body")), 200);
+        assertEquals(mFixture.seen("/l/shed"), 2);
     }
 
-    /** Nobody ran it, and the caller is told so and when to come back. */
+    /** The caller is told that the lock was not executed and when to retry. */
     @Test
-    public void lockThatAllRefusedIsRefusedTruthfully() {
+    public void lockRefusedByAllTargetsIsRefusedWithRetryAfter() {
         behave(Behaviour.SHED);
-        String answer = mPath.post("/l/refused", "body");
-        assertEquals(CallerStandIn.status(answer), 503);
-        assertTrue(answer.toLowerCase(Locale.ROOT).contains("retry-after: "), answer);
+        String response = mFixture.post("/l/refused", "body");
+        assertEquals(CallerStandIn.status(response), 503);
+        assertTrue(response.toLowerCase(Locale.ROOT).contains("retry-after: "), response);
     }
 
     @Test
-    public void readIsSentAgainAfterABrokenConnection() {
+    public void readIsRetriedAfterBrokenConnection() {
         breakFirst(Behaviour.CLOSE);
-        assertEquals(CallerStandIn.status(mPath.get("/r/broken")), 200);
+        assertEquals(CallerStandIn.status(mFixture.get("/r/broken")), 200);
     }
 
-    /** A listing that ends early must not look complete; here it can be asked for again. */
+    /** A truncated response must not appear complete; a read can be retried. */
     @Test
-    public void readIsSentAgainAfterACutBody() {
+    public void readIsRetriedAfterTruncatedBody() {
         breakFirst(Behaviour.CUT_SHORT);
-        String answer = mPath.get("/r/cut");
-        assertEquals(CallerStandIn.status(answer), 200);
-        assertTrue(answer.endsWith("answer to read-" + "/r/cut".hashCode()), answer);
+        String response = mFixture.get("/r/cut");
+        assertEquals(CallerStandIn.status(response), 200);
+        assertTrue(response.endsWith("answer to read-" + "/r/cut".hashCode()), response);
     }
 
     @Test
-    public void cutAnswerToALockIsNoSuccess() {
+    public void truncatedResponseToLockIsBadGateway() {
         behave(Behaviour.CUT_SHORT);
-        assertEquals(CallerStandIn.status(mPath.post("/l/cut", "body")), 502);
-        assertEquals(mPath.seen("/l/cut"), 1);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/cut", "body")), 502);
+        assertEquals(mFixture.seen("/l/cut"), 1);
     }
 
     @Test
-    public void answerWithoutALengthEndsWithItsConnection() {
+    public void responseWithoutLengthEndsWithConnection() {
         behave(Behaviour.UNFRAMED);
-        String answer = mPath.get("/r/unframed");
-        assertEquals(CallerStandIn.status(answer), 200);
-        assertTrue(answer.contains("answer to read-" + "/r/unframed".hashCode()), answer);
+        String response = mFixture.get("/r/unframed");
+        assertEquals(CallerStandIn.status(response), 200);
+        assertTrue(response.contains("answer to read-" + "/r/unframed".hashCode()), response);
     }
 
     /**
-     * An extract would look whole and lack its end. A target answers without a length, and crashes
-     * in the middle: its connection is reset, which an HTTP client may take for the body's end.
+     * Guards against a truncated response that appears complete: without a length, a connection
+     * reset may be read as the end of the body.
      */
     @Test
-    public void unframedAnswerThatIsResetIsNoSuccess() {
+    public void resetResponseWithoutLengthIsBadGateway() {
         behave(Behaviour.UNFRAMED_RESET);
-        assertEquals(CallerStandIn.status(mPath.post("/l/reset", "body")), 502);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/reset", "body")), 502);
     }
 
     /**
-     * A caller would get somebody else's listing. A target answers twice on a kept connection, and
-     * the second answer lies where the next request's answer is due.
+     * Guards against a response that reaches the wrong caller: the target sends each response twice
+     * on a kept-alive connection.
      */
     @Test
-    public void secondAnswerReachesNobody() {
+    public void duplicateResponseIsDiscarded() {
         behave(Behaviour.ANSWER_TWICE);
         for (int number = 0; number < 50; number++) {
             String path = "/r/twice" + number;
-            String answer = mPath.get(path);
-            assertEquals(CallerStandIn.status(answer), 200);
-            assertTrue(answer.endsWith("answer to read-" + path.hashCode()), answer);
+            String response = mFixture.get(path);
+            assertEquals(CallerStandIn.status(response), 200);
+            assertTrue(response.endsWith("answer to read-" + path.hashCode()), response);
         }
     }
 
     @Test
-    public void targetsOwnFailureOfALockIsPassedOnOnce() {
+    public void serverErrorOfLockIsForwardedWithoutRetry() {
         behave(Behaviour.FAIL);
-        assertEquals(CallerStandIn.status(mPath.post("/l/failed", "body")), 500);
-        assertEquals(mPath.seen("/l/failed"), 1);
+        assertEquals(CallerStandIn.status(mFixture.post("/l/failed", "body")), 500);
+        assertEquals(mFixture.seen("/l/failed"), 1);
     }
 
     @Test
-    public void bodyOverTheLimitIsRefused() {
-        String answer = mPath.post("/l/large", "x".repeat(1_001));
-        assertEquals(CallerStandIn.status(answer), 413);
-        assertEquals(mPath.seen("/l/large"), 0);
+    public void bodyOverTheLimitIsRejected() {
+        String response = mFixture.post("/l/large", "x".repeat(1_001));
+        assertEquals(CallerStandIn.status(response), 413);
+        assertEquals(mFixture.seen("/l/large"), 0);
     }
 
     @Test
-    public void headOverTheLimitIsRefused() {
+    public void headOverTheLimitIsRejected() {
         String request =
                 "GET /r/head HTTP/1.1\r\nHost: a.example\r\n"
                         + TargetHeaders.ATTEMPT_ID
                         + ": head\r\nX-Filler: "
                         + "x".repeat(16_384)
                         + "\r\n\r\n";
-        assertEquals(CallerStandIn.status(mPath.caller().raw(request)), 431);
-        assertEquals(mPath.seen("/r/head"), 0);
+        assertEquals(CallerStandIn.status(mFixture.caller().raw(request)), 431);
+        assertEquals(mFixture.seen("/r/head"), 0);
     }
 
     /**
-     * A lock that its caller never sent would run. A request tells both a length and chunks; who
-     * reads it by the one takes a part of the body for a request of its own. It is refused, and
-     * nothing behind it on the connection is read.
+     * Guards against request smuggling by a request with both a length and chunked encoding: it is
+     * rejected, and no further request of the connection is read.
      */
     @Test
-    public void requestWithTwoFramingsIsRefusedAndItsConnectionClosed() {
-        String lines =
+    public void requestWithLengthAndChunkedEncodingIsRejected() {
+        String request =
                 String.format(
                         """
                         POST /l/smuggled HTTP/1.1
@@ -223,19 +221,19 @@
 
                         """,
                         TargetHeaders.ATTEMPT_ID, TargetHeaders.ATTEMPT_ID);
-        String answer = mPath.caller().raw(lines.replace("\n", "\r\n"));
-        assertEquals(CallerStandIn.status(answer), 400);
-        assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
-        assertEquals(CallerStandIn.status(mPath.get("/r/next")), 200);
-        assertEquals(mPath.seen("/l/smuggled"), 0);
-        assertEquals(mPath.seen("/r/inner"), 0);
+        String response = mFixture.caller().raw(request.replace("\n", "\r\n"));
+        assertEquals(CallerStandIn.status(response), 400);
+        assertTrue(response.toLowerCase(Locale.ROOT).contains("connection: close"), response);
+        assertEquals(CallerStandIn.status(mFixture.get("/r/next")), 200);
+        assertEquals(mFixture.seen("/l/smuggled"), 0);
+        assertEquals(mFixture.seen("/r/inner"), 0);
     }
 
     @Test
-    public void requestWithoutAnIdIsRefused() {
+    public void requestWithoutAttemptIdIsRejected() {
         String request = "GET /r/noid HTTP/1.1\r\nHost: a.example\r\n\r\n";
-        String answer = mPath.caller().raw(request);
-        assertEquals(CallerStandIn.status(answer), 400);
+        String response = mFixture.caller().raw(request);
+        assertEquals(CallerStandIn.status(response), 400);
     }
 
     private static String header(SealingTargetStandIn.Seen seen, CharSequence name) {
@@ -243,12 +241,12 @@
     }
 
     private void behave(Behaviour behaviour) {
-        mPath.mTargets.forEach(target -> target.behave(seen -> behaviour));
+        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour));
     }
 
     private void breakFirst(Behaviour behaviour) {
         AtomicInteger first = new AtomicInteger();
-        mPath.mTargets.forEach(
+        mFixture.mTargets.forEach(
                 target ->
                         target.behave(
                                 seen ->
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
@@ -10,49 +10,49 @@
 import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
 import org.testng.annotations.Test;
 
-/** Tests that no request runs at a service that it wasn't sent to. */
+/** Tests that a request runs at the intended target instance only. */
 public final class GatewayTargetInstanceTest {
-    private static final int MOST_ROUNDS = 20;
+    private static final int MAX_ROUNDS = 20;
 
     /**
-     * Guards against a request that names no instance, since its target joined after it came, and
-     * that is run by whoever has the target's address by then.
+     * Guards against a request without an expected instance, because its target joined after its
+     * arrival: it may run at another service that reuses the address.
      */
     @Test
-    public void targetThatJoinedLaterIsNamed() {
-        try (GatewayFixture path = GatewayFixture.withoutTargets()) {
-            SealingTargetStandIn first = path.mTargets.get(0);
-            path.mStore.put(first.key(), first.registration("x", "ready"));
+    public void requestNamesTargetThatJoinedLater() {
+        try (GatewayFixture fixture = GatewayFixture.withoutTargets()) {
+            SealingTargetStandIn first = fixture.mTargets.get(0);
+            fixture.mStore.put(first.key(), first.registration("x", "ready"));
             boolean reached = false;
-            for (int round = 0; round < MOST_ROUNDS && !reached; round++) {
-                reached = sendToOneThatJoinedLater(path, first, "/r/waits" + round);
+            for (int round = 0; round < MAX_ROUNDS && !reached; round++) {
+                reached = isSentToTargetThatJoinedLater(fixture, first, "/r/waits" + round);
             }
-            assertTrue(reached, "No request came to a target that joined after it.");
+            assertTrue(reached, "No request was sent to a target that joined after its arrival.");
         }
     }
 
-    /** Returns whether the request was sent to the target that joined. */
-    private static boolean sendToOneThatJoinedLater(
-            GatewayFixture path, SealingTargetStandIn first, String request) {
+    /** Returns whether the request was sent to the target that joined later. */
+    private static boolean isSentToTargetThatJoinedLater(
+            GatewayFixture fixture, SealingTargetStandIn first, String request) {
         try (SealingTargetStandIn foreign = new SealingTargetStandIn("i-foreign")) {
             foreign.start();
             CountDownLatch joined = new CountDownLatch(1);
             first.behave(seen -> shedOnceJoined(seen, request, joined));
-            GatewayFixture.await(() -> CallerStandIn.status(path.get("/r/warm")) == 200);
-            CompletableFuture<String> waiting =
-                    CompletableFuture.supplyAsync(() -> path.get(request));
-            GatewayFixture.await(() -> path.seen(request) == 1);
-            path.mStore.put("servers/i-gone", foreign.registration("x", "ready"));
+            GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/r/warm")) == 200);
+            CompletableFuture<String> response =
+                    CompletableFuture.supplyAsync(() -> fixture.get(request));
+            GatewayFixture.await(() -> fixture.seen(request) == 1);
+            fixture.mStore.put("servers/i-gone", foreign.registration("x", "ready"));
             GatewayFixture.await(
                     () -> {
-                        path.get("/r/probe");
+                        fixture.get("/r/probe");
                         return foreign.misdirected() > 0;
                     });
             int before = foreign.misdirected();
             joined.countDown();
-            waiting.join();
-            path.mStore.remove("servers/i-gone");
-            assertEquals(foreign.seen().size(), 0, "Requests that a foreign service ran.");
+            response.join();
+            fixture.mStore.remove("servers/i-gone");
+            assertEquals(foreign.seen().size(), 0, "Requests executed by a foreign service.");
             return foreign.misdirected() > before;
         }
     }
@@ -64,7 +64,7 @@
         }
         try {
             joined.await();
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         return Behaviour.SHED;
--- a/gateway/src/test/java/org/dahliapass/gateway/PeerExchangeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/PeerExchangeTest.java
@@ -20,17 +20,15 @@
 
 /** Tests of {@link PeerExchange} over the loopback address. */
 public final class PeerExchangeTest {
-    /** Targets at which a VM that takes 120 requests/s has work at the same time. */
-    private static final int TARGETS_WITH_WORK = 120;
+    /** The targets with requests of a VM that serves 120 requests/s. */
+    private static final int REPORTED_TARGETS = 120;
 
     /**
-     * VMs choose targets that other VMs have filled, and are turned away there. A VM that takes
-     * many callers has work at more than 60 targets, its report is longer than 2,048 bytes, and the
-     * others cut it off there and refuse the rest: 455 times in 12 s, "the input ended unexpectedly
-     * in the middle of a field".
+     * Guards against reports that exceed the receive buffer: a report on more than 60 targets is
+     * longer than 2,048 bytes, and was truncated and rejected.
      */
     @Test
-    public void longReportIsTakenWhole() throws IOException {
+    public void longReportIsNotTruncated() throws IOException {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         try (MetadataStoreStandIn store = new MetadataStoreStandIn(0, new MonotonicClock())) {
             store.start();
@@ -41,10 +39,10 @@
             GatewayVm vm = new GatewayVm(settings, new MonotonicClock(), log);
             vm.start().join();
             send(settings.self().peerEndpoint(), report());
-            // No report, so its refusal marks the place up to which all datagrams were read.
+            // A malformed datagram, whose log line shows that all earlier datagrams were processed.
             send(settings.self().peerEndpoint(), new byte[] {-1});
-            GatewayFixture.await(() -> refusals(output) > 0);
-            assertEquals(refusals(output), 1);
+            GatewayFixture.await(() -> malformedDatagrams(output) > 0);
+            assertEquals(malformedDatagrams(output), 1);
             vm.stopNow().join();
         }
     }
@@ -52,7 +50,7 @@
     private static byte[] report() {
         TrustNews.Builder report =
                 TrustNews.newBuilder().setVersion(1).setSender("vm-2").setService("x");
-        for (int number = 0; number < TARGETS_WITH_WORK; number++) {
+        for (int number = 0; number < REPORTED_TARGETS; number++) {
             report.addWork(
                     WorkAtTarget.newBuilder()
                             .setInstance("i-7f3a91c2d" + number + "@1785243507111")
@@ -70,7 +68,7 @@
         }
     }
 
-    private static long refusals(ByteArrayOutputStream output) {
+    private static long malformedDatagrams(ByteArrayOutputStream output) {
         return output.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.contains("datagram_refused"))
--- a/gateway/src/test/java/org/dahliapass/gateway/ResponseCheckTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ResponseCheckTest.java
@@ -13,70 +13,70 @@
     private static final String ID = "9c41d07be2a35f68";
 
     @Test
-    public void signedAnswerToThisRequestIsPassedOn() {
+    public void signedResponseIsValid() {
         assertEquals(ResponseCheck.of(200, signed(ID), ID), ResponseCheck.VALID);
     }
 
     @Test
-    public void targetsOwnFailureIsPassedOn() {
+    public void signedServerErrorIsValid() {
         assertEquals(ResponseCheck.of(500, signed(ID), ID), ResponseCheck.VALID);
     }
 
     /**
-     * A caller would get the answer to somebody else's request. A target sends an answer twice; the
-     * second copy waits on the connection and comes first when the next request is sent there.
+     * Guards against a response that reaches the wrong caller: a target sends a response twice, and
+     * the second copy precedes the response to the next request on the connection.
      */
     @Test
-    public void answerToAnotherRequestIsForeign() {
+    public void responseToAnotherRequestIsMismatched() {
         assertEquals(ResponseCheck.of(200, signed("other"), ID), ResponseCheck.MISMATCHED);
     }
 
-    /** The late copy of a refusal must not be read as the refusal of the next request. */
+    /** A duplicate refusal must not count as the refusal of the next request. */
     @Test
-    public void refusalOfAnotherRequestIsForeign() {
-        HttpHeaders late =
+    public void refusalOfAnotherRequestIsMismatched() {
+        HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set(TargetHeaders.ATTEMPT_ID, "other")
                         .set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(ResponseCheck.of(503, late, ID), ResponseCheck.MISMATCHED);
+        assertEquals(ResponseCheck.of(503, headers, ID), ResponseCheck.MISMATCHED);
     }
 
     @Test
-    public void refusalProvesThatItDidNotRun() {
-        HttpHeaders refusal =
+    public void refusalMeansNotExecuted() {
+        HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set(TargetHeaders.ATTEMPT_ID, ID)
                         .set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(ResponseCheck.of(503, refusal, ID), ResponseCheck.NOT_EXECUTED);
+        assertEquals(ResponseCheck.of(503, headers, ID), ResponseCheck.NOT_EXECUTED);
     }
 
     @Test
-    public void anotherInstanceAtTheAddressDidNotRunIt() {
+    public void misdirectedRequestIsNotExecuted() {
         assertEquals(
                 ResponseCheck.of(421, new DefaultHttpHeaders(), ID), ResponseCheck.NOT_EXECUTED);
     }
 
     @Test
-    public void refusalWithoutTheStatementProvesNothing() {
+    public void refusalWithoutNotExecutedHeaderIsInvalid() {
         assertEquals(ResponseCheck.of(503, new DefaultHttpHeaders(), ID), ResponseCheck.INVALID);
     }
 
     @Test
-    public void successWithTheStatementIsNoRefusal() {
-        HttpHeaders odd = signed(ID).set(TargetHeaders.NOT_EXECUTED, "1");
-        assertEquals(ResponseCheck.of(200, odd, ID), ResponseCheck.VALID);
+    public void successWithNotExecutedHeaderIsValid() {
+        HttpHeaders headers = signed(ID).set(TargetHeaders.NOT_EXECUTED, "1");
+        assertEquals(ResponseCheck.of(200, headers, ID), ResponseCheck.VALID);
     }
 
     @Test
-    public void unsignedSuccessIsSpoiled() {
-        HttpHeaders unsigned = new DefaultHttpHeaders().set(TargetHeaders.ATTEMPT_ID, ID);
-        assertEquals(ResponseCheck.of(200, unsigned, ID), ResponseCheck.INVALID);
+    public void unsignedSuccessIsInvalid() {
+        HttpHeaders headers = new DefaultHttpHeaders().set(TargetHeaders.ATTEMPT_ID, ID);
+        assertEquals(ResponseCheck.of(200, headers, ID), ResponseCheck.INVALID);
     }
 
     @Test
-    public void encodedBodyIsNotTheTargetsBody() {
-        HttpHeaders encoded = signed(ID).set(HttpHeaderNames.CONTENT_ENCODING, "gzip");
-        assertEquals(ResponseCheck.of(200, encoded, ID), ResponseCheck.INVALID);
+    public void encodedBodyIsInvalid() {
+        HttpHeaders headers = signed(ID).set(HttpHeaderNames.CONTENT_ENCODING, "gzip");
+        assertEquals(ResponseCheck.of(200, headers, ID), ResponseCheck.INVALID);
     }
 
     private static HttpHeaders signed(String id) {
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
@@ -47,28 +47,30 @@
     }
 
     /**
-     * Guards against work that is sent to a target which has left: its entry vanished while lapsed
-     * entries were kept, and was looked at again a whole grace later.
+     * Guards against an expired entry that is kept for longer than its grace period, so that
+     * requests are sent to a target that has left.
      */
     @Test
-    public void entryThatIsKeptIsDroppedWhenItsGraceEnds() {
+    public void expiredEntryIsEvictedAtTheEndOfItsGracePeriod() {
         run(
                 () -> {
-                    mFollower.onStoreFailure(new IllegalStateException("away"));
+                    mFollower.onStoreFailure(new IllegalStateException("unavailable"));
                     mFollower.onStoreResponse();
                 });
-        Duration left = Duration.ofMillis(300);
-        mClock.advance(GRACE.minus(left));
+        Duration remaining = Duration.ofMillis(300);
+        mClock.advance(GRACE.minus(remaining));
         run(() -> mFollower.applyEvents(List.of(new StoreEvent.Removed("servers/i-1", 9))));
-        mClock.advance(left);
-        // The loop runs what is due earlier first, however late it is.
-        assertEquals(targetsAfter(GRACE.minus(left)), Set.of("i-2"));
+        mClock.advance(remaining);
+        // The control loop runs overdue tasks in the order of their due times.
+        assertEquals(targetsAfter(GRACE.minus(remaining)), Set.of("i-2"));
     }
 
-    /** Guards against a target that is kept since the store turned away this VM only. */
+    /**
+     * Guards against keeping a removed target because the store was unavailable to this VM only.
+     */
     @Test
-    public void vmThatHeardOfAllChangesKeepsNothing() {
-        run(() -> mFollower.onStoreFailure(new IllegalStateException("turned away")));
+    public void removedEntryIsEvictedIfNoUpdatesWereMissed() {
+        run(() -> mFollower.onStoreFailure(new IllegalStateException("unavailable")));
         mClock.advance(GRACE);
         mFollower.setUpToDateSince(() -> 0);
         run(
@@ -79,10 +81,13 @@
         assertEquals(targetsAfter(Duration.ZERO), Set.of("i-2"));
     }
 
-    /** Guards against a service without targets, after an outage of which news had a gap. */
+    /**
+     * Guards against a service without targets after an outage of the store in which updates were
+     * missed.
+     */
     @Test
-    public void vmWhoseNewsHadAGapKeepsWhatLapsed() {
-        run(() -> mFollower.onStoreFailure(new IllegalStateException("away")));
+    public void expiredEntryIsKeptIfUpdatesWereMissed() {
+        run(() -> mFollower.onStoreFailure(new IllegalStateException("unavailable")));
         mClock.advance(GRACE);
         mFollower.setUpToDateSince(mClock::millis);
         run(
@@ -99,10 +104,10 @@
         return targets.join();
     }
 
-    private void run(Runnable step) {
+    private void run(Runnable task) {
         mLoop.submit(
                         () -> {
-                            step.run();
+                            task.run();
                             return null;
                         })
                 .join();
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreMirrorTest.java
@@ -16,18 +16,18 @@
     private StoreMirror mMirror;
 
     @BeforeMethod
-    public void fill() {
+    public void loadMirror() {
         mMirror = new StoreMirror();
         mMirror.load(List.of(item("a", 3), item("b", 7)), 10);
     }
 
     @Test
-    public void followerThatIsUpToDateWaits() {
+    public void upToDateFollowerGetsNoChanges() {
         assertEquals(mMirror.changesAfter(10), Optional.empty());
     }
 
     @Test
-    public void followerGetsOnlyWhatIsNewer() {
+    public void followerGetsOnlyNewerChanges() {
         mMirror.apply(List.of(written("a", 11)), 11);
         mMirror.apply(List.of(new StoreEvent.Removed("b", 12)), 12);
         WatchResponse.Changes changes =
@@ -37,16 +37,16 @@
     }
 
     /**
-     * A target that left would go on getting work. The VM that was followed read the store anew and
-     * doesn't know what happened before; a follower from an earlier time must read anew too.
+     * Guards against a follower that misses removals: the mirror does not know the changes before
+     * its snapshot, so an earlier follower must read a new snapshot.
      */
     @Test
-    public void followerFromBeforeTheLastWholeReadMustReadAnew() {
+    public void followerBeforeTheSnapshotGetsCompacted() {
         assertEquals(mMirror.changesAfter(9), Optional.of(new WatchResponse.Compacted()));
     }
 
     @Test
-    public void oldChangesAreForgotten() {
+    public void oldChangesAreDiscarded() {
         for (int revision = 11; revision <= 3_000; revision++) {
             mMirror.apply(List.of(written("a", revision)), revision);
         }
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void wholeCopyHoldsTheNewestValues() {
+    public void snapshotContainsNewestValues() {
         mMirror.apply(List.of(written("c", 11), new StoreEvent.Removed("a", 12)), 12);
         assertEquals(
                 mMirror.snapshot().items().stream().map(StoredItem::key).toList(),
--- a/gateway/src/test/java/org/dahliapass/gateway/SuspectBroadcasterTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/SuspectBroadcasterTest.java
@@ -10,39 +10,39 @@
 import org.dahliapass.model.RequestDigest;
 import org.testng.annotations.Test;
 
-/** Tests of {@link SuspectBroadcaster} on a clock of their own. */
+/** Tests of {@link SuspectBroadcaster} with a simulated clock. */
 public final class SuspectBroadcasterTest {
-    private static final int FLOOD = 10_000;
+    private static final int REQUESTS = 10_000;
     private static final int STEP_MILLIS = 100;
 
-    private final List<List<RequestDigest>> mTold = new ArrayList<>();
+    private final List<List<RequestDigest>> mSent = new ArrayList<>();
 
-    /** Guards against a VM that a lost datagram leaves without the news. */
+    /** Guards against VMs that miss a report because of a lost datagram. */
     @Test
-    public void eachPieceOfNewsIsToldThreeTimes() {
+    public void eachReportIsSentThreeTimes() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        SuspectBroadcaster news = new SuspectBroadcaster(channel.eventLoop(), mTold::add);
-        news.broadcast(digest(1));
-        assertEquals(mTold, List.of(List.of(digest(1))));
+        SuspectBroadcaster broadcaster = new SuspectBroadcaster(channel.eventLoop(), mSent::add);
+        broadcaster.broadcast(digest(1));
+        assertEquals(mSent, List.of(List.of(digest(1))));
         run(channel, 10);
-        assertEquals(mTold.stream().filter(List.of(digest(1))::equals).count(), 3);
+        assertEquals(mSent.stream().filter(List.of(digest(1))::equals).count(), 3);
     }
 
-    /** Guards against an attacker who makes VMs flood each other. */
+    /** Guards against an attacker who causes floods of datagrams between VMs. */
     @Test
-    public void floodOfNewsIsBounded() {
-        List<List<RequestDigest>> told = new ArrayList<>();
+    public void rateOfDatagramsIsLimited() {
+        List<List<RequestDigest>> sent = new ArrayList<>();
         EmbeddedChannel channel = new EmbeddedChannel();
-        SuspectBroadcaster news = new SuspectBroadcaster(channel.eventLoop(), told::add);
-        for (int number = 0; number < FLOOD; number++) {
-            news.broadcast(digest(number));
+        SuspectBroadcaster broadcaster = new SuspectBroadcaster(channel.eventLoop(), sent::add);
+        for (int number = 0; number < REQUESTS; number++) {
+            broadcaster.broadcast(digest(number));
         }
         run(channel, 10);
-        assertTrue(told.size() <= 6, told.size() + " datagrams in a second.");
-        assertTrue(told.stream().allMatch(one -> one.size() <= 8));
+        assertTrue(sent.size() <= 6, sent.size() + " datagrams in a second.");
+        assertTrue(sent.stream().allMatch(batch -> batch.size() <= 8));
         run(channel, 1_000);
-        int total = told.size();
-        assertTrue(total <= 100, total + " datagrams in all.");
+        int total = sent.size();
+        assertTrue(total <= 100, total + " datagrams in total.");
     }
 
     private static RequestDigest digest(int number) {
--- a/gateway/src/test/java/org/dahliapass/gateway/SuspectCodecTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/SuspectCodecTest.java
@@ -10,20 +10,20 @@
 
 /** Tests of {@link SuspectCodec}. */
 public final class SuspectCodecTest {
-    /** Guards against ends that change their order between VMs whose clocks differ. */
+    /** Guards against crashes whose order differs between VMs with different clocks. */
     @Test
-    public void endsKeepTheirAgeOnAnotherClock() {
-        SuspectReport news =
+    public void agesArePreservedAcrossClocks() {
+        SuspectReport report =
                 new SuspectReport(
                         new RequestDigest(-1, Long.MAX_VALUE),
                         List.of(new TargetCrash("i-1@7", 1_000, 1_080)),
                         true,
                         false);
-        SuspectReport decoded = SuspectCodec.decode(SuspectCodec.encode(news, 1_100), 50_100);
+        SuspectReport decoded = SuspectCodec.decode(SuspectCodec.encode(report, 1_100), 50_100);
         assertEquals(
                 decoded,
                 new SuspectReport(
-                        news.digest(),
+                        report.digest(),
                         List.of(new TargetCrash("i-1@7", 50_000, 50_080)),
                         true,
                         false));
--- a/gateway/src/test/java/org/dahliapass/gateway/WorkReportCodecTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/WorkReportCodecTest.java
@@ -14,42 +14,42 @@
 
 /** Tests of {@link WorkReportCodec}. */
 public final class WorkReportCodecTest {
-    private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
-    private static final Endpoint THERE = new Endpoint("10.0.0.2", 80);
+    private static final Endpoint FIRST = new Endpoint("10.0.0.1", 80);
+    private static final Endpoint SECOND = new Endpoint("10.0.0.2", 80);
     private static final long SENT = 5_000;
     private static final long RECEIVED = 90_000;
 
-    /** The receiver's clock is far from the sender's, and only ages may count. */
+    /** Only ages are transmitted, because the clocks of sender and receiver differ. */
     @Test
-    public void ageOfAProofSurvivesAnotherClock() {
-        List<WorkAtTarget> message = WorkReportCodec.encode(report(HERE), at(HERE, "i-1"), SENT);
+    public void ageOfLastResponseIsPreservedAcrossClocks() {
+        List<WorkAtTarget> message = WorkReportCodec.encode(report(FIRST), at(FIRST, "i-1"), SENT);
         assertEquals(
-                WorkReportCodec.decode(message, named(HERE, "i-1"), RECEIVED),
-                List.of(new TargetReport(HERE, 2, 11, OptionalLong.of(RECEIVED - 400))));
+                WorkReportCodec.decode(message, named(FIRST, "i-1"), RECEIVED),
+                List.of(new TargetReport(FIRST, 2, 11, OptionalLong.of(RECEIVED - 400))));
     }
 
-    /** A target ended and another one took its address: the report must not speak of that one. */
+    /** A report must not be applied to another target that reuses the address. */
     @Test
-    public void reportFollowsTheInstanceNotTheAddress() {
-        List<WorkAtTarget> message = WorkReportCodec.encode(report(HERE), at(HERE, "i-1"), SENT);
-        assertEquals(WorkReportCodec.decode(message, named(HERE, "i-2"), RECEIVED), List.of());
+    public void reportIsMatchedByInstance() {
+        List<WorkAtTarget> message = WorkReportCodec.encode(report(FIRST), at(FIRST, "i-1"), SENT);
+        assertEquals(WorkReportCodec.decode(message, named(FIRST, "i-2"), RECEIVED), List.of());
         assertEquals(
-                WorkReportCodec.decode(message, named(THERE, "i-1"), RECEIVED).get(0).target(),
-                THERE);
+                WorkReportCodec.decode(message, named(SECOND, "i-1"), RECEIVED).get(0).target(),
+                SECOND);
     }
 
     @Test
-    public void workAtATargetThatIsGoneIsNotTold() {
-        assertEquals(WorkReportCodec.encode(report(HERE), Map.of(), SENT), List.of());
+    public void unregisteredTargetIsOmitted() {
+        assertEquals(WorkReportCodec.encode(report(FIRST), Map.of(), SENT), List.of());
     }
 
     @Test
-    public void workWithoutAProofHasNone() {
-        TargetReport unproven = new TargetReport(HERE, 1, 1, OptionalLong.empty());
+    public void missingLastResponseStaysMissing() {
+        TargetReport report = new TargetReport(FIRST, 1, 1, OptionalLong.empty());
         List<WorkAtTarget> message =
-                WorkReportCodec.encode(List.of(unproven), at(HERE, "i-1"), SENT);
+                WorkReportCodec.encode(List.of(report), at(FIRST, "i-1"), SENT);
         assertEquals(
-                WorkReportCodec.decode(message, named(HERE, "i-1"), RECEIVED), List.of(unproven));
+                WorkReportCodec.decode(message, named(FIRST, "i-1"), RECEIVED), List.of(report));
     }
 
     private static List<TargetReport> report(Endpoint target) {
