--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/AddressSelector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/AddressSelector.java
@@ -13,52 +13,51 @@
 import org.dahliapass.decisions.membership.Shuffle;
 import org.dahliapass.model.Vm;
 
-/** Chooses the addresses that an ask gets, and for how long they hold. */
+/** Selects the VM addresses that a caller is given for a service, and their time to live. */
 public final class AddressSelector {
-    private static final int SHORTENED_BY = 4;
+    private static final int DEGRADED_TTL_DIVISOR = 4;
 
-    private final int mAddresses;
+    private final int mMaxAddresses;
     private final Duration mTimeToLive;
     private final RandomGenerator mRandom;
 
     /**
-     * Creates the policy.
+     * Creates the selector.
      *
-     * @param addresses how many addresses an ask gets at most
-     * @param timeToLive how long an answer holds while the cell is whole
-     * @param random spreads callers over the cell
+     * @param maxAddresses maximum number of addresses in a selection
+     * @param timeToLive time to live of a selection while all VMs of the cell are alive
+     * @param random source of randomness that spreads callers over the cell
      */
-    public AddressSelector(int addresses, Duration timeToLive, RandomGenerator random) {
-        mAddresses = addresses;
+    public AddressSelector(int maxAddresses, Duration timeToLive, RandomGenerator random) {
+        mMaxAddresses = maxAddresses;
         mTimeToLive = timeToLive;
         mRandom = random;
     }
 
     /**
-     * Returns the answer to an ask.
+     * Returns the addresses to use for a service.
      *
-     * <p>VMs that leave or are suspected are skipped; while some of the cell are, the answer holds
-     * a quarter of the usual time, so that callers soon see the cell whole again. If no VM of the
-     * cell is free of suspicion, the suspected ones are named: a suspicion may be false, and an
-     * empty answer is no use to the caller.
+     * <p>Skips VMs that are leaving or suspected. While the cell has any, the time to live is a
+     * quarter of the usual one, so that callers soon notice the recovery. If no VM of the cell is
+     * alive, returns the suspected ones, because a suspicion may be false.
      *
      * @param cell the cell of the service, from {@link CellPlanner}
      * @param zone the caller's availability zone, whose VMs come first
      */
     public SelectedAddresses select(List<MemberUpdate> cell, Optional<String> zone) {
         List<Vm> usable = vmsIn(cell, MemberState.ALIVE);
-        boolean whole = usable.size() == cell.size();
+        boolean complete = usable.size() == cell.size();
         if (usable.isEmpty()) {
             usable = vmsIn(cell, MemberState.SUSPECT);
         }
         Shuffle.shuffle(usable, mRandom);
         List<Vm> candidates = usable;
-        zone.ifPresent(name -> candidates.sort(inZoneFirst(name)));
-        Duration timeToLive = whole ? mTimeToLive : mTimeToLive.dividedBy(SHORTENED_BY);
-        return new SelectedAddresses(differentZonesFirst(usable), timeToLive);
+        zone.ifPresent(name -> candidates.sort(zoneFirst(name)));
+        Duration timeToLive = complete ? mTimeToLive : mTimeToLive.dividedBy(DEGRADED_TTL_DIVISOR);
+        return new SelectedAddresses(distinctZonesFirst(usable), timeToLive);
     }
 
-    private static Comparator<Vm> inZoneFirst(String zone) {
+    private static Comparator<Vm> zoneFirst(String zone) {
         return Comparator.comparing(vm -> !vm.availabilityZone().equals(zone));
     }
 
@@ -72,7 +71,7 @@
         return vms;
     }
 
-    private List<Vm> differentZonesFirst(List<Vm> vms) {
+    private List<Vm> distinctZonesFirst(List<Vm> vms) {
         List<Vm> ordered = new ArrayList<>(vms.size());
         List<Vm> rest = new ArrayList<>();
         Set<String> zones = new HashSet<>();
@@ -80,6 +79,6 @@
             (zones.add(vm.availabilityZone()) ? ordered : rest).add(vm);
         }
         ordered.addAll(rest);
-        return List.copyOf(ordered.subList(0, Math.min(mAddresses, ordered.size())));
+        return List.copyOf(ordered.subList(0, Math.min(mMaxAddresses, ordered.size())));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
@@ -9,32 +9,31 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * Tells for each service whether this VM is in its cell, without planning the cells.
+ * Tracks the services whose cells contain this VM, without planning whole cells.
  *
- * <p>For each service it counts the members of its own zone that rank above this VM. A member that
- * comes or goes costs one score per service; planning all cells anew would cost one per service and
- * member. It agrees with {@link CellPlanner} on the same members.
+ * <p>For each service, counts the members of this VM's zone that rank above it. A membership change
+ * costs one score per service. Agrees with {@link CellPlanner} on the same members.
  */
 public final class CellMembership {
     private final String mName;
     private final String mZone;
     private final Map<String, Integer> mZoneSizes = new HashMap<>();
-    private final Map<ServiceId, Place> mPlaces = new HashMap<>();
+    private final Map<ServiceId, ZoneRank> mRanks = new HashMap<>();
     private final Map<String, String> mZoneOf = new HashMap<>();
 
-    /** This VM's place in the order of its zone for one service. */
-    private static final class Place {
+    /** This VM's rank among the members of its zone for one service. */
+    private static final class ZoneRank {
         private final Rendezvous mRendezvous;
         private final double mOwnScore;
-        private int mAhead;
+        private int mHigherRanked;
 
-        Place(ServiceId service, String name) {
+        ZoneRank(ServiceId service, String name) {
             mRendezvous = Rendezvous.of(service.toString());
             mOwnScore = mRendezvous.score(name);
         }
 
         /** Returns whether another member of the zone ranks above this VM. */
-        boolean isAhead(String other, String self) {
+        boolean ranksAbove(String other, String self) {
             int byScore = Double.compare(mRendezvous.score(other), mOwnScore);
             return byScore > 0 || (byScore == 0 && other.compareTo(self) < 0);
         }
@@ -46,18 +45,13 @@
                 Comparator.comparingDouble((Zone zone) -> -zone.score()).thenComparing(Zone::name);
     }
 
-    /**
-     * Starts with this VM alone, and in no cell until it is added itself.
-     *
-     * @param name this VM's name
-     * @param availabilityZone this VM's zone
-     */
+    /** Creates an instance without members; this VM is in no cell until it is a member itself. */
     public CellMembership(String name, String availabilityZone) {
         mName = name;
         mZone = availabilityZone;
     }
 
-    /** Takes the names and zones of all members that may be in cells, this VM's among them. */
+    /** Replaces the members that may be in cells, by name and zone; includes this VM. */
     public void updateMembers(Map<String, String> zoneOfName) {
         List<String> gone = new ArrayList<>(mZoneOf.keySet());
         gone.removeIf(name -> mZoneOf.get(name).equals(zoneOfName.get(name)));
@@ -85,61 +79,65 @@
         if (!zone.equals(mZone) || name.equals(mName)) {
             return;
         }
-        for (Place place : mPlaces.values()) {
-            if (place.isAhead(name, mName)) {
-                place.mAhead += step;
+        for (ZoneRank rank : mRanks.values()) {
+            if (rank.ranksAbove(name, mName)) {
+                rank.mHigherRanked += step;
             }
         }
     }
 
-    /** Forgets the services that aren't in this collection. */
+    /** Removes the state of all services that aren't in the collection. */
     public void retainServices(Collection<ServiceId> services) {
-        mPlaces.keySet().retainAll(services);
+        mRanks.keySet().retainAll(services);
     }
 
-    /** Returns whether this VM is in the cell of a service with that many places. */
+    /**
+     * Returns whether this VM is in the cell of a service.
+     *
+     * @param size number of VMs in the cell
+     */
     public boolean isInCell(ServiceId service, int size) {
         if (!mZoneOf.containsKey(mName)) {
             return false;
         }
-        Place place = mPlaces.computeIfAbsent(service, this::newPlace);
-        return place.mAhead < placesOfZone(place, size);
+        ZoneRank rank = mRanks.computeIfAbsent(service, this::newRank);
+        return rank.mHigherRanked < slotsInOwnZone(rank, size);
     }
 
-    private Place newPlace(ServiceId service) {
-        Place place = new Place(service, mName);
+    private ZoneRank newRank(ServiceId service) {
+        ZoneRank rank = new ZoneRank(service, mName);
         for (Map.Entry<String, String> entry : mZoneOf.entrySet()) {
             boolean other = entry.getValue().equals(mZone) && !entry.getKey().equals(mName);
-            if (other && place.isAhead(entry.getKey(), mName)) {
-                place.mAhead++;
+            if (other && rank.ranksAbove(entry.getKey(), mName)) {
+                rank.mHigherRanked++;
             }
         }
-        return place;
+        return rank;
     }
 
-    /** Deals the cell's places to the zones in rounds, as the planner does. */
-    private int placesOfZone(Place place, int size) {
+    /** Assigns the cell's slots to the zones round-robin, like {@link CellPlanner}. */
+    private int slotsInOwnZone(ZoneRank rank, int size) {
         List<Zone> zones = new ArrayList<>();
-        mZoneSizes.forEach((name, ignored) -> zones.add(zone(place, name)));
+        mZoneSizes.forEach((name, ignored) -> zones.add(zone(rank, name)));
         zones.sort(Zone.BEST_FIRST);
-        int dealt = 0;
+        int assigned = 0;
         int own = 0;
-        for (int round = 0; dealt < size; round++) {
-            int before = dealt;
+        for (int round = 0; assigned < size; round++) {
+            int before = assigned;
             for (Zone zone : zones) {
-                if (mZoneSizes.get(zone.name()) > round && dealt < size) {
-                    dealt++;
+                if (mZoneSizes.get(zone.name()) > round && assigned < size) {
+                    assigned++;
                     own += zone.name().equals(mZone) ? 1 : 0;
                 }
             }
-            if (dealt == before) {
+            if (assigned == before) {
                 return own;
             }
         }
         return own;
     }
 
-    private static Zone zone(Place place, String name) {
-        return new Zone(name, place.mRendezvous.score(name));
+    private static Zone zone(ZoneRank rank, String name) {
+        return new Zone(name, rank.mRendezvous.score(name));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/CellPlanner.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/CellPlanner.java
@@ -12,16 +12,15 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * Chooses the cell of a service: a few VMs, spread evenly over the availability zones.
+ * Assigns VMs to the cell of a service, spread evenly over the availability zones.
  *
- * <p>A VM is ranked by its name alone, so a restarted one keeps its place, and a lost one gives its
- * place to the next of its zone while the other places stay. All VMs with the same member list
- * choose the same cell.
+ * <p>VMs are ranked by name alone: a restarted VM keeps its slot, and the slot of a lost VM goes to
+ * the next one of its zone without moving the others. The result depends only on the member list.
  */
 public final class CellPlanner {
     private CellPlanner() {}
 
-    /** A VM or zone with its score; ties go to the lower name, so that the order is total. */
+    /** A VM or zone with its score; ties are broken by name. */
     private record Ranked<T>(T item, String name, double score) {
         static <T> Comparator<Ranked<T>> bestFirst() {
             return Comparator.comparingDouble((Ranked<T> ranked) -> -ranked.score())
@@ -33,9 +32,8 @@
      * Returns the cell of a service in order of rank; the first VM of each zone comes before the
      * second of any.
      *
-     * @param service the service
-     * @param size how many VMs serve it; fewer if the fleet has fewer
-     * @param members the member list; those that leave or are dead get no place
+     * @param size maximum number of VMs in the cell
+     * @param members the member list; leaving and dead members are skipped
      */
     public static List<MemberUpdate> plan(
             ServiceId service, int size, Collection<MemberUpdate> members) {
@@ -48,7 +46,7 @@
                         .add(new Ranked<>(member, name, rendezvous.score(name)));
             }
         }
-        return roundOverZones(zonesByRank(rendezvous, byZone), size);
+        return roundRobin(zonesByRank(rendezvous, byZone), size);
     }
 
     private static List<Deque<Ranked<MemberUpdate>>> zonesByRank(
@@ -64,16 +62,16 @@
         return zones.stream().map(Ranked::item).toList();
     }
 
-    private static List<MemberUpdate> roundOverZones(
+    private static List<MemberUpdate> roundRobin(
             List<Deque<Ranked<MemberUpdate>>> zones, int size) {
         List<MemberUpdate> cell = new ArrayList<>(size);
-        boolean found = true;
-        while (found && cell.size() < size) {
-            found = false;
+        boolean added = true;
+        while (added && cell.size() < size) {
+            added = false;
             for (Deque<Ranked<MemberUpdate>> zone : zones) {
                 if (!zone.isEmpty() && cell.size() < size) {
                     cell.add(zone.remove().item());
-                    found = true;
+                    added = true;
                 }
             }
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/SelectedAddresses.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/SelectedAddresses.java
@@ -5,9 +5,9 @@
 import org.dahliapass.model.Vm;
 
 /**
- * What a caller is told that asks where to send its requests.
+ * The VM addresses returned to a caller for one service.
  *
- * @param vms which VMs to use, the preferred one first; empty if the fleet has none
- * @param timeToLive how long the caller may keep the answer
+ * @param vms the VMs to use, the preferred one first; empty if no VM is usable
+ * @param timeToLive how long the caller may cache the addresses
  */
 public record SelectedAddresses(List<Vm> vms, Duration timeToLive) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which VMs serve a service, and which of their addresses callers are told. */
+/** Assigns VMs to services and selects the addresses that callers are given. */
 package org.dahliapass.decisions.assignment;
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/AddressSelectorTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/AddressSelectorTest.java
@@ -15,63 +15,63 @@
 import org.dahliapass.model.Vm;
 import org.testng.annotations.Test;
 
-/** Checks which addresses an ask gets. */
+/** Tests for {@link AddressSelector}. */
 public final class AddressSelectorTest {
     private static final Duration TIME_TO_LIVE = Duration.ofSeconds(20);
 
-    private final AddressSelector mPolicy = new AddressSelector(3, TIME_TO_LIVE, new Random(1));
+    private final AddressSelector mSelector = new AddressSelector(3, TIME_TO_LIVE, new Random(1));
 
     @Test
-    public void addressesAreOfDifferentZones() {
-        SelectedAddresses answer = mPolicy.select(CellPlannerTest.fleet(6), Optional.empty());
+    public void addressesAreInDistinctZones() {
+        SelectedAddresses selection = mSelector.select(CellPlannerTest.fleet(6), Optional.empty());
         Set<String> zones = new HashSet<>();
-        answer.vms().forEach(vm -> zones.add(vm.availabilityZone()));
+        selection.vms().forEach(vm -> zones.add(vm.availabilityZone()));
         assertEquals(zones.size(), 3);
-        assertEquals(answer.timeToLive(), TIME_TO_LIVE);
+        assertEquals(selection.timeToLive(), TIME_TO_LIVE);
     }
 
     @Test
-    public void callersZoneComesFirst() {
+    public void callerZoneComesFirst() {
         for (int i = 0; i < 20; i++) {
-            SelectedAddresses answer =
-                    mPolicy.select(CellPlannerTest.fleet(6), Optional.of("zone-2"));
-            assertEquals(answer.vms().get(0).availabilityZone(), "zone-2");
+            SelectedAddresses selection =
+                    mSelector.select(CellPlannerTest.fleet(6), Optional.of("zone-2"));
+            assertEquals(selection.vms().get(0).availabilityZone(), "zone-2");
         }
     }
 
     @Test
-    public void callersAreSpreadOverTheCell() {
+    public void callersAreSpreadOverCell() {
         Set<Vm> first = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            first.add(mPolicy.select(CellPlannerTest.fleet(6), Optional.empty()).vms().get(0));
+            first.add(mSelector.select(CellPlannerTest.fleet(6), Optional.empty()).vms().get(0));
         }
         assertEquals(first.size(), 6);
     }
 
     @Test
-    public void leavingAndSuspectedVmsAreSkippedForAShorterTime() {
+    public void leavingAndSuspectedVmsAreSkippedWithShorterTimeToLive() {
         List<MemberUpdate> cell = CellPlannerTest.fleet(6);
         Vm leaving = cell.get(0).vm();
         Vm suspected = cell.get(1).vm();
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.LEAVING));
         cell.set(1, CellPlannerTest.with(cell.get(1), MemberState.SUSPECT));
-        SelectedAddresses answer = mPolicy.select(cell, Optional.of("zone-0"));
-        assertFalse(answer.vms().contains(leaving));
-        assertFalse(answer.vms().contains(suspected));
-        assertTrue(answer.timeToLive().compareTo(TIME_TO_LIVE) < 0);
+        SelectedAddresses selection = mSelector.select(cell, Optional.of("zone-0"));
+        assertFalse(selection.vms().contains(leaving));
+        assertFalse(selection.vms().contains(suspected));
+        assertTrue(selection.timeToLive().compareTo(TIME_TO_LIVE) < 0);
     }
 
     @Test
-    public void onlySuspectedVmsAreBetterThanNone() {
+    public void suspectedVmsAreReturnedIfNoneIsAlive() {
         List<MemberUpdate> cell = CellPlannerTest.fleet(1);
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.SUSPECT));
-        assertEquals(mPolicy.select(cell, Optional.empty()).vms(), List.of(cell.get(0).vm()));
+        assertEquals(mSelector.select(cell, Optional.empty()).vms(), List.of(cell.get(0).vm()));
     }
 
     @Test
-    public void leavingVmIsNeverNamed() {
+    public void leavingVmIsNeverReturned() {
         List<MemberUpdate> cell = CellPlannerTest.fleet(1);
         cell.set(0, CellPlannerTest.with(cell.get(0), MemberState.LEAVING));
-        assertTrue(mPolicy.select(cell, Optional.empty()).vms().isEmpty());
+        assertTrue(mSelector.select(cell, Optional.empty()).vms().isEmpty());
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/CellMembershipTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/CellMembershipTest.java
@@ -17,7 +17,7 @@
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
-/** Checks the counted places against the planner's cells. */
+/** Tests {@link CellMembership} against the cells of {@link CellPlanner}. */
 public final class CellMembershipTest {
     private static final String SELF = "vm-0";
 
@@ -31,7 +31,8 @@
         return new MemberUpdate(vm, endpoint, MemberState.ALIVE, 0);
     }
 
-    private static boolean planned(ServiceId service, int size, Map<String, String> members) {
+    private static boolean isInPlannedCell(
+            ServiceId service, int size, Map<String, String> members) {
         List<MemberUpdate> updates =
                 members.keySet().stream().map(CellMembershipTest::member).toList();
         return CellPlanner.plan(service, size, updates).stream()
@@ -39,7 +40,7 @@
     }
 
     @Test
-    public void agreesWithThePlannerWhileMembersComeAndGo() {
+    public void agreesWithPlannerWhileMembersChange() {
         SplittableRandom random = new SplittableRandom(5);
         CellMembership membership = new CellMembership(SELF, zoneOf(SELF));
         Map<String, String> members = new HashMap<>();
@@ -47,7 +48,7 @@
         for (int number = 0; number < 12; number++) {
             services.add(new ServiceId("customer-" + number, "service"));
         }
-        int inside = 0;
+        int inCell = 0;
         for (int step = 0; step < 200; step++) {
             String name = "vm-" + random.nextInt(30);
             if (members.remove(name) == null) {
@@ -56,22 +57,22 @@
             membership.updateMembers(members);
             for (ServiceId service : services) {
                 int size = 1 + random.nextInt(8);
-                boolean expected = planned(service, size, members);
+                boolean expected = isInPlannedCell(service, size, members);
                 assertEquals(membership.isInCell(service, size), expected, "step " + step);
-                inside += expected ? 1 : 0;
+                inCell += expected ? 1 : 0;
             }
         }
-        assertTrue(inside > 100, "the case occurs: " + inside);
+        assertTrue(inCell > 100, "Expected the VM in more than 100 planned cells, got " + inCell);
     }
 
     @Test
-    public void isInNoCellBeforeItIsAMember() {
+    public void nonMemberIsInNoCell() {
         CellMembership membership = new CellMembership(SELF, zoneOf(SELF));
         assertFalse(membership.isInCell(new ServiceId("himal", "desk"), 6));
     }
 
     @Test
-    public void aloneIsInEveryCell() {
+    public void onlyMemberIsInEveryCell() {
         CellMembership membership = new CellMembership(SELF, zoneOf(SELF));
         membership.updateMembers(Map.of(SELF, zoneOf(SELF)));
         assertTrue(membership.isInCell(new ServiceId("himal", "desk"), 1));
--- a/decisions/src/test/java/org/dahliapass/decisions/assignment/CellPlannerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/assignment/CellPlannerTest.java
@@ -19,15 +19,15 @@
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
-/** Checks spread, stability and agreement of cells. */
+/** Tests for {@link CellPlanner}. */
 public final class CellPlannerTest {
     private static final int ZONES = 3;
-    private static final int CELL = 6;
+    private static final int CELL_SIZE = 6;
 
     @Test
     public void cellHasTwoVmsInEachZone() {
         Map<String, Integer> perZone = new HashMap<>();
-        for (MemberUpdate member : CellPlanner.plan(service(1), CELL, fleet(36))) {
+        for (MemberUpdate member : CellPlanner.plan(service(1), CELL_SIZE, fleet(36))) {
             perZone.merge(member.vm().availabilityZone(), 1, Integer::sum);
         }
         assertEquals(perZone, Map.of("zone-0", 2, "zone-1", 2, "zone-2", 2));
@@ -38,64 +38,67 @@
         List<MemberUpdate> shuffled = fleet(36);
         Collections.shuffle(shuffled, new Random(1));
         assertEquals(
-                CellPlanner.plan(service(1), CELL, shuffled),
-                CellPlanner.plan(service(1), CELL, fleet(36)));
+                CellPlanner.plan(service(1), CELL_SIZE, shuffled),
+                CellPlanner.plan(service(1), CELL_SIZE, fleet(36)));
     }
 
     @Test
-    public void lostVmGivesUpOnlyItsOwnPlace() {
+    public void lostVmChangesOnlyItsOwnSlot() {
         for (int number = 0; number < 100; number++) {
             List<MemberUpdate> fleet = fleet(36);
-            List<MemberUpdate> before = CellPlanner.plan(service(number), CELL, fleet);
-            MemberUpdate lost = before.get(number % CELL);
+            List<MemberUpdate> before = CellPlanner.plan(service(number), CELL_SIZE, fleet);
+            MemberUpdate lost = before.get(number % CELL_SIZE);
             fleet.remove(lost);
-            Set<MemberUpdate> stayed = new HashSet<>(before);
-            stayed.retainAll(CellPlanner.plan(service(number), CELL, fleet));
-            assertEquals(stayed.size(), CELL - 1, "service " + number);
+            Set<MemberUpdate> kept = new HashSet<>(before);
+            kept.retainAll(CellPlanner.plan(service(number), CELL_SIZE, fleet));
+            assertEquals(kept.size(), CELL_SIZE - 1, "service " + number);
         }
     }
 
     @Test
-    public void vmOutsideTheCellDoesNotMatter() {
+    public void vmOutsideCellDoesNotMatter() {
         List<MemberUpdate> fleet = fleet(36);
-        List<MemberUpdate> before = CellPlanner.plan(service(1), CELL, fleet);
+        List<MemberUpdate> before = CellPlanner.plan(service(1), CELL_SIZE, fleet);
         fleet.retainAll(before);
-        assertEquals(CellPlanner.plan(service(1), CELL, fleet), before);
+        assertEquals(CellPlanner.plan(service(1), CELL_SIZE, fleet), before);
     }
 
     @Test
-    public void leavingVmGetsNoPlaceAndSuspectedOneKeepsIt() {
+    public void leavingVmIsRemovedAndSuspectedVmStays() {
         List<MemberUpdate> fleet = fleet(36);
-        MemberUpdate first = CellPlanner.plan(service(1), CELL, fleet).get(0);
+        MemberUpdate first = CellPlanner.plan(service(1), CELL_SIZE, fleet).get(0);
         fleet.set(fleet.indexOf(first), with(first, MemberState.SUSPECT));
-        assertEquals(CellPlanner.plan(service(1), CELL, fleet).get(0).identity(), first.identity());
+        assertEquals(
+                CellPlanner.plan(service(1), CELL_SIZE, fleet).get(0).identity(), first.identity());
         fleet.set(
                 fleet.indexOf(with(first, MemberState.SUSPECT)), with(first, MemberState.LEAVING));
         assertTrue(
-                CellPlanner.plan(service(1), CELL, fleet).stream()
+                CellPlanner.plan(service(1), CELL_SIZE, fleet).stream()
                         .noneMatch(member -> member.identity().equals(first.identity())));
     }
 
     @Test
     public void smallFleetGivesSmallCell() {
-        assertEquals(CellPlanner.plan(service(1), CELL, fleet(4)).size(), 4);
-        assertTrue(CellPlanner.plan(service(1), CELL, List.of()).isEmpty());
+        assertEquals(CellPlanner.plan(service(1), CELL_SIZE, fleet(4)).size(), 4);
+        assertTrue(CellPlanner.plan(service(1), CELL_SIZE, List.of()).isEmpty());
     }
 
     @Test
-    public void servicesSpreadEvenly() {
-        Map<VmIdentity, Integer> places = new HashMap<>();
+    public void servicesAreSpreadEvenly() {
+        Map<VmIdentity, Integer> slots = new HashMap<>();
         int services = 3_000;
         List<MemberUpdate> fleet = fleet(36);
         for (int number = 0; number < services; number++) {
-            for (MemberUpdate member : CellPlanner.plan(service(number), CELL, fleet)) {
-                places.merge(member.identity(), 1, Integer::sum);
+            for (MemberUpdate member : CellPlanner.plan(service(number), CELL_SIZE, fleet)) {
+                slots.merge(member.identity(), 1, Integer::sum);
             }
         }
-        double fair = (double) services * CELL / fleet.size();
-        for (Map.Entry<VmIdentity, Integer> entry : places.entrySet()) {
-            double share = entry.getValue() / fair;
-            assertTrue(share > 0.8 && share < 1.2, entry + " has a share of " + share);
+        double expected = (double) services * CELL_SIZE / fleet.size();
+        for (Map.Entry<VmIdentity, Integer> entry : slots.entrySet()) {
+            double share = entry.getValue() / expected;
+            assertTrue(
+                    share > 0.8 && share < 1.2,
+                    entry + ": expected a share from 0.8 to 1.2 of the mean, got " + share);
         }
     }
 
