--- a/decisions/src/main/java/org/dahliapass/decisions/membership/AntiEntropyScheduler.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/AntiEntropyScheduler.java
@@ -11,25 +11,24 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Decides with whom the whole list is compared, and when: with hints while this VM knows nobody,
- * then now and then with a random member and with a hint that isn't a live member's.
+ * Schedules anti-entropy exchanges of the whole member list: with seeds while this VM knows no
+ * other member, then periodically with a random member and with an address of no live member.
  *
- * <p>Guards against parts of the fleet that have declared each other dead during a partition and
- * would never speak again; it would show as two fleets with disjoint lists. The hints and the
- * addresses of former members lead across.
+ * <p>Contacting seeds and former members reconnects the sides of a healed partition that have
+ * declared each other dead.
  */
 final class AntiEntropyScheduler {
-    private static final int MOST_FORMER = 16;
-    private static final int MEMBERS_PER_INTERVAL = 256;
+    private static final int MAX_FORMER_MEMBERS = 16;
+    private static final int BASE_FLEET_SIZE = 256;
     private static final double JITTER = 0.25;
 
     private final MembershipSettings mSettings;
     private final RandomGenerator mRandom;
     private final MemberTable mTable;
-    private final Set<Endpoint> mFormer = new LinkedHashSet<>();
-    private List<Endpoint> mHints = List.of();
+    private final Set<Endpoint> mFormerMembers = new LinkedHashSet<>();
+    private List<Endpoint> mSeeds = List.of();
     private long mNextExchangeMillis = Long.MIN_VALUE;
-    private long mNextHintMillis = Long.MIN_VALUE;
+    private long mNextSeedMillis = Long.MIN_VALUE;
     private long mNextJoinMillis = Long.MIN_VALUE;
 
     AntiEntropyScheduler(MembershipSettings settings, RandomGenerator random, MemberTable table) {
@@ -38,15 +37,15 @@
         mTable = table;
     }
 
-    void setSeeds(Collection<Endpoint> hints) {
-        mHints = List.copyOf(hints);
+    void setSeeds(Collection<Endpoint> seeds) {
+        mSeeds = List.copyOf(seeds);
     }
 
-    /** Remembers the address of a member that is being forgotten. */
-    void addFormerMember(Endpoint peers) {
-        mFormer.add(peers);
-        if (mFormer.size() > MOST_FORMER) {
-            mFormer.remove(mFormer.iterator().next());
+    /** Adds the address of a member that is removed from the table. */
+    void addFormerMember(Endpoint endpoint) {
+        mFormerMembers.add(endpoint);
+        if (mFormerMembers.size() > MAX_FORMER_MEMBERS) {
+            mFormerMembers.remove(mFormerMembers.iterator().next());
         }
     }
 
@@ -58,17 +57,17 @@
         }
         if (nowMillis >= mNextExchangeMillis) {
             mNextExchangeMillis = nowMillis + jittered(exchangeMillis());
-            compareWithMember(self, actions);
+            exchangeWithMember(self, actions);
         }
-        if (nowMillis >= mNextHintMillis) {
-            mNextHintMillis = nowMillis + jittered(mSettings.seedInterval().toMillis());
-            contactStranger(self, actions);
+        if (nowMillis >= mNextSeedMillis) {
+            mNextSeedMillis = nowMillis + jittered(mSettings.seedInterval().toMillis());
+            exchangeWithNonMember(self, actions);
         }
     }
 
-    /** Grows with the fleet, since the list does: its bytes a second stay the same. */
+    /** Grows with the list, so that the bytes per second stay constant. */
     private long exchangeMillis() {
-        double factor = Math.max(1.0, (double) mTable.liveCount() / MEMBERS_PER_INTERVAL);
+        double factor = Math.max(1.0, (double) mTable.liveCount() / BASE_FLEET_SIZE);
         return Math.round(mSettings.exchangeInterval().toMillis() * factor);
     }
 
@@ -77,27 +76,27 @@
             return;
         }
         mNextJoinMillis = nowMillis + jittered(mSettings.period().toMillis());
-        compareWithMember(self, actions);
-        contactStranger(self, actions);
+        exchangeWithMember(self, actions);
+        exchangeWithNonMember(self, actions);
     }
 
-    private void compareWithMember(MemberUpdate self, List<MembershipAction> actions) {
-        List<Member> picked = mTable.sample(1, member -> member.state().isSelfReported());
-        for (Member member : picked) {
+    private void exchangeWithMember(MemberUpdate self, List<MembershipAction> actions) {
+        List<Member> sampled = mTable.sample(1, member -> member.state().isSelfReported());
+        for (Member member : sampled) {
             long incarnation = member.identity().incarnation();
             actions.add(exchange(member.update().vm().peerEndpoint(), incarnation, self));
         }
     }
 
-    private void contactStranger(MemberUpdate self, List<MembershipAction> actions) {
-        stranger(self)
+    private void exchangeWithNonMember(MemberUpdate self, List<MembershipAction> actions) {
+        randomNonMember(self)
                 .map(peer -> exchange(peer, GossipMessage.ANY_INCARNATION, self))
                 .ifPresent(actions::add);
     }
 
-    private Optional<Endpoint> stranger(MemberUpdate self) {
-        Set<Endpoint> candidates = new LinkedHashSet<>(mHints);
-        candidates.addAll(mFormer);
+    private Optional<Endpoint> randomNonMember(MemberUpdate self) {
+        Set<Endpoint> candidates = new LinkedHashSet<>(mSeeds);
+        candidates.addAll(mFormerMembers);
         candidates.remove(self.vm().peerEndpoint());
         for (Member member : mTable.all()) {
             if (member.isDead()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/GossipComposer.java
@@ -6,7 +6,7 @@
 import org.dahliapass.decisions.membership.MembershipAction.SendGossip;
 import org.dahliapass.model.VmIdentity;
 
-/** Writes datagrams: the sender's own news first, then as much other news as fits. */
+/** Composes datagrams: the sender's own update first, then as many queued rumors as fit. */
 final class GossipComposer {
     private final MembershipSettings mSettings;
     private final MemberTable mTable;
@@ -34,33 +34,34 @@
         mHeadNumber = headNumber;
     }
 
-    /** Writes a datagram to a member. */
+    /** Returns a datagram to a member. */
     SendGossip compose(Member to, GossipKind kind, long sequence) {
         return compose(to, kind, sequence, Optional.empty());
     }
 
     /**
-     * Writes a datagram to a member about a third one.
+     * Returns a datagram to a member about a third one.
      *
-     * <p>Guards against a VM that never learns that it is held dead, because the news of it is no
-     * longer repeated; it would show as a live VM that gets no work. A datagram to a VM under a
-     * verdict always carries this verdict, so it can refute it.
+     * <p>A datagram to a suspected or dead member always carries that verdict, so that a live VM
+     * can refute it after the rumor is no longer repeated.
+     *
+     * @param subject the third member
      */
     SendGossip compose(Member to, GossipKind kind, long sequence, Optional<VmIdentity> subject) {
         List<MemberUpdate> updates = new ArrayList<>();
         updates.add(mSelf);
-        int room = mSettings.datagramBytes() - mSelf.sizeBytes();
+        int remainingBytes = mSettings.datagramBytes() - mSelf.sizeBytes();
         if (!to.state().isSelfReported()) {
             updates.add(to.update());
-            room -= to.update().sizeBytes();
+            remainingBytes -= to.update().sizeBytes();
         }
-        updates.addAll(mRumors.next(room, mSettings.transmissions(mTable.liveCount())));
+        updates.addAll(mRumors.next(remainingBytes, mSettings.transmissions(mTable.liveCount())));
         return address(to.update(), kind, sequence, subject, updates);
     }
 
-    /** Writes a datagram that carries just the one piece of news besides the sender's own. */
-    SendGossip composeRumor(MemberUpdate to, MemberUpdate news) {
-        return address(to, GossipKind.RUMOR, 0, Optional.empty(), List.of(mSelf, news));
+    /** Returns a datagram that carries one update besides the sender's own. */
+    SendGossip composeRumor(MemberUpdate to, MemberUpdate update) {
+        return address(to, GossipKind.RUMOR, 0, Optional.empty(), List.of(mSelf, update));
     }
 
     private SendGossip address(
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/GossipKind.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/GossipKind.java
@@ -1,15 +1,15 @@
 package org.dahliapass.decisions.membership;
 
-/** What a datagram between VMs asks for or answers. */
+/** The kind of a gossip datagram. */
 public enum GossipKind {
-    /** Asks the recipient for an {@link #ACK}. */
+    /** Requests an {@link #ACK}. */
     PING,
-    /** Answers a ping, with its sequence number. */
+    /** Acknowledges a ping, with its sequence number. */
     ACK,
-    /** Asks the recipient to ping the subject and to pass on its answer. */
+    /** Requests that the recipient ping the subject and forward the acknowledgement. */
     PING_REQUEST,
-    /** Passes on that the subject answered, with the request's sequence number. */
+    /** Forwards the subject's acknowledgement, with the request's sequence number. */
     INDIRECT_ACK,
-    /** Carries news and wants no answer. */
+    /** Carries updates and requires no response. */
     RUMOR
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/GossipMessage.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/GossipMessage.java
@@ -5,15 +5,13 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * One datagram between VMs.
+ * A gossip datagram between VMs.
  *
- * @param sender who sends it
- * @param recipientIncarnation the incarnation it is meant for; 0 for whichever
- * @param kind what it asks or answers
- * @param sequence pairs a ping with its answer
- * @param subject whom an indirect ping is about
- * @param headNumber the newest configuration change that the sender has
- * @param updates news; the first is the sender's own
+ * @param recipientIncarnation the incarnation it is addressed to, or {@link #ANY_INCARNATION}
+ * @param sequence the number that pairs a ping with its acknowledgement
+ * @param subject the member that an indirect ping is about
+ * @param headNumber the number of the newest configuration change that the sender has
+ * @param updates member updates; the first is the sender's own
  */
 public record GossipMessage(
         VmIdentity sender,
@@ -23,6 +21,6 @@
         Optional<VmIdentity> subject,
         long headNumber,
         List<MemberUpdate> updates) {
-    /** Stands for the incarnation of a recipient that the sender doesn't know yet. */
+    /** The recipient's incarnation if the sender doesn't know it yet. */
     public static final long ANY_INCARNATION = 0;
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Hash.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Hash.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.membership;
 
-/** Hashes that are the same on every VM, whatever its runtime. */
+/** Hash functions whose results are the same on every VM and Java runtime. */
 public final class Hash {
     private static final long OFFSET = 0xcbf29ce484222325L;
     private static final long PRIME = 0x100000001b3L;
@@ -16,7 +16,7 @@
         return mix(hash);
     }
 
-    /** Spreads each bit of the value over all bits of the result (the finalizer of MurmurHash3). */
+    /** Returns the value mixed by the finalizer of MurmurHash3. */
     public static long mix(long value) {
         long mixed = (value ^ (value >>> 33)) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/JoinRequest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/JoinRequest.java
@@ -1,9 +1,9 @@
 package org.dahliapass.decisions.membership;
 
 /**
- * Asks another VM for its member list.
+ * A request for the member list of another VM.
  *
- * @param self the sender's own news
- * @param digest of the sender's list; an equal digest is answered by an empty list
+ * @param self the sender's own update
+ * @param digest digest of the sender's list; the response is empty if the digests are equal
  */
 public record JoinRequest(MemberUpdate self, long digest) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/JoinResponse.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/JoinResponse.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What follows from a {@link JoinRequest}.
+ * The response to a {@link JoinRequest}.
  *
- * @param members the list to reply with; empty if both lists are equal
- * @param actions what else to do
+ * @param members the member list to send back; empty if both lists are equal
+ * @param actions further actions to perform
  */
 public record JoinResponse(List<MemberUpdate> members, List<MembershipAction> actions) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Member.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Member.java
@@ -2,19 +2,19 @@
 
 import org.dahliapass.model.VmIdentity;
 
-/** What this VM holds of one other VM; the only mutable object a member costs. */
+/** This VM's mutable state for one other member. */
 final class Member {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private MemberUpdate mUpdate;
-    private long mSinceMillis;
-    private long mHeardMillis = NEVER;
-    private int mSent;
+    private long mStateSinceMillis;
+    private long mLastHeardMillis = NEVER;
+    private int mTransmissions;
     private boolean mLocalVerdict;
 
     Member(MemberUpdate update, long nowMillis) {
         mUpdate = update;
-        mSinceMillis = nowMillis;
+        mStateSinceMillis = nowMillis;
     }
 
     MemberUpdate update() {
@@ -37,55 +37,55 @@
         return state() == MemberState.DEAD;
     }
 
-    /** Takes news; the time since when the state is held starts anew with another state. */
+    /** Applies an update; a changed state or incarnation restarts the state timer. */
     void apply(MemberUpdate update, boolean localVerdict, long nowMillis) {
-        boolean sameLife = identity().equals(update.identity());
-        if (!sameLife || update.state() != state()) {
-            mSinceMillis = nowMillis;
+        boolean sameIncarnation = identity().equals(update.identity());
+        if (!sameIncarnation || update.state() != state()) {
+            mStateSinceMillis = nowMillis;
         }
-        if (!sameLife) {
-            mHeardMillis = NEVER;
+        if (!sameIncarnation) {
+            mLastHeardMillis = NEVER;
         }
         mUpdate = update;
         mLocalVerdict = localVerdict;
     }
 
     long stateSinceMillis() {
-        return mSinceMillis;
+        return mStateSinceMillis;
     }
 
-    /** Moves the time since when the state is held, for a time in which this process was paused. */
+    /** Shifts the state timer by a time in which this process was paused. */
     void shiftStateSince(long gapMillis) {
-        mSinceMillis += gapMillis;
+        mStateSinceMillis += gapMillis;
     }
 
-    /** Lets the time since when the state is held start anew. */
+    /** Restarts the state timer. */
     void restartStateTimer(long nowMillis) {
-        mSinceMillis = nowMillis;
+        mStateSinceMillis = nowMillis;
     }
 
     long lastHeardMillis() {
-        return mHeardMillis;
+        return mLastHeardMillis;
     }
 
     void recordHeard(long nowMillis) {
-        mHeardMillis = nowMillis;
+        mLastHeardMillis = nowMillis;
     }
 
     int transmissions() {
-        return mSent;
+        return mTransmissions;
     }
 
-    void setTransmissions(int sent) {
-        mSent = sent;
+    void setTransmissions(int transmissions) {
+        mTransmissions = transmissions;
     }
 
-    /** Returns whether the state is a verdict of this VM alone that it has told nobody. */
+    /** Returns whether the state is a verdict of this VM that it has not gossiped. */
     boolean isLocalVerdict() {
         return mLocalVerdict;
     }
 
-    /** Notes that another VM holds the same verdict. */
+    /** Records that another VM reached the same verdict. */
     void confirmVerdict() {
         mLocalVerdict = false;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberState.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberState.java
@@ -1,33 +1,33 @@
 package org.dahliapass.decisions.membership;
 
 /**
- * What a VM holds of another one. Declared in rising rank: of two states of the same incarnation
- * and refutation counter, the later one here wins.
+ * The state of a member. Declared in order of precedence: of two states with the same incarnation
+ * and refutation counter, the later constant wins.
  */
 public enum MemberState {
-    /** Serves; said by the VM itself. */
+    /** Serves requests; reported by the VM itself. */
     ALIVE(true, true),
-    /** Stops gracefully: takes no new asks; said by the VM itself. */
+    /** Shuts down gracefully and is given to no new callers; reported by the VM itself. */
     LEAVING(true, false),
-    /** Missed a ping and the indirect ones; others' verdict, which the VM may refute. */
+    /** Failed its direct and indirect probes; reported by others, and the VM can refute it. */
     SUSPECT(false, true),
-    /** Didn't refute a suspicion in time; others' verdict, which the VM may still refute. */
+    /** Didn't refute a suspicion in time; reported by others, and the VM can still refute it. */
     DEAD(false, false);
 
-    private final boolean mOwnWord;
+    private final boolean mSelfReported;
     private final boolean mInCells;
 
-    MemberState(boolean ownWord, boolean inCells) {
-        mOwnWord = ownWord;
+    MemberState(boolean selfReported, boolean inCells) {
+        mSelfReported = selfReported;
         mInCells = inCells;
     }
 
-    /** Returns whether only the VM itself says this of itself; others' verdicts are not. */
+    /** Returns whether only the VM itself reports this state. */
     public boolean isSelfReported() {
-        return mOwnWord;
+        return mSelfReported;
     }
 
-    /** Returns whether a VM in this state keeps its place in cells. */
+    /** Returns whether a VM in this state stays in its cells. */
     public boolean isInCells() {
         return mInCells;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
@@ -6,18 +6,18 @@
 import org.dahliapass.decisions.membership.MembershipAction.MemberChanged;
 import org.dahliapass.decisions.membership.MembershipAction.Replaced;
 
-/** Judges what is held of each VM: takes news, suspects, declares dead and forgets. */
+/** Moves the members between their states: applies updates, suspects, declares dead and expires. */
 final class MemberStateMachine {
-    private static final int HEARD_PERIODS = 2;
+    private static final int RECENTLY_HEARD_PERIODS = 2;
 
     private final MembershipSettings mSettings;
     private final MemberTable mTable;
     private final RumorQueue mRumors;
     private final GossipComposer mComposer;
     private final Prober mProber;
-    private final AntiEntropyScheduler mContacts;
-    private long mHeardAnyMillis;
-    private boolean mUrgentNews;
+    private final AntiEntropyScheduler mAntiEntropy;
+    private long mLastHeardMillis;
+    private boolean mUrgentUpdates;
 
     MemberStateMachine(
             MembershipSettings settings,
@@ -25,33 +25,33 @@
             RumorQueue rumors,
             GossipComposer composer,
             Prober prober,
-            AntiEntropyScheduler contacts,
+            AntiEntropyScheduler antiEntropy,
             long nowMillis) {
         mSettings = settings;
         mTable = table;
         mRumors = rumors;
         mComposer = composer;
         mProber = prober;
-        mContacts = contacts;
-        mHeardAnyMillis = nowMillis;
+        mAntiEntropy = antiEntropy;
+        mLastHeardMillis = nowMillis;
     }
 
-    /** Notes that some VM was heard. */
+    /** Records that some member was heard. */
     void recordHeard(long nowMillis) {
-        mHeardAnyMillis = nowMillis;
+        mLastHeardMillis = nowMillis;
     }
 
-    /** Returns whether there is news that others should get at once. */
+    /** Returns whether there are updates to spread without delay. */
     boolean hasUrgentUpdates() {
-        return mUrgentNews;
+        return mUrgentUpdates;
     }
 
-    /** Notes that the urgent news is on its way. */
+    /** Records that the urgent updates were sent. */
     void clearUrgentUpdates() {
-        mUrgentNews = false;
+        mUrgentUpdates = false;
     }
 
-    /** Takes one piece of news. */
+    /** Applies an update that another VM sent. */
     void apply(MemberUpdate update, long nowMillis, List<MembershipAction> actions) {
         if (update.identity().name().equals(mComposer.self().identity().name())) {
             applyToSelf(update, actions);
@@ -62,25 +62,27 @@
             addMember(update, nowMillis, actions);
             return;
         }
-        MemberUpdate softened = softened(member, update, nowMillis);
+        MemberUpdate downgraded = downgraded(member, update, nowMillis);
         boolean withdrawsLocalVerdict =
                 member.isLocalVerdict()
                         && update.state().isSelfReported()
                         && update.hasSameVersion(member.update());
-        if (softened.supersedes(member.update()) || withdrawsLocalVerdict) {
-            change(member, softened, false, nowMillis, actions);
+        if (downgraded.supersedes(member.update()) || withdrawsLocalVerdict) {
+            change(member, downgraded, false, nowMillis, actions);
         } else if (update.equals(member.update())) {
             member.confirmVerdict();
         }
     }
 
-    /** Drops the members that another VM's list lacks and that weren't heard since. */
+    /**
+     * Declares dead the members that another VM's list lacks and that weren't heard since a time.
+     */
     void markUnlistedDead(
             Set<String> listed, long sinceMillis, long nowMillis, List<MembershipAction> actions) {
         for (Member member : mTable.all()) {
-            boolean vouchedFor =
+            boolean listedOrHeard =
                     listed.contains(member.name()) || member.lastHeardMillis() >= sinceMillis;
-            if (!member.isDead() && !vouchedFor) {
+            if (!member.isDead() && !listedOrHeard) {
                 MemberUpdate dead = member.update().withState(MemberState.DEAD);
                 change(member, dead, true, nowMillis, actions);
             }
@@ -88,11 +90,12 @@
     }
 
     /**
-     * Takes that another VM's list lacks all but the named members.
+     * Confirms the death of each dead member that another VM's list lacks.
+     *
+     * <p>Otherwise an outdated update could resurrect a member that this VM declared dead while it
+     * was isolated.
      *
-     * <p>Guards against a verdict that this VM reached while it heard nobody, and that it would
-     * drop for outdated news long after it hears the others again; it would show as a dead VM that
-     * comes back here alone. A list that lacks the VM confirms the verdict.
+     * @param listed names of the members in the other list
      */
     void confirmVerdicts(Set<String> listed) {
         for (Member member : mTable.all()) {
@@ -103,9 +106,8 @@
     }
 
     /**
-     * Takes a VM from a list that isn't known here; one that is only known there as dead needs no
-     * tombstone here. It is no news to the others, so it isn't passed on: a whole list would fill
-     * the datagrams for minutes, and hold up what is urgent.
+     * Adds an unknown member of another VM's list unless it is dead. It isn't gossiped, because a
+     * whole list would fill the datagrams for minutes and delay urgent updates.
      */
     void addListed(MemberUpdate update, long nowMillis, List<MembershipAction> actions) {
         if (update.state() != MemberState.DEAD) {
@@ -117,59 +119,59 @@
     }
 
     /**
-     * Takes that a member answered neither directly nor through others. One that was leaving has
-     * most likely stopped; a suspicion would put it back into its cells.
+     * Suspects a member that failed its direct and indirect probes. Declares a leaving member dead,
+     * because it has probably stopped, and a suspicion would put it back into its cells.
      */
     void onProbeFailed(Member member, long nowMillis, List<MembershipAction> actions) {
         if (!member.state().isSelfReported()) {
             return;
         }
         boolean leaving = member.state() == MemberState.LEAVING;
-        judge(member, leaving ? MemberState.DEAD : MemberState.SUSPECT, nowMillis, actions);
+        applyVerdict(member, leaving ? MemberState.DEAD : MemberState.SUSPECT, nowMillis, actions);
         actions.add(mComposer.composeRumor(member.update(), member.update()));
     }
 
-    /** Ends suspicions that weren't refuted in time, and forgets the long dead. */
+    /** Declares dead the members with expired suspicions and removes expired tombstones. */
     void expire(long nowMillis, List<MembershipAction> actions) {
         long suspicionMillis = mSettings.suspicionMillis(mTable.liveCount());
         long tombstoneMillis = mSettings.tombstoneRetention().toMillis();
-        boolean forget = false;
+        boolean hasExpired = false;
         for (Member member : mTable.all()) {
-            long heldMillis = nowMillis - member.stateSinceMillis();
-            if (member.state() == MemberState.SUSPECT && heldMillis >= suspicionMillis) {
+            long stateMillis = nowMillis - member.stateSinceMillis();
+            if (member.state() == MemberState.SUSPECT && stateMillis >= suspicionMillis) {
                 endSuspicion(member, nowMillis, actions);
-            } else if (member.isDead() && heldMillis >= tombstoneMillis) {
-                mContacts.addFormerMember(member.update().vm().peerEndpoint());
-                forget = true;
+            } else if (member.isDead() && stateMillis >= tombstoneMillis) {
+                mAntiEntropy.addFormerMember(member.update().vm().peerEndpoint());
+                hasExpired = true;
             }
         }
-        if (forget) {
+        if (hasExpired) {
             mTable.forgetDead(member -> nowMillis - member.stateSinceMillis() >= tombstoneMillis);
         }
     }
 
-    private boolean isDeaf(long nowMillis) {
-        long window = mSettings.suspicionMillis(mTable.liveCount());
-        return nowMillis - mHeardAnyMillis > window;
+    private boolean isIsolated(long nowMillis) {
+        long windowMillis = mSettings.suspicionMillis(mTable.liveCount());
+        return nowMillis - mLastHeardMillis > windowMillis;
     }
 
-    /** Returns whether a member, null if unknown, was heard within the window. */
+    /** Returns whether a member was heard within the window; false for null. */
     static boolean heardWithin(Member member, long nowMillis, long windowMillis) {
         return member != null && nowMillis - member.lastHeardMillis() <= windowMillis;
     }
 
     /**
-     * Guards against another VM's false verdict on a VM that this one hears well: its death would
-     * show as lost capacity. A suspicion gives the VM the time to refute.
+     * Returns the update, or a weaker one if it declares dead a member that this VM heard recently:
+     * a suspicion leaves the member time to refute.
      */
-    private MemberUpdate softened(Member member, MemberUpdate update, long nowMillis) {
-        long window = HEARD_PERIODS * mSettings.period().toMillis();
-        boolean contradicted =
+    private MemberUpdate downgraded(Member member, MemberUpdate update, long nowMillis) {
+        long windowMillis = RECENTLY_HEARD_PERIODS * mSettings.period().toMillis();
+        boolean recentlyHeard =
                 update.state() == MemberState.DEAD
                         && !member.isDead()
                         && member.identity().equals(update.identity())
-                        && heardWithin(member, nowMillis, window);
-        if (!contradicted) {
+                        && heardWithin(member, nowMillis, windowMillis);
+        if (!recentlyHeard) {
             return update;
         }
         return member.state() == MemberState.LEAVING
@@ -177,7 +179,7 @@
                 : update.withState(MemberState.SUSPECT);
     }
 
-    /** Takes what others say of this VM: a verdict is refuted by a higher refutation counter. */
+    /** Refutes a verdict on this VM by a higher refutation counter. */
     private void applyToSelf(MemberUpdate update, List<MembershipAction> actions) {
         MemberUpdate self = mComposer.self();
         int order = Long.compare(update.identity().incarnation(), self.identity().incarnation());
@@ -189,7 +191,7 @@
                 && !update.state().isSelfReported()
                 && update.refutation() >= self.refutation()) {
             mComposer.setSelf(self.withState(self.state(), update.refutation() + 1));
-            mUrgentNews = true;
+            mUrgentUpdates = true;
         }
     }
 
@@ -201,7 +203,7 @@
             return;
         }
         mProber.add(member);
-        mUrgentNews = true;
+        mUrgentUpdates = true;
         actions.add(new MemberChanged(Optional.empty(), update));
     }
 
@@ -216,33 +218,32 @@
         if (!localVerdict) {
             mRumors.add(member);
         }
-        boolean newLife = !before.identity().equals(update.identity());
-        if (!newLife && before.state() == update.state()) {
+        boolean newIncarnation = !before.identity().equals(update.identity());
+        if (!newIncarnation && before.state() == update.state()) {
             return;
         }
         boolean returns = before.state() == MemberState.DEAD && !member.isDead();
         if (returns) {
             mProber.add(member);
         }
-        mUrgentNews |= newLife || returns || update.state() != MemberState.SUSPECT;
+        mUrgentUpdates |= newIncarnation || returns || update.state() != MemberState.SUSPECT;
         actions.add(new MemberChanged(Optional.of(before), update));
     }
 
     /**
-     * Guards against a VM that hears nobody, because its own link is cut, and would have the whole
-     * fleet declared dead; it would show as a storm of refutations. Such a VM keeps its verdicts to
-     * itself, and drops them for the word of anyone it hears.
+     * Applies a verdict of this VM. While this VM is isolated, the verdict stays local, so that a
+     * VM with a broken network doesn't get the whole fleet declared dead.
      */
-    private void judge(
+    private void applyVerdict(
             Member member, MemberState verdict, long nowMillis, List<MembershipAction> actions) {
         MemberUpdate update = member.update().withState(verdict);
-        change(member, update, isDeaf(nowMillis), nowMillis, actions);
+        change(member, update, isIsolated(nowMillis), nowMillis, actions);
     }
 
-    /** Ends a suspicion that wasn't refuted; one that nobody was told of begins anew, told. */
+    /** Ends an expired suspicion; restarts and gossips one that was only local. */
     private void endSuspicion(Member member, long nowMillis, List<MembershipAction> actions) {
-        if (!member.isLocalVerdict() || isDeaf(nowMillis)) {
-            judge(member, MemberState.DEAD, nowMillis, actions);
+        if (!member.isLocalVerdict() || isIsolated(nowMillis)) {
+            applyVerdict(member, MemberState.DEAD, nowMillis, actions);
             return;
         }
         member.restartStateTimer(nowMillis);
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
@@ -5,29 +5,29 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-/** The other VMs by name, sorted, so that a member costs one reference here and no map entry. */
+/** The other members, sorted by name to avoid the memory of map entries. */
 final class MemberTable {
-    private static final int TRIES_PER_PICK = 4;
+    private static final int DRAWS_PER_SAMPLE = 4;
 
     private final List<Member> mMembers = new ArrayList<>();
     private final RandomGenerator mRandom;
-    private int mLive;
+    private int mLiveCount;
 
     MemberTable(RandomGenerator random) {
         mRandom = random;
     }
 
-    /** Returns all members, dead ones too, sorted by name; not to be changed. */
+    /** Returns all members including dead ones, sorted by name; callers don't modify the list. */
     List<Member> all() {
         return mMembers;
     }
 
     /** Returns how many members aren't dead. */
     int liveCount() {
-        return mLive;
+        return mLiveCount;
     }
 
-    /** Returns the member of that name, or null. */
+    /** Returns the member with the name, or null. */
     Member find(String name) {
         int index = indexOf(name);
         return index < 0 ? null : mMembers.get(index);
@@ -35,43 +35,43 @@
 
     void add(Member member) {
         mMembers.add(-indexOf(member.name()) - 1, member);
-        mLive += member.isDead() ? 0 : 1;
+        mLiveCount += member.isDead() ? 0 : 1;
     }
 
-    /** Gives a member its news and keeps the count of live ones. */
+    /** Applies an update to a member and adjusts the live count. */
     void apply(Member member, MemberUpdate update, boolean localVerdict, long nowMillis) {
-        mLive -= member.isDead() ? 0 : 1;
+        mLiveCount -= member.isDead() ? 0 : 1;
         member.apply(update, localVerdict, nowMillis);
-        mLive += member.isDead() ? 0 : 1;
+        mLiveCount += member.isDead() ? 0 : 1;
     }
 
-    /** Forgets the dead members that the condition names. */
+    /** Removes the dead members that match the condition. */
     void forgetDead(Predicate<Member> condition) {
         mMembers.removeIf(member -> member.isDead() && condition.test(member));
     }
 
-    /** Returns a random number from 0 up to, but without, the bound. */
+    /** Returns a random number from 0 (inclusive) to the bound (exclusive). */
     int randomInt(int bound) {
         return mRandom.nextInt(bound);
     }
 
-    /** Returns up to that many different random members that fulfil the condition. */
+    /** Returns up to {@code count} distinct random members that match the condition. */
     List<Member> sample(int count, Predicate<Member> condition) {
-        List<Member> picked = new ArrayList<>(count);
+        List<Member> sampled = new ArrayList<>(count);
         if (mMembers.isEmpty()) {
-            return picked;
+            return sampled;
         }
-        for (int i = 0; i < count * TRIES_PER_PICK && picked.size() < count; i++) {
-            pickOne(mMembers.get(mRandom.nextInt(mMembers.size())), condition, picked);
+        for (int i = 0; i < count * DRAWS_PER_SAMPLE && sampled.size() < count; i++) {
+            addIfEligible(mMembers.get(mRandom.nextInt(mMembers.size())), condition, sampled);
         }
         int start = mRandom.nextInt(mMembers.size());
-        for (int i = 0; i < mMembers.size() && picked.size() < count; i++) {
-            pickOne(mMembers.get((start + i) % mMembers.size()), condition, picked);
+        for (int i = 0; i < mMembers.size() && sampled.size() < count; i++) {
+            addIfEligible(mMembers.get((start + i) % mMembers.size()), condition, sampled);
         }
-        return picked;
+        return sampled;
     }
 
-    /** Returns a number that is equal for lists that hold the same live members. */
+    /** Returns a digest that is equal for lists with the same live members. */
     long digest(MemberUpdate self) {
         long digest = digestOf(self);
         for (Member member : mMembers) {
@@ -86,9 +86,10 @@
         return Hash.mix(value + update.refutation() + Hash.of(update.state().name()));
     }
 
-    private static void pickOne(Member member, Predicate<Member> condition, List<Member> picked) {
-        if (condition.test(member) && !picked.contains(member)) {
-            picked.add(member);
+    private static void addIfEligible(
+            Member member, Predicate<Member> condition, List<Member> sampled) {
+        if (condition.test(member) && !sampled.contains(member)) {
+            sampled.add(member);
         }
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberUpdate.java
@@ -5,15 +5,13 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * News of one VM, as gossip carries it. Updates of one name are totally ordered by incarnation,
- * refutation counter and state, so that all VMs end with the same one whatever the order of
+ * The state of one member, as carried by gossip. Updates of one name are totally ordered by
+ * incarnation, refutation counter and state, so that all VMs converge whatever the order of
  * arrival.
  *
- * @param vm the VM
- * @param operators where operators reach it (HTTP)
- * @param state its state
- * @param refutation grows when the VM contradicts a verdict or begins to leave; starts at 0 with
- *     each incarnation
+ * @param operators the HTTP endpoint for operators
+ * @param refutation counter that the VM increments to refute a verdict or to leave; 0 at the start
+ *     of each incarnation
  */
 public record MemberUpdate(Vm vm, Endpoint operators, MemberState state, int refutation) {
     private static final int FIXED_BYTES = 40;
@@ -24,17 +22,17 @@
         return vm.identity();
     }
 
-    /** Returns the same news with another state. */
+    /** Returns this update with another state. */
     MemberUpdate withState(MemberState newState) {
         return new MemberUpdate(vm, operators, newState, refutation);
     }
 
-    /** Returns the same news with another state and refutation counter. */
+    /** Returns this update with another state and refutation counter. */
     MemberUpdate withState(MemberState newState, int newRefutation) {
         return new MemberUpdate(vm, operators, newState, newRefutation);
     }
 
-    /** Returns whether this replaces the other news of the same name. */
+    /** Returns whether this update takes precedence over another one of the same name. */
     boolean supersedes(MemberUpdate other) {
         int byIncarnation = Long.compare(identity().incarnation(), other.identity().incarnation());
         if (byIncarnation != 0) {
@@ -46,12 +44,12 @@
         return state.compareTo(other.state) > 0;
     }
 
-    /** Returns whether both are of the same incarnation and refutation counter. */
+    /** Returns whether both updates have the same incarnation and refutation counter. */
     boolean hasSameVersion(MemberUpdate other) {
         return identity().equals(other.identity()) && refutation == other.refutation;
     }
 
-    /** Returns an upper bound of the encoded size in bytes, for names of ASCII letters. */
+    /** Returns an upper bound of the encoded size in bytes, for ASCII names. */
     int sizeBytes() {
         return FIXED_BYTES
                 + vm.identity().name().length()
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Membership.java
@@ -10,35 +10,34 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Keeps this VM's list of the live VMs by SWIM-style gossip.
+ * This VM's list of the live members, maintained by SWIM-style gossip.
  *
- * <p>Events and the time go in, actions come out. One thread owns an instance; {@link #members()}
- * gives immutable records for a snapshot. Drive {@link #onTick} several times a ping timeout.
+ * <p>A deterministic state machine: each event takes the current time in milliseconds and returns
+ * the actions to perform. Call {@link #onTick} several times per ping timeout. Not thread-safe;
+ * confined to one thread.
  */
 public final class Membership {
     private static final int PAUSE_PERIODS = 2;
-    private static final int OUTDATED_PERIODS = 10;
-    private static final int MOST_NOTICES = 16;
+    private static final int MAX_OUTDATED_PERIODS = 10;
+    private static final int MAX_NOTICES = 16;
 
     private final MembershipSettings mSettings;
     private final MemberTable mTable;
     private final RumorQueue mRumors = new RumorQueue();
     private final GossipComposer mComposer;
     private final Prober mProber;
-    private final AntiEntropyScheduler mContacts;
-    private final MemberStateMachine mJudge;
+    private final AntiEntropyScheduler mAntiEntropy;
+    private final MemberStateMachine mStateMachine;
     private long mLastTickMillis;
     private boolean mOutdated;
     private long mOutdatedSinceMillis;
     private long mNextRumorMillis = Long.MIN_VALUE;
 
     /**
-     * Creates the list with nobody else in it.
+     * Creates a list that contains only this VM.
      *
-     * @param settings the tolerances
-     * @param self this VM's news of itself, alive, with refutation 0
-     * @param random draws targets, helpers and contacts
-     * @param nowMillis the time of the start
+     * @param self this VM's own update: alive, with refutation counter 0
+     * @param random source of randomness for the choice of members
      */
     public Membership(
             MembershipSettings settings,
@@ -49,19 +48,19 @@
         mTable = new MemberTable(random);
         mComposer = new GossipComposer(settings, mTable, mRumors, self);
         mProber = new Prober(settings, random, mTable, mComposer);
-        mContacts = new AntiEntropyScheduler(settings, random, mTable);
+        mAntiEntropy = new AntiEntropyScheduler(settings, random, mTable);
         mLastTickMillis = nowMillis;
-        mJudge =
+        mStateMachine =
                 new MemberStateMachine(
-                        settings, mTable, mRumors, mComposer, mProber, mContacts, nowMillis);
+                        settings, mTable, mRumors, mComposer, mProber, mAntiEntropy, nowMillis);
     }
 
-    /** Returns this VM's news of itself. */
+    /** Returns this VM's own update. */
     public MemberUpdate self() {
         return mComposer.self();
     }
 
-    /** Returns this VM and all others that aren't held dead; a new list each time. */
+    /** Returns a new list of this VM and all other members that aren't dead. */
     public List<MemberUpdate> members() {
         List<MemberUpdate> members = new ArrayList<>(mTable.liveCount() + 1);
         members.add(self());
@@ -73,117 +72,116 @@
         return members;
     }
 
-    /** Returns whether this very incarnation is held, and not dead; for refusing strangers. */
+    /** Returns whether this incarnation is a member and not dead. */
     public boolean isMember(VmIdentity identity) {
         Member member = mTable.find(identity.name());
         return member != null && !member.isDead() && member.identity().equals(identity);
     }
 
-    /** Sets the addresses for peers in the platform's VM list; they are contacted, not believed. */
-    public void setSeeds(Collection<Endpoint> hints) {
-        mContacts.setSeeds(hints);
+    /** Sets the peer endpoints of the platform's VM list, which serve only as contact points. */
+    public void setSeeds(Collection<Endpoint> seeds) {
+        mAntiEntropy.setSeeds(seeds);
     }
 
-    /** Sets the newest configuration change that this VM has; each datagram carries it. */
+    /** Sets the number of the newest configuration change that this VM has, for all datagrams. */
     public void setHeadNumber(long headNumber) {
         mComposer.setHeadNumber(headNumber);
     }
 
-    /** Goes on with pings, suspicions, exchanges and urgent news. */
+    /** Performs the pings, suspicions, list exchanges and urgent updates that are due. */
     public List<MembershipAction> onTick(long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
-        guardAgainstPause(nowMillis);
-        endWaitForList(nowMillis);
+        handlePause(nowMillis);
+        limitOutdatedTime(nowMillis);
         mProber.onTick(nowMillis, actions)
-                .ifPresent(member -> mJudge.onProbeFailed(member, nowMillis, actions));
-        mJudge.expire(nowMillis, actions);
-        mContacts.onTick(self(), mOutdated, nowMillis, actions);
-        spreadIfDue(nowMillis, actions);
+                .ifPresent(member -> mStateMachine.onProbeFailed(member, nowMillis, actions));
+        mStateMachine.expire(nowMillis, actions);
+        mAntiEntropy.onTick(self(), mOutdated, nowMillis, actions);
+        spreadUrgentUpdates(nowMillis, actions);
         return actions;
     }
 
     /**
-     * Takes a datagram.
+     * Processes a datagram.
      *
-     * <p>One that was meant for another incarnation, or comes from a VM that is unknown and sends
-     * no news of itself, is ignored.
+     * <p>Ignores datagrams to another incarnation, and those of an unknown sender without its own
+     * update.
      */
     public List<MembershipAction> onGossip(GossipMessage message, long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
-        guardAgainstPause(nowMillis);
+        handlePause(nowMillis);
         if (isDraining(nowMillis) || !isForThisIncarnation(message.recipientIncarnation())) {
             return actions;
         }
         for (MemberUpdate update : message.updates()) {
-            mJudge.apply(update, nowMillis, actions);
+            mStateMachine.apply(update, nowMillis, actions);
         }
         Member sender = mTable.find(message.sender().name());
         if (sender == null) {
             return actions;
         }
         if (!sender.identity().equals(message.sender())) {
-            answerFormerIncarnation(sender, message, actions);
+            notifyFormerIncarnation(sender, message, actions);
             return actions;
         }
         sender.recordHeard(nowMillis);
-        mJudge.recordHeard(nowMillis);
-        answer(sender, message, nowMillis, actions);
+        mStateMachine.recordHeard(nowMillis);
+        respond(sender, message, nowMillis, actions);
         return actions;
     }
 
-    /** Notes that a VM was heard by another way, such as a reply over TCP. */
+    /** Records that a VM was heard by other means than gossip, such as a reply over TCP. */
     public void onHeard(VmIdentity identity, long nowMillis) {
         Member member = mTable.find(identity.name());
         if (member != null && member.identity().equals(identity)) {
             member.recordHeard(nowMillis);
-            mJudge.recordHeard(nowMillis);
+            mStateMachine.recordHeard(nowMillis);
         }
     }
 
-    /** Takes another VM's request for the list. */
+    /** Responds to another VM's request for the list. */
     public JoinResponse onJoinRequest(JoinRequest request, long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
-        guardAgainstPause(nowMillis);
+        handlePause(nowMillis);
         if (mOutdated) {
             return new JoinResponse(List.of(self()), actions);
         }
-        mJudge.apply(request.self(), nowMillis, actions);
+        mStateMachine.apply(request.self(), nowMillis, actions);
         onHeard(request.self().identity(), nowMillis);
         boolean equal = mTable.digest(self()) == request.digest();
-        return new JoinResponse(equal ? List.of() : listFor(request.self()), actions);
+        return new JoinResponse(equal ? List.of() : membersFor(request.self()), actions);
     }
 
     /**
-     * Takes another VM's list.
+     * Merges another VM's list.
      *
-     * <p>Guards against lists from across a partition: there, each side holds the other dead. Taken
-     * at its word, such a list would wipe out the healthy side; it would show as a fleet that loses
-     * all members as the partition heals. So verdicts in a list only lead to an early ping of the
-     * VM, and a VM that this one holds dead but the other one alive is told, so it can refute.
+     * <p>Verdicts in the list only cause an early probe, because after a partition each side lists
+     * the other as dead. A member that is dead here and alive in the list is notified, so that it
+     * can refute.
      */
     public List<MembershipAction> onJoinReply(List<MemberUpdate> members, long nowMillis) {
         List<MembershipAction> actions = new ArrayList<>();
         if (!members.isEmpty()) {
-            mJudge.recordHeard(nowMillis);
+            mStateMachine.recordHeard(nowMillis);
         }
         Set<String> names = names(members);
         if (mOutdated && members.size() > 1) {
-            mJudge.markUnlistedDead(names, mOutdatedSinceMillis, nowMillis, actions);
+            mStateMachine.markUnlistedDead(names, mOutdatedSinceMillis, nowMillis, actions);
         }
         mOutdated &= members.size() == 1;
-        mJudge.confirmVerdicts(names);
+        mStateMachine.confirmVerdicts(names);
         int notices = 0;
         int start = members.isEmpty() ? 0 : mTable.randomInt(members.size());
         for (int i = 0; i < members.size(); i++) {
             MemberUpdate update = members.get((start + i) % members.size());
             Member known = mTable.find(update.identity().name());
             if (update.identity().name().equals(self().identity().name())) {
-                mJudge.apply(update, nowMillis, actions);
+                mStateMachine.apply(update, nowMillis, actions);
             } else if (known == null) {
-                mJudge.addListed(update, nowMillis, actions);
+                mStateMachine.addListed(update, nowMillis, actions);
             } else if (update.state().isSelfReported()) {
-                mJudge.apply(update, nowMillis, actions);
-                if (known.isDead() && notices++ < MOST_NOTICES) {
+                mStateMachine.apply(update, nowMillis, actions);
+                if (known.isDead() && notices++ < MAX_NOTICES) {
                     actions.add(mComposer.composeRumor(known.update(), known.update()));
                 }
             } else if (update.supersedes(known.update())) {
@@ -193,7 +191,7 @@
         return actions;
     }
 
-    /** Begins to leave: tells a few others at once, who pass it on. */
+    /** Starts to leave and gossips that to a few members at once. */
     public List<MembershipAction> leave(long nowMillis) {
         MemberUpdate self = self();
         mComposer.setSelf(self.withState(MemberState.LEAVING, self.refutation() + 1));
@@ -203,8 +201,8 @@
     }
 
     /**
-     * Returns which share of the named VMs was heard within the window; 1 if none is named. VMs
-     * that aren't known count as not heard.
+     * Returns the fraction of the VMs that were heard within the window; 1 if there are none.
+     * Unknown VMs count as not heard.
      */
     public double heardFraction(Collection<VmIdentity> vms, long nowMillis, long windowMillis) {
         if (vms.isEmpty()) {
@@ -232,24 +230,23 @@
                 || incarnation == self().identity().incarnation();
     }
 
-    private void answer(
+    private void respond(
             Member sender, GossipMessage message, long nowMillis, List<MembershipAction> actions) {
         switch (message.kind()) {
             case PING -> actions.add(mComposer.compose(sender, GossipKind.ACK, message.sequence()));
             case ACK, INDIRECT_ACK -> mProber.onAck(sender, message.sequence(), actions);
             case PING_REQUEST -> mProber.onPingRequest(sender, message, nowMillis, actions);
             case RUMOR -> {
-                // Not answered: two VMs that hold each other dead would answer without end.
+                // No response: two VMs that consider each other dead would respond forever.
             }
         }
     }
 
     /**
-     * Guards against a process that was paused, replaced meanwhile, and wakes: it would go on
-     * serving under a name that is another's now. It is told, and {@link MembershipAction.Replaced}
-     * follows there.
+     * Notifies a process that resumes after a newer incarnation has replaced it, so that it stops
+     * with {@link MembershipAction.Replaced}.
      */
-    private void answerFormerIncarnation(
+    private void notifyFormerIncarnation(
             Member successor, GossipMessage message, List<MembershipAction> actions) {
         message.updates().stream()
                 .filter(update -> update.identity().equals(message.sender()))
@@ -259,13 +256,12 @@
     }
 
     /**
-     * Guards against a process that was paused and wakes: every ping and suspicion seems overdue,
-     * which would show as a burst of false verdicts. The round begins anew and suspicions are
-     * prolonged by the pause. After a longer pause its list and the datagrams that waited are
-     * outdated: they would bring back VMs that died meanwhile. So it hands out no list and takes no
-     * datagram until the queue is drained, and gets the list from another VM first.
+     * Detects that this process was paused, and prevents false verdicts: abandons the probe round
+     * and extends suspicions by the pause. After a long pause the list and the queued datagrams are
+     * outdated, so this VM neither sends its list nor processes datagrams until the queue is
+     * drained, and fetches the list of another VM.
      */
-    private void guardAgainstPause(long nowMillis) {
+    private void handlePause(long nowMillis) {
         long gap = nowMillis - mLastTickMillis;
         mLastTickMillis = nowMillis;
         if (gap < PAUSE_PERIODS * mSettings.period().toMillis()) {
@@ -281,36 +277,36 @@
     }
 
     /**
-     * Ends the wait for another VM's list after a while: if the whole fleet was paused, all lists
-     * are outdated, and nobody would ever hand one out.
+     * Limits the time that the list counts as outdated: if the whole fleet was paused, no VM would
+     * ever send a list.
      */
-    private void endWaitForList(long nowMillis) {
-        long longest = OUTDATED_PERIODS * mSettings.period().toMillis();
-        mOutdated &= nowMillis - mOutdatedSinceMillis < longest;
+    private void limitOutdatedTime(long nowMillis) {
+        long maxOutdatedMillis = MAX_OUTDATED_PERIODS * mSettings.period().toMillis();
+        mOutdated &= nowMillis - mOutdatedSinceMillis < maxOutdatedMillis;
     }
 
     private boolean isDraining(long nowMillis) {
         return mOutdated && nowMillis - mOutdatedSinceMillis < mSettings.period().toMillis();
     }
 
-    private void spreadIfDue(long nowMillis, List<MembershipAction> actions) {
-        if (mJudge.hasUrgentUpdates() && nowMillis >= mNextRumorMillis) {
+    private void spreadUrgentUpdates(long nowMillis, List<MembershipAction> actions) {
+        if (mStateMachine.hasUrgentUpdates() && nowMillis >= mNextRumorMillis) {
             spread(nowMillis, actions);
         }
     }
 
     private void spread(long nowMillis, List<MembershipAction> actions) {
-        mJudge.clearUrgentUpdates();
+        mStateMachine.clearUrgentUpdates();
         mNextRumorMillis = nowMillis + mSettings.rumorInterval().toMillis();
-        List<Member> picked =
+        List<Member> sampled =
                 mTable.sample(mSettings.rumorFanout(), member -> member.state().isSelfReported());
-        for (Member member : picked) {
+        for (Member member : sampled) {
             actions.add(mComposer.compose(member, GossipKind.RUMOR, 0));
         }
     }
 
-    /** Returns the live members, and a dead one only if it is the requester, so it can refute. */
-    private List<MemberUpdate> listFor(MemberUpdate requester) {
+    /** Returns the live members, and the requester even if it is dead, so that it can refute. */
+    private List<MemberUpdate> membersFor(MemberUpdate requester) {
         List<MemberUpdate> list = members();
         Member known = mTable.find(requester.identity().name());
         if (known != null && known.isDead()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipAction.java
@@ -4,39 +4,37 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 
-/** What {@link Membership} wants done. */
+/** An action that {@link Membership} requests of its caller. */
 public sealed interface MembershipAction {
 
     /**
      * Send a datagram.
      *
-     * @param to the recipient's address for peers
-     * @param message what to send
+     * @param to the recipient's peer endpoint
      */
     record SendGossip(Endpoint to, GossipMessage message) implements MembershipAction {}
 
     /**
-     * Send a join request and hand the reply to {@link Membership#onJoinReply}; a failure needs no
-     * answer.
+     * Send a join request and pass the reply to {@link Membership#onJoinReply}; ignore a failure.
      *
-     * @param peer the recipient's address for peers
-     * @param recipientIncarnation the incarnation meant; 0 for whichever
-     * @param request what to send
+     * @param peer the recipient's peer endpoint
+     * @param recipientIncarnation the recipient's incarnation, or {@link
+     *     GossipMessage#ANY_INCARNATION}
      */
     record ExchangeMembers(Endpoint peer, long recipientIncarnation, JoinRequest request)
             implements MembershipAction {}
 
     /**
-     * Tell the other parts that a VM's state or incarnation changed.
+     * Notify the listeners that a member's state or incarnation changed.
      *
-     * @param before what was held until now; empty for a VM that is new here
-     * @param after what is held now
+     * @param before the previous update; empty for a new member
+     * @param after the current update
      */
     record MemberChanged(Optional<MemberUpdate> before, MemberUpdate after)
             implements MembershipAction {}
 
     /**
-     * Stop this process: a newer incarnation of its name runs.
+     * Stop this process, because a newer incarnation of its name is running.
      *
      * @param successor the newer incarnation
      */
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipSettings.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MembershipSettings.java
@@ -3,23 +3,22 @@
 import java.time.Duration;
 
 /**
- * The tolerances of the failure detector.
+ * Settings of the gossip protocol and its failure detector.
  *
- * @param period one VM is pinged every period
- * @param pingTimeout without an answer for this long, others are asked to ping
- * @param indirectProbes how many others are asked
- * @param suspicionPeriods periods that a suspicion lasts, times the decimal logarithm of the number
- *     of members
- * @param retransmissions how often a VM repeats one piece of news, times the binary logarithm of
- *     the number of members
- * @param rumorFanout how many random VMs get urgent news at once
- * @param rumorInterval least time between two such rounds
- * @param exchangeInterval time between two comparisons of the whole list with a random VM, in a
+ * @param period the interval between the pings of one VM
+ * @param pingTimeout time without an acknowledgement after which indirect probes are sent
+ * @param indirectProbes number of members that probe indirectly
+ * @param suspicionPeriods duration of a suspicion in periods, multiplied by the decimal logarithm
+ *     of the number of members
+ * @param retransmissions number of times that a VM sends an update, multiplied by the binary
+ *     logarithm of the number of members
+ * @param rumorFanout number of random members that receive urgent updates at once
+ * @param rumorInterval minimum time between two rounds of urgent updates
+ * @param exchangeInterval time between two exchanges of the whole list with a random member, in a
  *     fleet of up to 256; proportionally longer in a larger one
- * @param seedInterval time between two contacts to an address of the VM list that isn't a live
- *     member's
- * @param tombstoneRetention how long a dead VM is remembered
- * @param datagramBytes room for news in one datagram
+ * @param seedInterval time between two exchanges with a seed that isn't a live member
+ * @param tombstoneRetention how long a dead member is kept in the list
+ * @param datagramBytes maximum size of the updates in one datagram, in bytes
  */
 public record MembershipSettings(
         Duration period,
@@ -34,7 +33,7 @@
         Duration tombstoneRetention,
         int datagramBytes) {
 
-    /** Returns the values that are used if the settings file names none. */
+    /** Returns the default settings. */
     public static MembershipSettings defaults() {
         return new MembershipSettings(
                 Duration.ofSeconds(1),
@@ -50,13 +49,13 @@
                 900);
     }
 
-    /** Returns how long a suspicion lasts in a fleet of that many members, in milliseconds. */
+    /** Returns the duration of a suspicion in milliseconds for a number of members. */
     long suspicionMillis(int members) {
         double factor = Math.max(1.0, Math.log10(members + 1.0));
         return Math.round(suspicionPeriods * factor * period.toMillis());
     }
 
-    /** Returns how often one piece of news is sent in a fleet of that many members. */
+    /** Returns how many times an update is sent for a number of members. */
     int transmissions(int members) {
         double logarithm = Math.log(members + 2.0) / Math.log(2.0);
         return (int) Math.ceil(retransmissions * logarithm);
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/Prober.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/Prober.java
@@ -11,14 +11,14 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Pings one member a period, in a random order that visits each member once before any twice, and
- * asks others to ping it if it doesn't answer.
+ * Pings one member per period, in random round-robin order, and requests indirect probes from other
+ * members if there is no acknowledgement.
  */
 final class Prober {
-    private static final int MOST_URGENT = 64;
-    private static final int MOST_RELAYED = 256;
+    private static final int MAX_URGENT = 64;
+    private static final int MAX_RELAYS = 256;
 
-    /** A ping sent for another VM: to whom its answer goes, and since when it waits. */
+    /** A ping sent on behalf of another member. */
     private record Relay(
             VmIdentity requester, long sequence, VmIdentity subject, long sinceMillis) {}
 
@@ -26,7 +26,7 @@
     private final RandomGenerator mRandom;
     private final MemberTable mTable;
     private final GossipComposer mComposer;
-    private final List<Member> mOrder = new ArrayList<>();
+    private final List<Member> mRoundRobin = new ArrayList<>();
     private final Deque<Member> mUrgent = new ArrayDeque<>();
     private final Map<Long, Relay> mRelays = new HashMap<>();
     private long mSequence;
@@ -34,8 +34,8 @@
     private VmIdentity mTargetIdentity;
     private long mTargetSequence;
     private long mRoundStartMillis = Long.MIN_VALUE / 2;
-    private boolean mAnswered;
-    private boolean mIndirect;
+    private boolean mAcknowledged;
+    private boolean mIndirectSent;
 
     Prober(
             MembershipSettings settings,
@@ -48,53 +48,53 @@
         mComposer = composer;
     }
 
-    /** Goes on with the round; returns the member that hasn't answered if one just ended. */
+    /** Advances the round; returns the member that failed its probe if a round just ended. */
     Optional<Member> onTick(long nowMillis, List<MembershipAction> actions) {
         if (nowMillis - mRoundStartMillis < mSettings.period().toMillis()) {
-            askOthersIfLate(nowMillis, actions);
+            probeIndirectlyIfLate(nowMillis, actions);
             return Optional.empty();
         }
-        Optional<Member> unanswered = unanswered();
+        Optional<Member> failedTarget = failedTarget();
         startRound(nowMillis, actions);
-        return unanswered;
+        return failedTarget;
     }
 
-    /** Ends the round without a verdict. */
+    /** Ends the round without a result. */
     void abandonRound() {
         mTarget = null;
     }
 
-    /** Lets a new member be pinged at a random place of the present order. */
+    /** Adds a member at a random position of the current round-robin order. */
     void add(Member member) {
-        mOrder.add(mRandom.nextInt(mOrder.size() + 1), member);
+        mRoundRobin.add(mRandom.nextInt(mRoundRobin.size() + 1), member);
     }
 
-    /** Lets a member be pinged next, since somebody else holds it dead. */
+    /** Queues a member for the next probe, because another VM reports it suspected or dead. */
     void probeSoon(Member member) {
-        if (mUrgent.size() < MOST_URGENT && !mUrgent.contains(member)) {
+        if (mUrgent.size() < MAX_URGENT && !mUrgent.contains(member)) {
             mUrgent.add(member);
         }
     }
 
-    /** Takes an answer, direct or passed on. */
+    /** Processes an acknowledgement, direct or forwarded. */
     void onAck(Member from, long sequence, List<MembershipAction> actions) {
         Relay relay = mRelays.remove(sequence);
         if (relay != null) {
-            passOn(from, relay, actions);
+            forwardAck(from, relay, actions);
             return;
         }
         if (sequence == mTargetSequence) {
-            mAnswered = true;
+            mAcknowledged = true;
         }
     }
 
-    /** Pings a member on another VM's request. */
+    /** Pings a member at another VM's request. */
     void onPingRequest(
             Member requester,
             GossipMessage message,
             long nowMillis,
             List<MembershipAction> actions) {
-        if (message.subject().isEmpty() || mRelays.size() >= MOST_RELAYED) {
+        if (message.subject().isEmpty() || mRelays.size() >= MAX_RELAYS) {
             return;
         }
         Member subject = mTable.find(message.subject().get().name());
@@ -108,7 +108,7 @@
         actions.add(mComposer.compose(subject, GossipKind.PING, sequence));
     }
 
-    private void passOn(Member from, Relay relay, List<MembershipAction> actions) {
+    private void forwardAck(Member from, Relay relay, List<MembershipAction> actions) {
         Member requester = mTable.find(relay.requester().name());
         if (requester == null || !from.identity().equals(relay.subject())) {
             return;
@@ -121,8 +121,8 @@
                         Optional.of(relay.subject())));
     }
 
-    private Optional<Member> unanswered() {
-        if (mTarget == null || mAnswered || !mTarget.identity().equals(mTargetIdentity)) {
+    private Optional<Member> failedTarget() {
+        if (mTarget == null || mAcknowledged || !mTarget.identity().equals(mTargetIdentity)) {
             return Optional.empty();
         }
         return Optional.of(mTarget);
@@ -138,21 +138,21 @@
         }
         mTargetIdentity = mTarget.identity();
         mTargetSequence = ++mSequence;
-        mAnswered = false;
-        mIndirect = false;
+        mAcknowledged = false;
+        mIndirectSent = false;
         actions.add(mComposer.compose(mTarget, GossipKind.PING, mTargetSequence));
     }
 
     /**
-     * Guards against a one-way partition between this VM and the target, which would show as a
-     * healthy VM that is declared dead: the others reach it and pass its answer on.
+     * Requests indirect probes from other members, so that a broken link between this VM and the
+     * target doesn't get a healthy VM declared dead.
      */
-    private void askOthersIfLate(long nowMillis, List<MembershipAction> actions) {
+    private void probeIndirectlyIfLate(long nowMillis, List<MembershipAction> actions) {
         boolean late = nowMillis - mRoundStartMillis >= mSettings.pingTimeout().toMillis();
-        if (mTarget == null || mAnswered || mIndirect || !late) {
+        if (mTarget == null || mAcknowledged || mIndirectSent || !late) {
             return;
         }
-        mIndirect = true;
+        mIndirectSent = true;
         List<Member> helpers =
                 mTable.sample(
                         mSettings.indirectProbes(),
@@ -170,24 +170,24 @@
     private Member nextTarget() {
         while (!mUrgent.isEmpty()) {
             Member member = mUrgent.remove();
-            if (isListed(member)) {
+            if (isProbeable(member)) {
                 return member;
             }
         }
-        if (mOrder.isEmpty()) {
-            mTable.all().stream().filter(member -> !member.isDead()).forEach(mOrder::add);
-            Shuffle.shuffle(mOrder, mRandom);
+        if (mRoundRobin.isEmpty()) {
+            mTable.all().stream().filter(member -> !member.isDead()).forEach(mRoundRobin::add);
+            Shuffle.shuffle(mRoundRobin, mRandom);
         }
-        while (!mOrder.isEmpty()) {
-            Member member = mOrder.remove(mOrder.size() - 1);
-            if (isListed(member)) {
+        while (!mRoundRobin.isEmpty()) {
+            Member member = mRoundRobin.remove(mRoundRobin.size() - 1);
+            if (isProbeable(member)) {
                 return member;
             }
         }
         return null;
     }
 
-    private boolean isListed(Member member) {
+    private boolean isProbeable(Member member) {
         return !member.isDead() && mTable.find(member.name()) == member;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/RumorQueue.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/RumorQueue.java
@@ -6,38 +6,38 @@
 import java.util.List;
 import java.util.Set;
 
-/** The news that still has to be repeated, least sent first. */
+/** A queue of the updates that are still to be gossiped, least transmitted first. */
 final class RumorQueue {
-    private final List<Set<Member>> mBySent = new ArrayList<>();
+    private final List<Set<Member>> mByTransmissions = new ArrayList<>();
 
-    /** Puts a member's news in front, as if it had never been sent. */
+    /** Adds a member's update at the front, with its transmissions reset. */
     void add(Member member) {
         remove(member);
         put(member, 0);
     }
 
-    /** Forgets all news. */
+    /** Removes all updates. */
     void clear() {
-        mBySent.clear();
+        mByTransmissions.clear();
     }
 
     /**
-     * Takes the next news that fit into a datagram and counts them as sent.
+     * Returns the next updates that fit into a datagram and counts them as sent.
      *
-     * @param bytes the room for them
-     * @param transmissions after so many times, news isn't sent any more
+     * @param bytes maximum size of the updates
+     * @param transmissions number of times that an update is sent
      */
     List<MemberUpdate> next(int bytes, int transmissions) {
-        List<Member> taken = new ArrayList<>();
-        int room = bytes;
-        for (Set<Member> members : mBySent) {
-            room = takeFrom(members, room, taken);
-            if (room <= 0) {
+        List<Member> drained = new ArrayList<>();
+        int remainingBytes = bytes;
+        for (Set<Member> members : mByTransmissions) {
+            remainingBytes = drain(members, remainingBytes, drained);
+            if (remainingBytes <= 0) {
                 break;
             }
         }
-        List<MemberUpdate> updates = new ArrayList<>(taken.size());
-        for (Member member : taken) {
+        List<MemberUpdate> updates = new ArrayList<>(drained.size());
+        for (Member member : drained) {
             updates.add(member.update());
             if (member.transmissions() + 1 < transmissions) {
                 put(member, member.transmissions() + 1);
@@ -46,33 +46,35 @@
         return updates;
     }
 
-    /** Takes while there is room; returns the room left, 0 once the next one doesn't fit. */
-    private static int takeFrom(Set<Member> members, int bytes, List<Member> taken) {
-        int room = bytes;
+    /**
+     * Drains members while they fit; returns the remaining bytes, 0 if the next one doesn't fit.
+     */
+    private static int drain(Set<Member> members, int bytes, List<Member> drained) {
+        int remainingBytes = bytes;
         Iterator<Member> iterator = members.iterator();
         while (iterator.hasNext()) {
             Member member = iterator.next();
-            if (member.update().sizeBytes() > room) {
+            if (member.update().sizeBytes() > remainingBytes) {
                 return 0;
             }
-            room -= member.update().sizeBytes();
-            taken.add(member);
+            remainingBytes -= member.update().sizeBytes();
+            drained.add(member);
             iterator.remove();
         }
-        return room;
+        return remainingBytes;
     }
 
-    private void put(Member member, int sent) {
-        while (mBySent.size() <= sent) {
-            mBySent.add(new LinkedHashSet<>());
+    private void put(Member member, int transmissions) {
+        while (mByTransmissions.size() <= transmissions) {
+            mByTransmissions.add(new LinkedHashSet<>());
         }
-        member.setTransmissions(sent);
-        mBySent.get(sent).add(member);
+        member.setTransmissions(transmissions);
+        mByTransmissions.get(transmissions).add(member);
     }
 
     private void remove(Member member) {
-        if (member.transmissions() < mBySent.size()) {
-            mBySent.get(member.transmissions()).remove(member);
+        if (member.transmissions() < mByTransmissions.size()) {
+            mByTransmissions.get(member.transmissions()).remove(member);
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which VMs of the fleet are alive, by SWIM-style gossip, without I/O or a clock. */
+/** SWIM-style gossip membership of the VMs of the fleet, without I/O or a clock. */
 package org.dahliapass.decisions.membership;
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipFuzzTest.java
@@ -19,41 +19,41 @@
 import org.testng.annotations.Test;
 
 /**
- * Drives a small fleet through seeded schedules of faults and compares each VM's list with the set
- * of VMs that run.
+ * Fuzz test: runs seeded schedules of faults on a small fleet and compares each VM's list with the
+ * running VMs.
  *
- * <p>{@code -Ddahliapass.fuzz.seconds=N} goes on for N seconds with new seeds.
+ * <p>{@code -Ddahliapass.fuzz.seconds=N} continues with new seeds for N seconds.
  */
 public final class MembershipFuzzTest {
     private static final String SECONDS = "dahliapass.fuzz.seconds";
     private static final int SEEDS = 100;
-    private static final double CUT_LOSS = 0.02;
-    private static final long MOST_TEST_MILLIS = 120_000;
+    private static final double LOSS_RATE = 0.02;
+    private static final long TIMEOUT_MILLIS = 120_000;
     private static final int FLEET = 9;
     private static final int EVENTS = 12;
     private static final long START_MILLIS = 20_000;
-    private static final long FAULTS_MILLIS = 60_000;
-    private static final long CALM_MILLIS = 60_000;
-    private static final long KNOWN_DEAD_MILLIS = 40_000;
+    private static final long FAULT_MILLIS = 60_000;
+    private static final long RECOVERY_MILLIS = 60_000;
+    private static final long DETECTION_MILLIS = 40_000;
     private static final long IN_FLIGHT_MILLIS = 15_000;
     private static final long REFUTATION_MILLIS = 12_000;
 
     private enum Fault {
         KILL,
         RESTART,
-        FREEZE,
-        WAKE,
+        PAUSE,
+        RESUME,
         LEAVE,
-        CUT,
-        CUT_ALL_FROM,
-        CUT_ALL_TO,
-        HEAL,
+        BREAK_LINK,
+        BREAK_ALL_LINKS_FROM,
+        BREAK_ALL_LINKS_TO,
+        REPAIR_LINKS,
         LOSS,
         DELAY,
         DUPLICATION
     }
 
-    private enum Plant {
+    private enum InjectedFault {
         NONE,
         NO_REFUTATION,
         NO_TOMBSTONES
@@ -61,17 +61,17 @@
 
     private record Event(long atMillis, Fault fault, int vm, int other) {}
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void allSchedulesConverge() {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void schedulesConverge() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            assertNull(explain(seed, Plant.NONE));
+            assertNull(failureOf(seed, InjectedFault.NONE));
         }
     }
 
     /**
-     * Goes on with new seeds for as long as asked, with the same losses as the fixed seeds. It may
-     * fail for a known fault, see KNOWN-RED.txt: with other messages lost besides the cut link, all
-     * helpers may miss at once, and a healthy VM is declared dead.
+     * Runs new seeds for the requested time, with the same loss rate as the fixed seeds. Known to
+     * fail, see KNOWN-RED.txt: if the messages of all indirect probes are lost at once, a healthy
+     * VM is declared dead.
      */
     @Test
     public void longRun() {
@@ -79,83 +79,87 @@
         RandomGenerator seeds = RandomGenerator.getDefault();
         while (Clock.systemUTC().instant().isBefore(end)) {
             long seed = seeds.nextLong();
-            assertNull(explain(seed, Plant.NONE));
-            assertNull(deadAfterCut(seed, MembershipSettings.defaults(), CUT_LOSS));
+            assertNull(failureOf(seed, InjectedFault.NONE));
+            assertNull(deathOverBrokenLink(seed, MembershipSettings.defaults(), LOSS_RATE));
         }
     }
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void missingRefutationIsFound() {
-        assertNotNull(firstFailure(Plant.NO_REFUTATION), "The fuzz can't see a lost refutation.");
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void missingRefutationIsDetected() {
+        assertNotNull(
+                firstFailure(InjectedFault.NO_REFUTATION),
+                "Expected a failing schedule without refutations");
     }
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void missingTombstonesAreFound() {
-        assertNotNull(firstFailure(Plant.NO_TOMBSTONES), "The fuzz can't see a resurrection.");
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void missingTombstonesAreDetected() {
+        assertNotNull(
+                firstFailure(InjectedFault.NO_TOMBSTONES),
+                "Expected a failing schedule without tombstones");
     }
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void vmCutOneWayFromAnotherIsNeverDead() {
-        // The link from one VM to one other loses everything, and a few messages are lost anywhere.
-        // What a user would see: a healthy VM that leaves the answers to asks. The first VM's
-        // answers to pings are lost, so the other one would declare it dead on its own word.
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void oneWayBrokenLinkDoesNotCauseDeath() {
+        // Indirect probes keep a healthy VM alive while its acknowledgements to one other VM are
+        // lost.
         for (long seed = 1; seed <= SEEDS / 3; seed++) {
-            assertNull(deadAfterCut(seed, MembershipSettings.defaults(), CUT_LOSS));
+            assertNull(deathOverBrokenLink(seed, MembershipSettings.defaults(), LOSS_RATE));
         }
     }
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void cutWithoutIndirectPingsIsFound() {
-        MembershipSettings direct = settings(MembershipSettings.defaults().tombstoneRetention(), 0);
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void missingIndirectPingsAreDetected() {
+        MembershipSettings withoutIndirectProbes =
+                settings(MembershipSettings.defaults().tombstoneRetention(), 0);
         String found = null;
         for (long seed = 1; seed <= SEEDS && found == null; seed++) {
-            found = deadAfterCut(seed, direct, CUT_LOSS);
+            found = deathOverBrokenLink(seed, withoutIndirectProbes, LOSS_RATE);
         }
-        assertNotNull(found, "The check can't see a VM that is declared dead over one cut link.");
+        assertNotNull(found, "Expected a dead VM over one broken link without indirect pings");
     }
 
-    private static String deadAfterCut(long seed, MembershipSettings settings, double loss) {
-        SimulatedFleet loop = new SimulatedFleet(FLEET, settings, seed);
+    private static String deathOverBrokenLink(long seed, MembershipSettings settings, double loss) {
+        SimulatedFleet fleet = new SimulatedFleet(FLEET, settings, seed);
         List<String> dead = new ArrayList<>();
-        loop.startAll();
-        loop.run(START_MILLIS);
-        loop.mListener =
+        fleet.startAll();
+        fleet.run(START_MILLIS);
+        fleet.mListener =
                 (at, change, now) -> {
                     if (change.after().state() == MemberState.DEAD) {
                         dead.add("seed " + seed + ": " + change + " at " + at.identity());
                     }
                 };
-        loop.mLoss = loss;
-        loop.cut(0, 1);
-        loop.run(FAULTS_MILLIS);
+        fleet.mLoss = loss;
+        fleet.breakLink(0, 1);
+        fleet.run(FAULT_MILLIS);
         return dead.isEmpty() ? null : dead.get(0);
     }
 
-    private static String firstFailure(Plant plant) {
+    private static String firstFailure(InjectedFault injected) {
         String found = null;
         for (long seed = 1; seed <= SEEDS && found == null; seed++) {
-            found = new Run(seed, plant).play(schedule(seed));
+            found = new Run(seed, injected).run(schedule(seed));
         }
         return found;
     }
 
-    /** Returns null, or what failed with the seed and the smallest schedule that still fails. */
-    private static String explain(long seed, Plant plant) {
+    /** Returns null, or the failure with the seed and the shortest schedule that still fails. */
+    private static String failureOf(long seed, InjectedFault injected) {
         List<Event> events = schedule(seed);
-        String failure = new Run(seed, plant).play(events);
+        String failure = new Run(seed, injected).run(events);
         if (failure == null) {
             return null;
         }
-        List<Event> shrunk = shrink(seed, plant, events);
-        return "seed " + seed + ": " + new Run(seed, plant).play(shrunk) + " after " + shrunk;
+        List<Event> shrunk = shrink(seed, injected, events);
+        return "seed " + seed + ": " + new Run(seed, injected).run(shrunk) + " after " + shrunk;
     }
 
-    private static List<Event> shrink(long seed, Plant plant, List<Event> events) {
+    private static List<Event> shrink(long seed, InjectedFault injected, List<Event> events) {
         List<Event> smallest = events;
         for (int i = 0; i < smallest.size(); ) {
             List<Event> fewer = new ArrayList<>(smallest);
             fewer.remove(i);
-            if (new Run(seed, plant).play(fewer) == null) {
+            if (new Run(seed, injected).run(fewer) == null) {
                 i++;
             } else {
                 smallest = fewer;
@@ -169,7 +173,7 @@
         List<Event> events = new ArrayList<>();
         long at = START_MILLIS;
         for (int i = 0; i < EVENTS; i++) {
-            at += random.nextLong(2 * FAULTS_MILLIS / EVENTS);
+            at += random.nextLong(2 * FAULT_MILLIS / EVENTS);
             Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
             events.add(new Event(at, fault, random.nextInt(FLEET), random.nextInt(FLEET)));
         }
@@ -192,45 +196,47 @@
                 standard.datagramBytes());
     }
 
-    /** What one VM holds of another. */
-    private record Held(VmIdentity by, VmIdentity of) {}
+    /** The pair of a VM and a member in its list. */
+    private record Observation(VmIdentity observer, VmIdentity member) {}
 
-    /** One schedule against one fleet. */
+    /** A run of one schedule on one fleet. */
     private static final class Run {
-        private final SimulatedFleet mLoop;
-        private final Map<VmIdentity, Long> mKilled = new HashMap<>();
-        private final Map<VmIdentity, Long> mDeadForAll = new HashMap<>();
-        private final Map<Held, Integer> mHeldDead = new HashMap<>();
+        private final SimulatedFleet mFleet;
+        private final Map<VmIdentity, Long> mKilledMillis = new HashMap<>();
+        private final Map<VmIdentity, Long> mDeadForAllSinceMillis = new HashMap<>();
+        private final Map<Observation, Integer> mDeadRefutations = new HashMap<>();
         private String mFailure;
-        private final long[] mUncutSinceMillis = new long[FLEET];
+        private final long[] mRepairedMillis = new long[FLEET];
 
-        Run(long seed, Plant plant) {
+        Run(long seed, InjectedFault injected) {
             Duration tombstone =
-                    plant == Plant.NO_TOMBSTONES ? Duration.ZERO : Duration.ofSeconds(45);
-            mLoop = new SimulatedFleet(FLEET, settings(tombstone, 3), seed);
-            mLoop.mListener = this::checkNotResurrected;
-            if (plant == Plant.NO_REFUTATION) {
-                mLoop.mTamper = Run::withoutVerdictOnRecipient;
+                    injected == InjectedFault.NO_TOMBSTONES
+                            ? Duration.ZERO
+                            : Duration.ofSeconds(45);
+            mFleet = new SimulatedFleet(FLEET, settings(tombstone, 3), seed);
+            mFleet.mListener = this::checkNotResurrected;
+            if (injected == InjectedFault.NO_REFUTATION) {
+                mFleet.mInterceptor = Run::withoutVerdictOnRecipient;
             }
         }
 
-        String play(List<Event> events) {
-            mLoop.startAll();
+        String run(List<Event> events) {
+            mFleet.startAll();
             for (Event event : events) {
                 advanceTo(event.atMillis());
                 apply(event);
             }
-            calm();
-            advanceTo(mLoop.mNowMillis + CALM_MILLIS);
+            recover();
+            advanceTo(mFleet.mNowMillis + RECOVERY_MILLIS);
             checkConverged();
             return mFailure;
         }
 
         private void advanceTo(long millis) {
-            while (mLoop.mNowMillis < millis && mFailure == null) {
-                mLoop.step();
-                checkDeadForAll();
-                checkKnownDead();
+            while (mFleet.mNowMillis < millis && mFailure == null) {
+                mFleet.step();
+                checkNotDeadForAll();
+                checkDeadDetected();
             }
         }
 
@@ -240,133 +246,138 @@
                 case KILL -> kill(vm);
                 case RESTART -> {
                     kill(vm);
-                    mLoop.start(vm);
+                    mFleet.start(vm);
                 }
-                case FREEZE -> mLoop.freeze(vm);
-                case WAKE -> wakeAll();
-                case LEAVE -> mLoop.leave(vm);
-                case CUT -> mLoop.cut(vm, event.other());
-                case CUT_ALL_FROM -> {
+                case PAUSE -> mFleet.pause(vm);
+                case RESUME -> resumeAll();
+                case LEAVE -> mFleet.leave(vm);
+                case BREAK_LINK -> mFleet.breakLink(vm, event.other());
+                case BREAK_ALL_LINKS_FROM -> {
                     for (int to = 0; to < FLEET; to++) {
-                        mLoop.cut(vm, to);
+                        mFleet.breakLink(vm, to);
                     }
                 }
-                case CUT_ALL_TO -> {
+                case BREAK_ALL_LINKS_TO -> {
                     for (int from = 0; from < FLEET; from++) {
-                        mLoop.cut(from, vm);
+                        mFleet.breakLink(from, vm);
                     }
                 }
-                case HEAL -> heal();
-                case LOSS -> mLoop.mLoss = 0.1;
-                case DELAY -> mLoop.mMostDelayMillis = 250;
-                case DUPLICATION -> mLoop.mDuplication = 0.3;
+                case REPAIR_LINKS -> repairLinks();
+                case LOSS -> mFleet.mLoss = 0.1;
+                case DELAY -> mFleet.mMaxDelayMillis = 250;
+                case DUPLICATION -> mFleet.mDuplication = 0.3;
             }
         }
 
         private void kill(int vm) {
-            if (mLoop.mNodes.get(vm).mMembership != null) {
-                mKilled.put(mLoop.mNodes.get(vm).identity(), mLoop.mNowMillis);
+            if (mFleet.mNodes.get(vm).mMembership != null) {
+                mKilledMillis.put(mFleet.mNodes.get(vm).identity(), mFleet.mNowMillis);
             }
-            mLoop.kill(vm);
+            mFleet.kill(vm);
         }
 
-        private void heal() {
+        private void repairLinks() {
             for (int vm = 0; vm < FLEET; vm++) {
-                if (mLoop.isTouchedByCut(vm)) {
-                    mUncutSinceMillis[vm] = mLoop.mNowMillis;
+                if (mFleet.hasBrokenLink(vm)) {
+                    mRepairedMillis[vm] = mFleet.mNowMillis;
                 }
             }
-            mLoop.healAll();
+            mFleet.repairAllLinks();
         }
 
-        private void wakeAll() {
-            for (Node node : mLoop.mNodes) {
-                if (node.mFrozen) {
-                    mLoop.wake(node.mIndex);
+        private void resumeAll() {
+            for (Node node : mFleet.mNodes) {
+                if (node.mPaused) {
+                    mFleet.resume(node.mIndex);
                 }
             }
         }
 
-        private void calm() {
-            heal();
-            wakeAll();
-            mLoop.mLoss = 0;
-            mLoop.mDuplication = 0;
-            mLoop.mMostDelayMillis = 20;
+        private void recover() {
+            repairLinks();
+            resumeAll();
+            mFleet.mLoss = 0;
+            mFleet.mDuplication = 0;
+            mFleet.mMaxDelayMillis = 20;
         }
 
         private void checkConverged() {
-            Set<VmIdentity> running = mLoop.running();
-            for (Node node : mLoop.mNodes) {
+            Set<VmIdentity> running = mFleet.running();
+            for (Node node : mFleet.mNodes) {
                 if (node.isRunning() && !SimulatedFleet.view(node).equals(running)) {
                     fail(
                             node.identity()
-                                    + " sees "
-                                    + SimulatedFleet.view(node)
-                                    + ", not "
-                                    + running);
+                                    + ": expected members "
+                                    + running
+                                    + ", got "
+                                    + SimulatedFleet.view(node));
                 }
             }
         }
 
         private void checkNotResurrected(Node at, MemberChanged change, long nowMillis) {
-            Long killed = mKilled.get(change.after().identity());
-            Held held = new Held(at.identity(), change.after().identity());
-            int heldDead = mHeldDead.getOrDefault(held, -1);
+            Long killedMillis = mKilledMillis.get(change.after().identity());
+            Observation observation = new Observation(at.identity(), change.after().identity());
+            int deadRefutation = mDeadRefutations.getOrDefault(observation, -1);
             if (change.after().state() == MemberState.DEAD) {
-                mHeldDead.put(held, change.after().refutation());
+                mDeadRefutations.put(observation, change.after().refutation());
             }
-            boolean returned =
+            boolean resurrected =
                     change.after().state() != MemberState.DEAD
                             && change.before()
                                     .filter(before -> before.state() != MemberState.DEAD)
                                     .isEmpty();
-            boolean settled = nowMillis - settledSince(at) > IN_FLIGHT_MILLIS;
+            boolean undisturbed = nowMillis - undisturbedSinceMillis(at) > IN_FLIGHT_MILLIS;
             boolean late =
-                    killed != null
-                            && (nowMillis - killed > IN_FLIGHT_MILLIS
-                                    || heldDead >= change.after().refutation());
-            if (returned && settled && late) {
+                    killedMillis != null
+                            && (nowMillis - killedMillis > IN_FLIGHT_MILLIS
+                                    || deadRefutation >= change.after().refutation());
+            if (resurrected && undisturbed && late) {
                 fail(change.after().identity() + " was resurrected at " + at.identity());
             }
         }
 
-        /** Returns since when the VM has neither been paused nor freed from a cut. */
-        private long settledSince(Node node) {
-            return Math.max(node.mAwakeSinceMillis, mUncutSinceMillis[node.mIndex]);
+        /** Returns the time since which the VM was neither paused nor had a broken link. */
+        private long undisturbedSinceMillis(Node node) {
+            return Math.max(node.mResumedMillis, mRepairedMillis[node.mIndex]);
         }
 
-        private void checkKnownDead() {
-            long before = mLoop.mNowMillis - KNOWN_DEAD_MILLIS;
-            for (Node node : mLoop.mNodes) {
-                if (!node.isRunning() || settledSince(node) > before) {
+        private void checkDeadDetected() {
+            long before = mFleet.mNowMillis - DETECTION_MILLIS;
+            for (Node node : mFleet.mNodes) {
+                if (!node.isRunning() || undisturbedSinceMillis(node) > before) {
                     continue;
                 }
                 for (VmIdentity seen : SimulatedFleet.view(node)) {
-                    if (mKilled.getOrDefault(seen, Long.MAX_VALUE) < before) {
-                        fail(seen + " is long dead and still seen by " + node.identity());
+                    if (mKilledMillis.getOrDefault(seen, Long.MAX_VALUE) < before) {
+                        fail(
+                                seen
+                                        + " is dead, but still a member in the list of "
+                                        + node.identity());
                     }
                 }
             }
         }
 
-        private void checkDeadForAll() {
-            for (Node node : mLoop.mNodes) {
-                boolean reachable = node.isRunning() && !mLoop.isTouchedByCut(node.mIndex);
+        private void checkNotDeadForAll() {
+            for (Node node : mFleet.mNodes) {
+                boolean reachable = node.isRunning() && !mFleet.hasBrokenLink(node.mIndex);
                 if (!reachable || !isDeadForAll(node)) {
-                    mDeadForAll.remove(node.identity());
+                    mDeadForAllSinceMillis.remove(node.identity());
                     continue;
                 }
-                long since = mDeadForAll.computeIfAbsent(node.identity(), n -> mLoop.mNowMillis);
-                if (mLoop.mNowMillis - since > REFUTATION_MILLIS) {
-                    fail(node.identity() + " runs and is dead for all others");
+                long since =
+                        mDeadForAllSinceMillis.computeIfAbsent(
+                                node.identity(), n -> mFleet.mNowMillis);
+                if (mFleet.mNowMillis - since > REFUTATION_MILLIS) {
+                    fail(node.identity() + " is running, but dead in the lists of all others");
                 }
             }
         }
 
         private boolean isDeadForAll(Node node) {
             long others = 0;
-            for (Node other : mLoop.mNodes) {
+            for (Node other : mFleet.mNodes) {
                 if (other != node && other.isRunning()) {
                     others++;
                     if (other.mMembership.isMember(node.identity())) {
@@ -379,7 +390,7 @@
 
         private void fail(String what) {
             if (mFailure == null) {
-                mFailure = what + " at " + mLoop.mNowMillis + " ms";
+                mFailure = what + " at " + mFleet.mNowMillis + " ms";
             }
         }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipScaleTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipScaleTest.java
@@ -4,77 +4,89 @@
 
 import org.testng.annotations.Test;
 
-/** Counts what a VM sends in a small and in a large fleet, and how soon a lost VM is known. */
+/** Tests the load per VM and the detection time in a small and in a large fleet. */
 public final class MembershipScaleTest {
-    private static final long MOST_TEST_MILLIS = 120_000;
+    private static final long TIMEOUT_MILLIS = 120_000;
     private static final int SMALL = 64;
     private static final int LARGE = 512;
     private static final long SETTLE_MILLIS = 20_000;
-    private static final long COUNT_SECONDS = 30;
-    private static final double MOST_GROWTH = 1.1;
-    private static final double MOST_DATAGRAMS_PER_SECOND = 3;
+    private static final long MEASUREMENT_SECONDS = 30;
+    private static final double MAX_GROWTH = 1.1;
+    private static final double MAX_DATAGRAMS_PER_SECOND = 3;
     private static final int SPREAD_PERIODS = 6;
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void loadPerVmStaysTheSameInLargerFleet() {
-        SimulatedFleet small = settled(SMALL);
-        SimulatedFleet large = settled(LARGE);
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void loadPerVmIsIndependentOfFleetSize() {
+        SimulatedFleet small = startedFleet(SMALL);
+        SimulatedFleet large = startedFleet(LARGE);
         double smallDatagrams = datagramsPerVmAndSecond(small);
         double largeDatagrams = datagramsPerVmAndSecond(large);
         assertTrue(
-                largeDatagrams <= smallDatagrams * MOST_GROWTH
-                        && largeDatagrams <= MOST_DATAGRAMS_PER_SECOND,
-                "Datagrams per VM and second grew from "
+                largeDatagrams <= smallDatagrams * MAX_GROWTH
+                        && largeDatagrams <= MAX_DATAGRAMS_PER_SECOND,
+                "Datagrams per VM and second: "
                         + smallDatagrams
-                        + " to "
-                        + largeDatagrams);
+                        + " in the small fleet, "
+                        + largeDatagrams
+                        + " in the large one");
         double smallBytes = (double) small.mDatagramBytes / small.mDatagrams;
         double largeBytes = (double) large.mDatagramBytes / large.mDatagrams;
         assertTrue(
-                largeBytes <= smallBytes * MOST_GROWTH,
-                "Bytes of news per datagram grew from " + smallBytes + " to " + largeBytes);
+                largeBytes <= smallBytes * MAX_GROWTH,
+                "Bytes of updates per datagram: "
+                        + smallBytes
+                        + " in the small fleet, "
+                        + largeBytes
+                        + " in the large one");
     }
 
-    @Test(timeOut = MOST_TEST_MILLIS)
-    public void lostVmIsKnownInTime() {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void lostVmIsDetectedInTime() {
         for (int size : new int[] {SMALL, LARGE}) {
-            SimulatedFleet loop = settled(size);
+            SimulatedFleet fleet = startedFleet(size);
             long period = MembershipSettings.defaults().period().toMillis();
-            long bound =
+            long maxMillis =
                     MembershipSettings.defaults().suspicionMillis(size) + SPREAD_PERIODS * period;
-            loop.kill(0);
-            long killed = loop.mNowMillis;
-            while (isSeen(loop) && loop.mNowMillis - killed <= 2 * bound) {
-                loop.step();
+            fleet.kill(0);
+            long killedMillis = fleet.mNowMillis;
+            while (isStillMember(fleet) && fleet.mNowMillis - killedMillis <= 2 * maxMillis) {
+                fleet.step();
             }
-            long took = loop.mNowMillis - killed;
-            assertTrue(took <= bound, size + " VMs: lost VM known after " + took + " of " + bound);
+            long detectionMillis = fleet.mNowMillis - killedMillis;
+            assertTrue(
+                    detectionMillis <= maxMillis,
+                    size
+                            + " VMs: expected detection within "
+                            + maxMillis
+                            + " ms, took "
+                            + detectionMillis
+                            + " ms");
         }
     }
 
-    private static SimulatedFleet settled(int size) {
-        SimulatedFleet loop = new SimulatedFleet(size, MembershipSettings.defaults(), size);
-        loop.startAllSettled();
-        loop.run(SETTLE_MILLIS);
+    private static SimulatedFleet startedFleet(int size) {
+        SimulatedFleet fleet = new SimulatedFleet(size, MembershipSettings.defaults(), size);
+        fleet.startAllJoined();
+        fleet.run(SETTLE_MILLIS);
         assertTrue(
-                loop.mNodes.stream().allMatch(node -> SimulatedFleet.view(node).size() == size),
-                "The fleet of " + size + " hasn't joined within " + SETTLE_MILLIS + " ms.");
-        return loop;
+                fleet.mNodes.stream().allMatch(node -> SimulatedFleet.view(node).size() == size),
+                "Expected " + size + " VMs to join within " + SETTLE_MILLIS + " ms");
+        return fleet;
     }
 
-    private static double datagramsPerVmAndSecond(SimulatedFleet loop) {
-        loop.mDatagrams = 0;
-        loop.mDatagramBytes = 0;
-        loop.run(COUNT_SECONDS * 1000);
-        return (double) loop.mDatagrams / loop.mNodes.size() / COUNT_SECONDS;
+    private static double datagramsPerVmAndSecond(SimulatedFleet fleet) {
+        fleet.mDatagrams = 0;
+        fleet.mDatagramBytes = 0;
+        fleet.run(MEASUREMENT_SECONDS * 1000);
+        return (double) fleet.mDatagrams / fleet.mNodes.size() / MEASUREMENT_SECONDS;
     }
 
-    private static boolean isSeen(SimulatedFleet loop) {
-        return loop.mNodes.stream()
+    private static boolean isStillMember(SimulatedFleet fleet) {
+        return fleet.mNodes.stream()
                 .anyMatch(
                         node ->
                                 node.isRunning()
                                         && node.mMembership.isMember(
-                                                loop.mNodes.get(0).identity()));
+                                                fleet.mNodes.get(0).identity()));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/MembershipTest.java
@@ -13,7 +13,7 @@
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
-/** Checks one instance, message by message. */
+/** Tests for {@link Membership}. */
 public final class MembershipTest {
     private static final VmIdentity SELF = new VmIdentity("vm-0", 5);
     private static final VmIdentity PEER = new VmIdentity("vm-1", 1);
@@ -22,7 +22,7 @@
     private final MembershipSettings mSettings = MembershipSettings.defaults();
 
     @Test
-    public void pingIsAnswered() {
+    public void pingIsAcknowledged() {
         Membership membership = start();
         List<MembershipAction> actions = membership.onGossip(ping(SELF.incarnation(), PEER), 0);
         assertTrue(membership.isMember(PEER));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void newerIncarnationReplacesOlderAtOnce() {
+    public void newerIncarnationReplacesOlder() {
         Membership membership = start();
         VmIdentity successor = new VmIdentity(PEER.name(), PEER.incarnation() + 1);
         membership.onGossip(ping(SELF.incarnation(), PEER), 0);
@@ -46,26 +46,25 @@
         assertTrue(membership.isMember(successor));
         assertFalse(membership.isMember(PEER));
         membership.onGossip(ping(SELF.incarnation(), PEER), 2);
-        assertTrue(membership.isMember(successor), "Late news of the old incarnation won.");
+        assertTrue(
+                membership.isMember(successor),
+                "A late update of the old incarnation replaced the new one.");
     }
 
     @Test
-    public void wokenProcessLearnsOfItsSuccessor() {
-        // A process is paused, replaced by a new incarnation elsewhere, and wakes. What a user
-        // would
-        // see: two processes that both answer under one name. The woken one pings; who knows the
-        // successor must tell it, and it must ask to be stopped.
+    public void resumedProcessIsNotifiedOfSuccessor() {
+        // Otherwise two processes would serve under one name.
         Membership other = start();
         VmIdentity successor = new VmIdentity(PEER.name(), PEER.incarnation() + 1);
         other.onGossip(ping(SELF.incarnation(), successor), 0);
-        GossipMessage told = sent(other.onGossip(ping(SELF.incarnation(), PEER), 1));
-        Membership woken =
+        GossipMessage notification = sent(other.onGossip(ping(SELF.incarnation(), PEER), 1));
+        Membership resumed =
                 new Membership(mSettings, update(PEER, MemberState.ALIVE), new Random(1), 0);
-        assertTrue(woken.onGossip(told, 2).contains(new Replaced(successor)));
+        assertTrue(resumed.onGossip(notification, 2).contains(new Replaced(successor)));
     }
 
     @Test
-    public void verdictOnSelfIsRefuted() {
+    public void suspicionOfSelfIsRefuted() {
         Membership membership = start();
         GossipMessage verdict = gossip(PEER, update(PEER, MemberState.ALIVE), suspected(SELF));
         membership.onGossip(verdict, 0);
@@ -74,7 +73,7 @@
     }
 
     @Test
-    public void refutationKeepsLeaving() {
+    public void refutationPreservesLeaving() {
         Membership membership = start();
         membership.leave(0);
         MemberUpdate verdict =
@@ -85,7 +84,7 @@
     }
 
     @Test
-    public void leavingIsToldAtOnce() {
+    public void leavingIsGossipedAtOnce() {
         Membership membership = start();
         membership.onGossip(ping(SELF.incarnation(), PEER), 0);
         GossipMessage rumor = sent(membership.leave(1));
@@ -93,7 +92,7 @@
     }
 
     @Test
-    public void lateNewsDoesNotResurrect() {
+    public void outdatedUpdateDoesNotResurrect() {
         Membership membership = start();
         membership.onGossip(gossip(PEER, update(PEER, MemberState.ALIVE), dead(THIRD)), 0);
         membership.onGossip(
@@ -102,7 +101,7 @@
     }
 
     @Test
-    public void deathOfVmThatIsHeardIsOnlySuspected() {
+    public void reportedDeathOfRecentlyHeardMemberBecomesSuspicion() {
         Membership membership = start();
         membership.onGossip(ping(SELF.incarnation(), THIRD), 0);
         List<MembershipAction> actions =
@@ -116,7 +115,7 @@
     }
 
     @Test
-    public void listDoesNotKill() {
+    public void deathInListIsNotApplied() {
         Membership membership = start();
         membership.onGossip(ping(SELF.incarnation(), PEER), 0);
         membership.onJoinReply(List.of(dead(PEER)), 60_000);
@@ -124,13 +123,13 @@
     }
 
     @Test
-    public void equalListsAreNotSent() {
+    public void equalListIsNotSent() {
         Membership membership = start();
         Membership other =
                 new Membership(mSettings, update(PEER, MemberState.ALIVE), new Random(2), 0);
         other.onJoinReply(List.of(membership.self()), 0);
-        JoinRequest ignorant = new JoinRequest(other.self(), 0);
-        assertEquals(membership.onJoinRequest(ignorant, 0).members().size(), 2);
+        JoinRequest emptyRequest = new JoinRequest(other.self(), 0);
+        assertEquals(membership.onJoinRequest(emptyRequest, 0).members().size(), 2);
         long digest = digestOf(other);
         assertTrue(
                 membership
@@ -140,7 +139,7 @@
     }
 
     @Test
-    public void isolationShowsInShareHeard() {
+    public void heardFractionCountsRecentlyHeardMembers() {
         Membership membership = start();
         membership.onGossip(ping(SELF.incarnation(), PEER), 0);
         for (long now = 0; now < 5_000; now += SimulatedFleet.TICK_MILLIS) {
@@ -161,7 +160,7 @@
                 return exchange.request().digest();
             }
         }
-        throw new AssertionError("The first tick exchanges no list.");
+        throw new AssertionError("The first tick requests no list exchange.");
     }
 
     private static GossipMessage sent(List<MembershipAction> actions) {
@@ -169,7 +168,8 @@
                 .filter(SendGossip.class::isInstance)
                 .map(action -> ((SendGossip) action).message())
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("Nothing was sent: " + actions));
+                .orElseThrow(
+                        () -> new AssertionError("Expected a SendGossip action, got " + actions));
     }
 
     private static GossipMessage ping(long recipientIncarnation, VmIdentity from) {
--- a/decisions/src/test/java/org/dahliapass/decisions/membership/SimulatedFleet.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/membership/SimulatedFleet.java
@@ -17,20 +17,20 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 
-/** Passes messages between production {@link Membership} instances, by a virtual clock. */
+/** A simulated fleet of {@link Membership} instances with a virtual clock and network. */
 final class SimulatedFleet {
     static final long TICK_MILLIS = 100;
-    private static final long HINT_LAG_MILLIS = 20_000;
+    private static final long SEED_REFRESH_MILLIS = 20_000;
     private static final long JOIN_TIMEOUT_MILLIS = 2_000;
-    private static final int MOST_BUFFERED = 64;
+    private static final int MAX_BUFFERED = 64;
 
-    /** One place of the fleet, in which incarnations of one VM run one after another. */
+    /** One VM of the fleet, whose incarnations run one after another. */
     static final class Node {
         final int mIndex;
         long mIncarnation;
         Membership mMembership;
-        boolean mFrozen;
-        long mAwakeSinceMillis;
+        boolean mPaused;
+        long mResumedMillis;
         final Deque<Runnable> mBuffered = new ArrayDeque<>();
 
         Node(int index) {
@@ -38,7 +38,7 @@
         }
 
         boolean isRunning() {
-            return mMembership != null && !mFrozen;
+            return mMembership != null && !mPaused;
         }
 
         VmIdentity identity() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Hears of each change that an instance announces. */
+    /** Listener for the changes that instances report. */
     interface Listener {
         void onChange(Node at, MemberChanged change, long nowMillis);
     }
@@ -60,21 +60,21 @@
     long mNowMillis;
     double mLoss;
     double mDuplication;
-    long mMostDelayMillis = 20;
+    long mMaxDelayMillis = 20;
     long mDatagrams;
     long mDatagramBytes;
     long mJoins;
     Listener mListener = (at, change, now) -> {};
-    BiFunction<VmIdentity, GossipMessage, GossipMessage> mTamper = (to, message) -> message;
+    BiFunction<VmIdentity, GossipMessage, GossipMessage> mInterceptor = (to, message) -> message;
     private final MembershipSettings mSettings;
     private final PriorityQueue<Delivery> mDeliveries =
             new PriorityQueue<>(
                     Comparator.comparingLong(Delivery::atMillis)
                             .thenComparingLong(Delivery::order));
-    private final Set<Link> mCuts = new HashSet<>();
+    private final Set<Link> mBrokenLinks = new HashSet<>();
     private long mOrder;
-    private List<Endpoint> mHints = new ArrayList<>();
-    private long mNextHintsMillis;
+    private List<Endpoint> mSeeds = new ArrayList<>();
+    private long mNextSeedsMillis;
 
     SimulatedFleet(int size, MembershipSettings settings, long seed) {
         mSettings = settings;
@@ -87,26 +87,26 @@
     void start(int index) {
         Node node = mNodes.get(index);
         node.mIncarnation++;
-        node.mFrozen = false;
+        node.mPaused = false;
         node.mBuffered.clear();
-        node.mAwakeSinceMillis = mNowMillis;
+        node.mResumedMillis = mNowMillis;
         node.mMembership =
                 new Membership(
                         mSettings,
                         update(node.identity(), index, MemberState.ALIVE),
                         new Random(mRandom.nextLong()),
                         mNowMillis);
-        node.mMembership.setSeeds(mHints);
+        node.mMembership.setSeeds(mSeeds);
     }
 
-    /** Starts all VMs, with a VM list that names all of them. */
+    /** Starts all VMs with all of them as seeds. */
     void startAll() {
-        mNodes.forEach(node -> mHints.add(endpoint(node.mIndex)));
+        mNodes.forEach(node -> mSeeds.add(endpoint(node.mIndex)));
         mNodes.forEach(node -> start(node.mIndex));
     }
 
-    /** Starts all VMs with the whole list, as if they had been running for long. */
-    void startAllSettled() {
+    /** Starts all VMs with complete member lists. */
+    void startAllJoined() {
         startAll();
         List<MemberUpdate> list =
                 mNodes.stream()
@@ -117,17 +117,17 @@
 
     void kill(int index) {
         mNodes.get(index).mMembership = null;
-        mNodes.get(index).mFrozen = false;
+        mNodes.get(index).mPaused = false;
     }
 
-    void freeze(int index) {
-        mNodes.get(index).mFrozen = true;
+    void pause(int index) {
+        mNodes.get(index).mPaused = true;
     }
 
-    void wake(int index) {
+    void resume(int index) {
         Node node = mNodes.get(index);
-        node.mFrozen = false;
-        node.mAwakeSinceMillis = mNowMillis;
+        node.mPaused = false;
+        node.mResumedMillis = mNowMillis;
         if (node.mMembership != null) {
             node.mBuffered.forEach(Runnable::run);
         }
@@ -141,26 +141,26 @@
         }
     }
 
-    void cut(int from, int to) {
-        mCuts.add(new Link(from, to));
+    void breakLink(int from, int to) {
+        mBrokenLinks.add(new Link(from, to));
     }
 
-    void healAll() {
-        mCuts.clear();
+    void repairAllLinks() {
+        mBrokenLinks.clear();
     }
 
-    boolean isTouchedByCut(int index) {
-        return mCuts.stream().anyMatch(cut -> cut.from() == index || cut.to() == index);
+    boolean hasBrokenLink(int index) {
+        return mBrokenLinks.stream().anyMatch(link -> link.from() == index || link.to() == index);
     }
 
-    /** Moves the time on by one tick. */
+    /** Advances the time by one tick. */
     void step() {
         mNowMillis += TICK_MILLIS;
         while (!mDeliveries.isEmpty() && mDeliveries.peek().atMillis() <= mNowMillis) {
             Delivery delivery = mDeliveries.remove();
             deliver(delivery.to(), delivery.task());
         }
-        refreshHints();
+        refreshSeeds();
         for (Node node : mNodes) {
             if (node.isRunning()) {
                 perform(node, node.mMembership.onTick(mNowMillis));
@@ -204,24 +204,24 @@
         return mNodes.get(Integer.parseInt(parts[2]) * 256 + Integer.parseInt(parts[3]));
     }
 
-    private void refreshHints() {
-        if (mNowMillis < mNextHintsMillis) {
+    private void refreshSeeds() {
+        if (mNowMillis < mNextSeedsMillis) {
             return;
         }
-        mNextHintsMillis = mNowMillis + HINT_LAG_MILLIS;
-        mNodes.stream().filter(Node::isRunning).forEach(n -> n.mMembership.setSeeds(mHints));
-        mHints = new ArrayList<>();
-        mNodes.stream().filter(n -> n.mMembership != null).forEach(n -> mHints.add(at(n)));
+        mNextSeedsMillis = mNowMillis + SEED_REFRESH_MILLIS;
+        mNodes.stream().filter(Node::isRunning).forEach(n -> n.mMembership.setSeeds(mSeeds));
+        mSeeds = new ArrayList<>();
+        mNodes.stream().filter(n -> n.mMembership != null).forEach(n -> mSeeds.add(endpointOf(n)));
     }
 
-    private static Endpoint at(Node node) {
+    private static Endpoint endpointOf(Node node) {
         return endpoint(node.mIndex);
     }
 
     private void deliver(Node to, Runnable task) {
         if (to.isRunning()) {
             task.run();
-        } else if (to.mFrozen && to.mBuffered.size() < MOST_BUFFERED) {
+        } else if (to.mPaused && to.mBuffered.size() < MAX_BUFFERED) {
             to.mBuffered.add(task);
         }
     }
@@ -242,11 +242,11 @@
         mDatagrams++;
         send.message().updates().forEach(update -> mDatagramBytes += update.sizeBytes());
         Node to = nodeAt(send.to());
-        GossipMessage message = mTamper.apply(to.identity(), send.message());
+        GossipMessage message = mInterceptor.apply(to.identity(), send.message());
         int copies = mRandom.nextDouble() < mDuplication ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (mRandom.nextDouble() >= mLoss && passes(from, to)) {
-                post(to, () -> perform(to, to.mMembership.onGossip(message, mNowMillis)));
+            if (mRandom.nextDouble() >= mLoss && isReachable(from, to)) {
+                enqueue(to, () -> perform(to, to.mMembership.onGossip(message, mNowMillis)));
             }
         }
     }
@@ -255,18 +255,18 @@
         Node to = nodeAt(exchange.peer());
         Membership requester = from.mMembership;
         mJoins++;
-        if (!passes(from, to) || !passes(to, from)) {
+        if (!isReachable(from, to) || !isReachable(to, from)) {
             return;
         }
         long expiry = mNowMillis + JOIN_TIMEOUT_MILLIS;
-        post(
+        enqueue(
                 to,
                 () -> {
                     JoinResponse answer =
                             to.mMembership.onJoinRequest(exchange.request(), mNowMillis);
                     perform(to, answer.actions());
-                    if (passes(to, from) && mNowMillis < expiry) {
-                        post(from, () -> reply(from, requester, answer.members()));
+                    if (isReachable(to, from) && mNowMillis < expiry) {
+                        enqueue(from, () -> reply(from, requester, answer.members()));
                     }
                 });
     }
@@ -277,12 +277,12 @@
         }
     }
 
-    private boolean passes(Node from, Node to) {
-        return !mCuts.contains(new Link(from.mIndex, to.mIndex));
+    private boolean isReachable(Node from, Node to) {
+        return !mBrokenLinks.contains(new Link(from.mIndex, to.mIndex));
     }
 
-    private void post(Node to, Runnable task) {
-        long delay = 1 + mRandom.nextLong(mMostDelayMillis);
+    private void enqueue(Node to, Runnable task) {
+        long delay = 1 + mRandom.nextLong(mMaxDelayMillis);
         mDeliveries.add(new Delivery(mNowMillis + delay, mOrder++, to, task));
     }
 }
