--- a/decisions/src/main/java/org/dahliapass/decisions/once/BeginResult.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/BeginResult.java
@@ -2,27 +2,27 @@
 
 import org.dahliapass.model.VmIdentity;
 
-/** What a VM does first with a guarded request that has arrived. */
+/** The first step of a VM for a request with an idempotency key. */
 public sealed interface BeginResult {
 
     /**
-     * Send the intent to the witness, and report its reply or its silence to the ledger.
+     * Send the intent to the witness, and report its reply or the timeout to the ledger.
      *
-     * @param witness where to send it
+     * @param witness the VM incarnation to send it to
      */
     record SendIntent(VmIdentity witness) implements BeginResult {}
 
     /**
-     * This VM isn't the key's home; the {@link Resolver} goes on.
+     * Continue with the {@link Resolver}, because this VM isn't the key's home.
      *
-     * @param home the VM incarnation that the key names
+     * @param home the VM incarnation that the key names as its home
      */
     record WrongHome(VmIdentity home) implements BeginResult {}
 
     /**
-     * Answer the caller; nothing is to be dispatched for this request.
+     * Answer the caller without a dispatch.
      *
-     * @param answer what to say
+     * @param answer the answer for the caller
      */
     record Answered(OperationAnswer answer) implements BeginResult {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeAction.java
@@ -2,24 +2,24 @@
 
 import java.util.Optional;
 
-/** What a home does after something happened to an operation that it works on. */
+/** The next action of a home for an operation after an event. */
 public sealed interface HomeAction {
 
     /**
-     * Send the request to a target, once, with no retry by any library.
+     * Send the request to a target once, without retries by a library.
      *
-     * @param attempt number to report the attempt's end by
+     * @param attempt the attempt's number, for reporting its outcome
      */
     record Dispatch(int attempt) implements HomeAction {}
 
     /**
-     * Answer those who wait for the operation, and tell the witness.
+     * Answer the waiting callers and notify the witness.
      *
-     * @param answer what to say
-     * @param notice what to send to the witness, if anything
+     * @param answer the answer for the callers
+     * @param notice the notice for the witness; empty if none is due
      */
     record Respond(OperationAnswer answer, Optional<OutcomeNotice> notice) implements HomeAction {}
 
-    /** Do nothing: the event came late or twice. */
+    /** Do nothing, because the event is late or a duplicate. */
     record Ignore() implements HomeAction {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeLedger.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeLedger.java
@@ -5,10 +5,11 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Decides for the keys that name this VM as their home; nothing else in the fleet dispatches them.
+ * The home's part of the at-most-once protocol: the ledger of the operations whose keys name this
+ * VM incarnation as their home. No other VM dispatches them.
  *
- * <p>Every "not run" that leaves this class is backed by a record that forbids the run, kept until
- * the key has expired by the same clock.
+ * <p>Before it answers "not run", the ledger records that the key must never run, and keeps that
+ * record until the key has expired by the same clock. Not thread-safe; confined to one thread.
  */
 public class HomeLedger {
 
@@ -17,12 +18,12 @@
     private final OperationTable<HomeRecord> mTable;
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty ledger.
      *
-     * @param self this life of this VM
-     * @param maxAttempts how many targets one operation is offered to, each after a proved refusal
-     * @param window how long keys are taken and kept
-     * @param limits bounds of the memory
+     * @param self this VM incarnation
+     * @param maxAttempts maximum number of dispatches of one operation, each after a refusal
+     * @param window how long keys are accepted and kept
+     * @param limits limits of the memory
      */
     public HomeLedger(
             VmIdentity self, int maxAttempts, RetentionWindow window, TableLimits limits) {
@@ -36,12 +37,11 @@
     }
 
     /**
-     * Takes in a guarded request, from a caller or forwarded by another VM.
+     * Starts the operation of a request from a caller or another VM, or answers a repeated one.
      *
-     * @param operation its customer and key
-     * @param digest digest of its content, to tell a repeat from another request
-     * @param deadlineMillis when it is no longer worth starting, by this VM's clock
-     * @param nowMillis this VM's clock
+     * @param digest digest of the request's content, to distinguish a repeat from another request
+     * @param deadlineMillis time after which the request is not dispatched, by this VM's clock
+     * @param nowMillis the current time of this VM's clock
      */
     public BeginResult begin(
             Operation operation, String digest, long deadlineMillis, long nowMillis) {
@@ -64,12 +64,10 @@
     }
 
     /**
-     * Answers what became of an operation; a key not seen so far is refused for good by being asked
-     * for.
+     * Returns the outcome of an operation. Refuses an unknown key for good.
      *
-     * @param operation the operation asked for
-     * @param nowMillis this VM's clock
-     * @return the answer; empty if this VM isn't the key's home
+     * @param nowMillis the current time of this VM's clock
+     * @return the outcome; empty if this VM isn't the key's home
      */
     public Optional<OperationAnswer> query(Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
@@ -82,15 +80,15 @@
         }
         return mTable.find(operation)
                 .map(HomeRecord::answer)
-                .or(() -> Optional.of(refuse(operation, askedFirst())));
+                .or(() -> Optional.of(refuse(operation, queriedFirst())));
     }
 
-    /** Takes in the witness's reply to an intent. */
+    /** Records the witness's reply to an intent; dispatches or abandons the operation. */
     public HomeAction witnessReplied(Operation operation, IntentReply reply, long nowMillis) {
         mTable.advance(nowMillis);
         Optional<HomeRecord> known = mTable.find(operation).filter(this::awaitsWitness);
         if (known.isEmpty()) {
-            return late(operation);
+            return onLateEvent(operation);
         }
         if (!mayDispatch(reply)) {
             return abandon(operation, known.get(), reply.reason());
@@ -98,87 +96,91 @@
         return dispatch(operation, known.get(), nowMillis);
     }
 
-    /** Gives an operation up whose witness has not replied in time, or whose caller has left. */
+    /**
+     * Abandons an operation whose witness has not replied in time or whose caller has disconnected.
+     */
     public HomeAction witnessTimedOut(Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
         return mTable.find(operation)
                 .filter(record -> record.state() == State.AWAITING_WITNESS)
                 .map(record -> abandon(operation, record, NotRunReason.WITNESS_SILENT))
-                .orElseGet(() -> late(operation));
+                .orElseGet(() -> onLateEvent(operation));
     }
 
     /**
-     * Takes in the proof that an attempt ran nothing: no byte of it was sent, or the target refused
-     * it by the protocol's own means.
+     * Records that an attempt certainly did not run, because no byte was sent or the target refused
+     * the request at protocol level. Dispatches the operation again or abandons it.
      *
-     * @param operation the operation
-     * @param attempt the number of the attempt that was refused
-     * @param anotherTarget whether there is a target left to offer it to
-     * @param nowMillis this VM's clock
+     * @param attempt the number of the refused attempt
+     * @param anotherTarget whether another target is left
+     * @param nowMillis the current time of this VM's clock
      */
     public HomeAction targetRefused(
             Operation operation, int attempt, boolean anotherTarget, long nowMillis) {
         mTable.advance(nowMillis);
-        // Proof about an earlier attempt says nothing on the one now open.
+        // A refusal of an earlier attempt proves nothing about the open one.
         Optional<HomeRecord> known = openAttempt(operation, attempt);
         if (known.isEmpty()) {
-            return late(operation);
+            return onLateEvent(operation);
         }
-        boolean given = known.get().state() == State.RESPONSE_LOST;
-        if (given || !anotherTarget || attempt >= mMaxAttempts) {
+        boolean outcomeUnknown = known.get().state() == State.RESPONSE_LOST;
+        if (outcomeUnknown || !anotherTarget || attempt >= mMaxAttempts) {
             return abandon(operation, known.get(), NotRunReason.TARGETS_REFUSED);
         }
         return dispatch(operation, known.get(), nowMillis);
     }
 
-    /** Takes in that an attempt may have run but its answer has not come: time-out or broken. */
+    /** Records that an attempt may have run, but its response was lost or timed out. */
     public HomeAction responseLost(Operation operation, int attempt, long nowMillis) {
         mTable.advance(nowMillis);
         Optional<HomeRecord> known = openAttempt(operation, attempt);
         if (known.isEmpty()) {
-            return late(operation);
+            return onLateEvent(operation);
         }
-        HomeRecord lost = known.get().withResponseLost();
-        mTable.replace(operation, lost);
-        return new HomeAction.Respond(lost.answer(), Optional.empty());
+        HomeRecord updated = known.get().withResponseLost();
+        mTable.replace(operation, updated);
+        return new HomeAction.Respond(updated.answer(), Optional.empty());
     }
 
     /**
-     * Takes in the whole answer of a target, also after {@link #responseLost}. Who waits for that
-     * answer gets it whole in any case; the action tells what is kept and what repeats are told.
+     * Records the complete response of a target, also after {@link #responseLost}. The action's
+     * answer has the complete result; repeats may get a shortened one.
      */
     public HomeAction finished(
             Operation operation, int attempt, RecordedResult result, long nowMillis) {
         mTable.advance(nowMillis);
         Optional<HomeRecord> known = openAttempt(operation, attempt);
         if (known.isEmpty()) {
-            return late(operation);
+            return onLateEvent(operation);
         }
-        RecordedResult kept = mTable.fitResult(operation, result);
-        mTable.replace(operation, known.get().withResult(kept));
+        RecordedResult recorded = mTable.fitResult(operation, result);
+        mTable.replace(operation, known.get().withResult(recorded));
         OperationAnswer answer = new OperationAnswer.Result(result);
-        return new HomeAction.Respond(answer, Optional.of(OutcomeNotice.ran(operation, kept)));
+        return new HomeAction.Respond(answer, Optional.of(OutcomeNotice.ran(operation, recorded)));
     }
 
-    /** Returns how many keys are on record. */
+    /** Returns the number of recorded keys. */
     public int size() {
         return mTable.size();
     }
 
-    /** Tells whether the key names this very life; a later life knows nothing of what ran. */
+    /** Returns whether the key names this VM incarnation; another one has no record of what ran. */
     boolean isHomeOf(OperationKey key) {
         return key.home().equals(mSelf);
     }
 
     /**
-     * Guards against a reply that comes twice or after the home has given up: it would dispatch a
-     * key that was already dispatched or already answered "not run".
+     * Returns whether the witness's reply is still awaited. A duplicate or late reply must not
+     * dispatch an operation that was already dispatched or answered with "not run".
      */
     boolean awaitsWitness(HomeRecord record) {
         return record.state() == State.AWAITING_WITNESS;
     }
 
-    /** Guards against a run of which the witness knows nothing and answers "not run" later. */
+    /**
+     * Returns whether the witness has recorded the intent; otherwise it could later answer "not
+     * run".
+     */
     boolean mayDispatch(IntentReply reply) {
         return reply == IntentReply.ACCEPTED;
     }
@@ -187,17 +189,17 @@
         return new BeginResult.Answered(answer);
     }
 
-    private static HomeRecord askedFirst() {
+    private static HomeRecord queriedFirst() {
         return HomeRecord.tombstone("", NotRunReason.ASKED_FIRST);
     }
 
     private static OperationAnswer answerRepeat(HomeRecord known, String digest) {
-        boolean other = !known.digest().equals(digest) && known.state() != State.NOT_RUN;
-        return other ? new OperationAnswer.Mismatch() : known.answer();
+        boolean mismatch = !known.digest().equals(digest) && known.state() != State.NOT_RUN;
+        return mismatch ? new OperationAnswer.Mismatch() : known.answer();
     }
 
-    /** Answers those who still wait for an operation whose record has expired meanwhile. */
-    private HomeAction late(Operation operation) {
+    /** Ignores a late event, or answers the waiting callers if the record has expired. */
+    private HomeAction onLateEvent(Operation operation) {
         if (mTable.find(operation).isPresent()) {
             return new HomeAction.Ignore();
         }
@@ -205,14 +207,16 @@
         return new HomeAction.Respond(answer, Optional.empty());
     }
 
-    /** Guards against a late report on one attempt that would end, or repeat, the next. */
+    /**
+     * Returns the record if the attempt is still open; a late report must not affect the next one.
+     */
     Optional<HomeRecord> openAttempt(Operation operation, int attempt) {
         return mTable.find(operation).filter(record -> record.isOpenAttempt(attempt));
     }
 
     /**
-     * Says "not run" only once that is on record; else a repeat of the key that arrives when there
-     * is room again would run, after its caller had already gone on to a new key.
+     * Answers "not run" only if the refusal is recorded; otherwise a later repeat of the key could
+     * run after the caller has switched to a new key.
      */
     private OperationAnswer refuse(Operation operation, HomeRecord tombstone) {
         if (!mTable.addRefusal(operation, tombstone)) {
@@ -222,8 +226,8 @@
     }
 
     private HomeAction dispatch(Operation operation, HomeRecord record, long nowMillis) {
-        // A home frozen since the acknowledgement wakes with a request nobody waits for. It alone
-        // dispatches the key, so giving it up here is proof that it never runs.
+        // A home that was paused drops requests that nobody waits for. Only the home dispatches the
+        // key, so the operation never runs.
         if (nowMillis > record.deadlineMillis()) {
             return abandon(operation, record, NotRunReason.DEADLINE_PASSED);
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/HomeRecord.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/HomeRecord.java
@@ -3,14 +3,13 @@
 import java.util.Optional;
 
 /**
- * What a home knows of one operation.
+ * The record of one operation at its home.
  *
- * @param digest digest of the request's content; empty if only the outcome was asked for
- * @param deadlineMillis when the request is no longer worth starting, by the home's clock
+ * @param digest digest of the request's content; empty if only the outcome was queried
+ * @param deadlineMillis time after which the request is not dispatched, by the home's clock
  * @param attempt number of the last dispatch; 0 before the first
- * @param state how far the operation has come
  * @param result the result; only with {@link State#RAN}
- * @param reason the proof; only with {@link State#NOT_RUN}
+ * @param reason why it did not run; only with {@link State#NOT_RUN}
  */
 record HomeRecord(
         String digest,
@@ -20,7 +19,7 @@
         Optional<RecordedResult> result,
         Optional<NotRunReason> reason) {
 
-    /** How far an operation has come at its home. */
+    /** The progress of an operation at its home. */
     enum State {
         AWAITING_WITNESS,
         DISPATCHED,
@@ -52,20 +51,30 @@
         return new HomeRecord(digest, deadlineMillis, attempt, State.RESPONSE_LOST, result, reason);
     }
 
-    HomeRecord withResult(RecordedResult kept) {
+    HomeRecord withResult(RecordedResult recorded) {
         return new HomeRecord(
-                digest, deadlineMillis, attempt, State.RAN, Optional.of(kept), Optional.empty());
+                digest,
+                deadlineMillis,
+                attempt,
+                State.RAN,
+                Optional.of(recorded),
+                Optional.empty());
     }
 
-    HomeRecord withNotRun(NotRunReason why) {
+    HomeRecord withNotRun(NotRunReason newReason) {
         return new HomeRecord(
-                digest, deadlineMillis, attempt, State.NOT_RUN, Optional.empty(), Optional.of(why));
+                digest,
+                deadlineMillis,
+                attempt,
+                State.NOT_RUN,
+                Optional.empty(),
+                Optional.of(newReason));
     }
 
-    /** Tells whether the given attempt is the last one and its end is still open. */
-    boolean isOpenAttempt(int endedAttempt) {
+    /** Returns whether the attempt is the last one and its outcome is still open. */
+    boolean isOpenAttempt(int reportedAttempt) {
         boolean open = state == State.DISPATCHED || state == State.RESPONSE_LOST;
-        return open && attempt == endedAttempt;
+        return open && attempt == reportedAttempt;
     }
 
     OperationAnswer answer() {
--- a/decisions/src/main/java/org/dahliapass/decisions/once/Operation.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/Operation.java
@@ -1,9 +1,10 @@
 package org.dahliapass.decisions.once;
 
 /**
- * Identifies one guarded operation in the fleet: the same key of two customers is two operations.
+ * The fleet-wide identity of an at-most-once operation; the same key of two customers identifies
+ * two operations.
  *
- * @param customer the customer whose template the request falls under
- * @param key the key that the caller sent
+ * @param customer the customer whose template applies to the request
+ * @param key the idempotency key that the caller sent
  */
 public record Operation(String customer, OperationKey key) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationAnswer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationAnswer.java
@@ -1,35 +1,35 @@
 package org.dahliapass.decisions.once;
 
-/** What may truthfully be said about an operation to whoever sends or asks for its key. */
+/** The answer to a request or query for the key of an operation. */
 public sealed interface OperationAnswer {
 
     /**
      * The operation ran once, with this result.
      *
-     * @param result what the target answered, as far as it is kept
+     * @param result the target's response, possibly shortened
      */
     record Result(RecordedResult result) implements OperationAnswer {}
 
-    /** The home is working on the operation; ask again by the key. */
+    /** The operation is in progress at its home; query the key again later. */
     record InProgress() implements OperationAnswer {}
 
     /**
      * The operation did not run and never will under this key; it may be sent under a new key.
      *
-     * @param reason the proof
+     * @param reason why it did not run
      */
     record NotRun(NotRunReason reason) implements OperationAnswer {}
 
     /**
-     * The operation may have run or may yet run; it must not be sent under a new key.
+     * The operation may have run or may still run; it must not be sent under a new key.
      *
-     * @param reason why it is not known
+     * @param reason why the outcome is unknown
      */
     record Unknown(UnknownReason reason) implements OperationAnswer {}
 
     /**
-     * The key already belongs to a request with other content. This says nothing on whether that
-     * request ran; the content sent now never runs under the key.
+     * The key belongs to a request with other content. Whether that request ran is not stated; the
+     * new content never runs under the key.
      */
     record Mismatch() implements OperationAnswer {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationKey.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationKey.java
@@ -5,42 +5,43 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Names one operation of a customer, as the {@code Idempotency-Key} header carries it.
+ * The idempotency key of one operation of a customer, carried in the {@code Idempotency-Key}
+ * header.
  *
- * @param token the part that an ask handed out
- * @param suffix the caller's own part; 1 to 64 letters, digits, hyphens and underscores
+ * @param token the part that discovery issued
+ * @param suffix the caller's unique part; 1 to 64 letters, digits, hyphens and underscores
  */
 public record OperationKey(OperationToken token, String suffix) {
 
-    /** Longest text of a key, in characters. */
+    /** Maximum length of a key, in characters. */
     public static final int MAX_LENGTH = OperationToken.MAX_LENGTH + 1 + 64;
 
-    private static final Pattern UNIQUE = Pattern.compile("[A-Za-z0-9_-]{1,64}");
+    private static final Pattern SUFFIX = Pattern.compile("[A-Za-z0-9_-]{1,64}");
 
     /**
-     * Rejects a unique part with other characters or another length.
+     * Creates a key.
      *
-     * @throws IllegalArgumentException if {@code unique} is malformed
+     * @throws IllegalArgumentException if {@code suffix} has other characters or another length
      */
     public OperationKey {
-        if (!UNIQUE.matcher(suffix).matches()) {
+        if (!SUFFIX.matcher(suffix).matches()) {
             throw new IllegalArgumentException(
-                    "The unique part must be 1 to 64 letters, digits, hyphens or underscores.");
+                    "The key's suffix must be 1 to 64 letters, digits, hyphens or underscores.");
         }
     }
 
-    /** Reads a key; empty unless the text is exactly what {@link #toString} writes. */
+    /** Parses a key; returns empty unless the text is exactly what {@link #toString} writes. */
     public static Optional<OperationKey> parse(String text) {
         int lastDot = text.lastIndexOf('.');
         if (text.length() > MAX_LENGTH || lastDot < 0) {
             return Optional.empty();
         }
-        String unique = text.substring(lastDot + 1);
-        if (!UNIQUE.matcher(unique).matches()) {
+        String suffix = text.substring(lastDot + 1);
+        if (!SUFFIX.matcher(suffix).matches()) {
             return Optional.empty();
         }
         return OperationToken.parse(text.substring(0, lastDot))
-                .map(token -> new OperationKey(token, unique));
+                .map(token -> new OperationKey(token, suffix));
     }
 
     /** Returns the only VM incarnation that may dispatch this key. */
@@ -48,17 +49,17 @@
         return token.home();
     }
 
-    /** Returns the VM incarnation that must know of this key before it is dispatched. */
+    /** Returns the VM incarnation that must record the intent before this key is dispatched. */
     public VmIdentity witness() {
         return token.witness();
     }
 
-    /** Returns when the key's token was handed out, in milliseconds since the epoch. */
+    /** Returns when the key's token was issued, in milliseconds since the epoch. */
     public long issuedMillis() {
         return token.issuedMillis();
     }
 
-    /** Writes {@code home.witness.born.unique}. */
+    /** Returns {@code home.witness.issued.suffix}. */
     @Override
     public String toString() {
         return token + "." + suffix;
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationTable.java
@@ -7,22 +7,20 @@
 import java.util.PriorityQueue;
 
 /**
- * Keeps one record per operation within bounds, and drops a record only when its key has expired.
+ * A bounded table with one record per operation; a record is evicted only when its key has expired.
  *
- * @param <R> the record kept
+ * @param <R> the type of a record
  */
 class OperationTable<R> {
 
-    /**
-     * Estimated bytes of a record without its result: the longest key, digest and index entries.
-     */
+    /** Estimated bytes of a record without its result, for the longest key and digest. */
     static final int BASE_BYTES = 1_024;
 
     private final RetentionWindow mWindow;
     private final TableLimits mLimits;
     private final Map<Operation, R> mRecords = new HashMap<>();
     private final Map<Operation, Long> mResultBytes = new HashMap<>();
-    private final PriorityQueue<Operation> mOldestFirst =
+    private final PriorityQueue<Operation> mByAge =
             new PriorityQueue<>(
                     Comparator.comparingLong(operation -> operation.key().issuedMillis()));
     private long mBytes;
@@ -33,16 +31,16 @@
         mLimits = limits;
     }
 
-    /** Takes the time in and drops what has expired; time never goes back for the table. */
+    /** Advances the table's time, which never goes back, and evicts expired records. */
     void advance(long nowMillis) {
-        // A clock that went back would take a key again whose record is gone, and run it twice.
+        // If the clock went back, a key whose record was evicted would be accepted and run again.
         mNowMillis = Math.max(mNowMillis, nowMillis);
-        while (!mOldestFirst.isEmpty() && canEvict(mOldestFirst.peek(), mNowMillis)) {
-            drop(mOldestFirst.poll());
+        while (!mByAge.isEmpty() && canEvict(mByAge.peek(), mNowMillis)) {
+            remove(mByAge.poll());
         }
     }
 
-    /** Returns why the key isn't taken at the table's time; empty if it is. */
+    /** Returns why the key is refused at the table's time; empty if it is accepted. */
     Optional<UnknownReason> refusal(OperationKey key) {
         return mWindow.refusal(key.issuedMillis(), mNowMillis);
     }
@@ -51,12 +49,14 @@
         return Optional.ofNullable(mRecords.get(operation));
     }
 
-    /** Adds a record that leads to a run; false, with nothing changed, if there is no room. */
+    /**
+     * Adds a record of an operation to run; returns false and changes nothing if the table is full.
+     */
     boolean add(Operation operation, R record) {
         return add(operation, record, mLimits.maxRecords() - mLimits.reservedRefusals());
     }
 
-    /** Adds a record that forbids a run; false, with nothing changed, if there is no room. */
+    /** Adds a record that forbids a run; returns false and changes nothing if the table is full. */
     boolean addRefusal(Operation operation, R record) {
         return add(operation, record, mLimits.maxRecords());
     }
@@ -66,14 +66,14 @@
         mRecords.replace(operation, record);
     }
 
-    /** Returns as much of a result as there is room for, and takes that room. */
+    /** Returns as much of a result as the limits allow, and counts its bytes. */
     RecordedResult fitResult(Operation operation, RecordedResult result) {
         boolean bodyIsLong =
                 result.body().map(RecordedBody::length).orElse(0) > mLimits.maxBodyBytes();
-        if (!bodyIsLong && takeBytes(operation, result)) {
+        if (!bodyIsLong && reserveBytes(operation, result)) {
             return result;
         }
-        if (takeBytes(operation, result.withoutBody())) {
+        if (reserveBytes(operation, result.withoutBody())) {
             return result.withoutBody();
         }
         return result.statusOnly();
@@ -87,20 +87,22 @@
         return mBytes;
     }
 
-    /** Guards against a repeated key that finds no record and runs again. */
+    /** Returns whether a record can be evicted: its key has expired, so a repeat is refused. */
     boolean canEvict(Operation operation, long nowMillis) {
         return mWindow.isExpired(operation.key().issuedMillis(), nowMillis);
     }
 
-    /** Guards against room made by dropping a live record, whose key would then run again. */
+    /**
+     * Returns whether there is capacity for another record; live records are never evicted for it.
+     */
     boolean hasCapacity(int maxRecords) {
         return mRecords.size() < maxRecords && mBytes + BASE_BYTES <= mLimits.maxBytes();
     }
 
-    /** Removes the oldest record, expired or not. */
+    /** Evicts the oldest record, expired or not. */
     final void evictOldest() {
-        if (!mOldestFirst.isEmpty()) {
-            drop(mOldestFirst.poll());
+        if (!mByAge.isEmpty()) {
+            remove(mByAge.poll());
         }
     }
 
@@ -109,12 +111,12 @@
             return false;
         }
         mRecords.put(operation, record);
-        mOldestFirst.add(operation);
+        mByAge.add(operation);
         mBytes += BASE_BYTES;
         return true;
     }
 
-    private boolean takeBytes(Operation operation, RecordedResult result) {
+    private boolean reserveBytes(Operation operation, RecordedResult result) {
         long bytes = result.bytes();
         if (mBytes + bytes > mLimits.maxBytes() || mResultBytes.containsKey(operation)) {
             return false;
@@ -124,7 +126,7 @@
         return true;
     }
 
-    private void drop(Operation operation) {
+    private void remove(Operation operation) {
         mRecords.remove(operation);
         Long resultBytes = mResultBytes.remove(operation);
         mBytes -= BASE_BYTES + (resultBytes == null ? 0 : resultBytes);
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OperationToken.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OperationToken.java
@@ -6,17 +6,16 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Binds keys to the only process that may run them and to the one witness that must know first.
+ * A token that binds keys to their home and witness. Discovery issues it; callers append a unique
+ * suffix to make a key.
  *
- * <p>The answer to an ask hands it out; callers append their own unique part to make a key.
- *
- * @param home the only VM incarnation that ever dispatches a key with this token
+ * @param home the only VM incarnation that dispatches a key with this token
  * @param witness the VM incarnation that acknowledges the intent before the home dispatches
- * @param issuedMillis when the token was handed out, milliseconds since the epoch by the asked VM
+ * @param issuedMillis when the token was issued, in milliseconds since the epoch by the issuing VM
  */
 public record OperationToken(VmIdentity home, VmIdentity witness, long issuedMillis) {
 
-    /** Longest text of a token, in characters. */
+    /** Maximum length of a token, in characters. */
     static final int MAX_LENGTH = 2 * (63 + 1 + 13) + 2 + 13;
 
     private static final String IDENTITY = "([A-Za-z0-9-]{1,63}~[0-9a-z]{1,13})";
@@ -24,20 +23,19 @@
             Pattern.compile(IDENTITY + "\\." + IDENTITY + "\\.([0-9a-z]{1,13})");
 
     /**
-     * Rejects a token whose home is its own witness.
+     * Creates a token.
      *
-     * @throws IllegalArgumentException if home and witness are lives of the same VM
+     * @throws IllegalArgumentException if home and witness are incarnations of the same VM
      */
     public OperationToken {
-        // A VM that is its own witness takes the intent along when it dies, and nobody could tell
-        // a key that ran from one that did not.
+        // If the home were its own witness, the recorded intent would be lost with it.
         if (home.name().equals(witness.name())) {
             throw new IllegalArgumentException(
-                    "Home and witness are both " + home.name() + "; name two different VMs.");
+                    "Home and witness must be different VMs, but both are " + home.name() + ".");
         }
     }
 
-    /** Reads a token; empty unless the text is exactly what {@link #toString} writes. */
+    /** Parses a token; returns empty unless the text is exactly what {@link #toString} writes. */
     public static Optional<OperationToken> parse(String text) {
         if (text.length() > MAX_LENGTH) {
             return Optional.empty();
@@ -48,19 +46,19 @@
         }
         Optional<VmIdentity> home = VmIdentity.parse(matcher.group(1));
         Optional<VmIdentity> witness = VmIdentity.parse(matcher.group(2));
-        Optional<Long> born = parseBorn(matcher.group(3));
-        if (home.isEmpty() || witness.isEmpty() || born.isEmpty()) {
+        Optional<Long> issued = parseIssued(matcher.group(3));
+        if (home.isEmpty() || witness.isEmpty() || issued.isEmpty()) {
             return Optional.empty();
         }
         if (home.get().name().equals(witness.get().name())) {
             return Optional.empty();
         }
-        // Two spellings of one number would make one key look like two; only the canonical counts.
-        return Optional.of(new OperationToken(home.get(), witness.get(), born.get()))
+        // Only the canonical form is accepted; two spellings of a key would be two operations.
+        return Optional.of(new OperationToken(home.get(), witness.get(), issued.get()))
                 .filter(token -> token.toString().equals(text));
     }
 
-    private static Optional<Long> parseBorn(String text) {
+    private static Optional<Long> parseIssued(String text) {
         try {
             return Optional.of(Long.parseLong(text, Character.MAX_RADIX));
         } catch (NumberFormatException expected) {
@@ -68,7 +66,7 @@
         }
     }
 
-    /** Writes {@code home.witness.born}, the time in base 36. */
+    /** Returns {@code home.witness.issued}, the time in base 36. */
     @Override
     public String toString() {
         return home + "." + witness + "." + Long.toString(issuedMillis, Character.MAX_RADIX);
--- a/decisions/src/main/java/org/dahliapass/decisions/once/OutcomeNotice.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/OutcomeNotice.java
@@ -3,10 +3,9 @@
 import java.util.Optional;
 
 /**
- * Tells the witness how an operation ended; sent by its home, at most a few times, never awaited.
+ * A notice from a home to a witness about the outcome of an operation; best effort.
  *
- * @param operation the operation that ended
- * @param result what it answered; empty if it was abandoned and never runs
+ * @param result the operation's result; empty if it was abandoned and never runs
  */
 public record OutcomeNotice(Operation operation, Optional<RecordedResult> result) {
 
--- a/decisions/src/main/java/org/dahliapass/decisions/once/RecordedBody.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/RecordedBody.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Holds the immutable bytes of a kept result's body. */
+/** The immutable body of a recorded result. */
 public final class RecordedBody {
 
     private final byte[] mBytes;
@@ -11,7 +11,7 @@
         mBytes = bytes;
     }
 
-    /** Copies the bytes of a body. */
+    /** Returns a body with a copy of the bytes. */
     public static RecordedBody copyOf(byte[] bytes) {
         return new RecordedBody(bytes.clone());
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/RecordedHeader.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/RecordedHeader.java
@@ -1,11 +1,6 @@
 package org.dahliapass.decisions.once;
 
-/**
- * One header of a kept result.
- *
- * @param name the header's name
- * @param value the header's value
- */
+/** A header of a recorded result. */
 public record RecordedHeader(String name, String value) {
 
     int bytes() {
--- a/decisions/src/main/java/org/dahliapass/decisions/once/RecordedResult.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/RecordedResult.java
@@ -4,17 +4,16 @@
 import java.util.Optional;
 
 /**
- * The answer of the target that ran an operation, as far as it is kept for repeats.
+ * The response of the target that ran an operation, recorded for repeats.
  *
- * @param status the HTTP status that the target answered
- * @param headers the selected headers of that answer
- * @param body the body; empty if it was too large to keep, which is not the same as a body of 0
- *     bytes
+ * @param status the HTTP status
+ * @param headers the selected headers
+ * @param body the body; empty if it was too large to record, unlike a body of 0 bytes
  */
 public record RecordedResult(
         int status, List<RecordedHeader> headers, Optional<RecordedBody> body) {
 
-    /** Copies the headers. */
+    /** Creates a result with a copy of the headers. */
     public RecordedResult {
         headers = List.copyOf(headers);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/Resolver.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/Resolver.java
@@ -3,12 +3,11 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Finds the answer for a key whose home is another VM: the home's word, else the witness's, else
- * unknown.
+ * Resolves the outcome of a key whose home is another VM: asks the home, then the witness, else the
+ * outcome is unknown.
  *
- * <p>It never says "not run" of its own, not even when it sent nothing: another VM may have got the
- * same key at the same time. Only the home and the witness incarnations that the key names may say
- * so, since each has it on record before it says it.
+ * <p>Never answers "not run" itself, because another VM may have received the same key at the same
+ * time. Only the home and witness incarnations that the key names answer so, after recording it.
  */
 public class Resolver {
 
@@ -16,9 +15,9 @@
     private final WitnessRegister mOwnRegister;
 
     /**
-     * Makes a resolver.
+     * Creates a resolver.
      *
-     * @param self this life of this VM
+     * @param self this VM incarnation
      * @param ownRegister this VM's register, for keys that name it as their witness
      */
     public Resolver(VmIdentity self, WitnessRegister ownRegister) {
@@ -26,27 +25,27 @@
         mOwnRegister = ownRegister;
     }
 
-    /** Begins with a key whose home isn't this life of this VM. */
+    /** Returns the first step for a key whose home isn't this VM incarnation. */
     public ResolverStep start(Operation operation, long nowMillis) {
         VmIdentity home = operation.key().home();
-        // The former life of this VM is gone, and this life knows nothing of what it dispatched.
+        // This incarnation has no record of what an earlier one of this VM dispatched.
         if (home.name().equals(mSelf.name())) {
             return homeUnavailable(operation, nowMillis);
         }
         return new ResolverStep.ForwardToHome(home);
     }
 
-    /** Takes in the answer of the VM at the home's address. */
+    /** Returns the next step after an answer of the VM at the home's address. */
     public ResolverStep homeAnswered(
             Operation operation, VmIdentity from, OperationAnswer answer, long nowMillis) {
-        // A restarted home has an empty ledger; what it says on its former life's keys is no word.
+        // A restarted home has no record of the keys of its earlier incarnation.
         if (!from.equals(operation.key().home())) {
             return homeUnavailable(operation, nowMillis);
         }
         return new ResolverStep.Answer(answer);
     }
 
-    /** Goes on to the witness when the home can't be reached, has changed, or does not answer. */
+    /** Returns the next step if the home is unreachable, was restarted or does not answer. */
     public ResolverStep homeUnavailable(Operation operation, long nowMillis) {
         VmIdentity witness = operation.key().witness();
         if (witness.name().equals(mSelf.name())) {
@@ -55,7 +54,7 @@
         return new ResolverStep.QueryWitness(witness);
     }
 
-    /** Takes in the answer of the VM at the witness's address. */
+    /** Returns the next step after an answer of the VM at the witness's address. */
     public ResolverStep witnessAnswered(
             Operation operation, VmIdentity from, OperationAnswer answer) {
         if (!from.equals(operation.key().witness())) {
@@ -64,7 +63,7 @@
         return new ResolverStep.Answer(answer);
     }
 
-    /** Ends when the witness can't be reached or does not answer. */
+    /** Returns the final step if the witness is unreachable or does not answer. */
     public ResolverStep witnessUnavailable() {
         return unknown(UnknownReason.NO_WORD);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/ResolverStep.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/ResolverStep.java
@@ -2,27 +2,28 @@
 
 import org.dahliapass.model.VmIdentity;
 
-/** What a VM does next for a key whose home is another VM. */
+/** The next step in resolving a key whose home is another VM. */
 public sealed interface ResolverStep {
 
     /**
-     * Forward the request or the question to the key's home, and report its answer or silence.
+     * Forward the request or query to the key's home, and report its answer or that it is
+     * unavailable.
      *
-     * @param home where to send it
+     * @param home the VM incarnation to send it to
      */
     record ForwardToHome(VmIdentity home) implements ResolverStep {}
 
     /**
-     * Ask the key's witness what became of it, and report its answer or silence.
+     * Query the key's witness for the outcome, and report its answer or that it is unavailable.
      *
-     * @param witness where to ask
+     * @param witness the VM incarnation to query
      */
     record QueryWitness(VmIdentity witness) implements ResolverStep {}
 
     /**
      * Answer the caller.
      *
-     * @param answer what to say
+     * @param answer the answer for the caller
      */
     record Answer(OperationAnswer answer) implements ResolverStep {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/TableLimits.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/TableLimits.java
@@ -1,12 +1,12 @@
 package org.dahliapass.decisions.once;
 
 /**
- * Bounds the memory of one table of operations.
+ * The memory limits of an {@link OperationTable}.
  *
- * @param maxRecords records of any sort
- * @param reservedRefusals how many of these only refusals may take, so that a full VM can still
- *     promise that a key never runs
- * @param maxBytes estimated bytes of all records
- * @param maxBodyBytes longest body that is kept with a result, in bytes
+ * @param maxRecords maximum number of records
+ * @param reservedRefusals number of these that are reserved for refusals, so that a full VM can
+ *     still record that a key never runs
+ * @param maxBytes maximum estimated bytes of all records
+ * @param maxBodyBytes maximum size of a recorded body, in bytes
  */
 public record TableLimits(int maxRecords, int reservedRefusals, long maxBytes, int maxBodyBytes) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/once/UnknownReason.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/UnknownReason.java
@@ -1,26 +1,28 @@
 package org.dahliapass.decisions.once;
 
-/** Tells why nobody can say whether an operation ran. Sending the same key again is always safe. */
+/**
+ * The reason why the outcome of an operation is unknown. Sending the same key again is always safe.
+ */
 public enum UnknownReason {
-    /** The key is older than the time for which outcomes are kept; it is never run any more. */
+    /** The key is older than the retention time of outcomes and never runs. */
     EXPIRED("the key has expired", false),
-    /** The key claims to be born later than this VM's clock and its margin allow. */
-    NOT_YET_VALID("the key's time lies in the future", true),
-    /** A target got the request, and its answer has not come. */
+    /** The key's issue time is ahead of this VM's clock by more than the allowed skew. */
+    NOT_YET_VALID("the key's time is in the future", true),
+    /** A target received the request, and its response was not received. */
     MAY_HAVE_RUN("a target may have run it", true),
-    /** There is no room to write down a refusal, so none may be promised. */
-    TABLE_FULL("the VM has no room to record the key", true),
-    /** The witness that knew was restarted; only the home, should it come back, can tell. */
+    /** The table is full, so the VM can't record that the key never runs. */
+    TABLE_FULL("the VM has no capacity to record the key", true),
+    /** The witness was restarted; only the home may still know the outcome. */
     WITNESS_RESTARTED("the witness has restarted", true),
-    /** Neither the home nor the witness gave word. */
-    NO_WORD("neither the home nor the witness answers", true);
+    /** Neither the home nor the witness answered. */
+    NO_WORD("neither the home nor the witness answered", true);
 
     private final String mExplanation;
-    private final boolean mMayBeSettledLater;
+    private final boolean mMayResolveLater;
 
-    UnknownReason(String explanation, boolean mayBeSettledLater) {
+    UnknownReason(String explanation, boolean mayResolveLater) {
         mExplanation = explanation;
-        mMayBeSettledLater = mayBeSettledLater;
+        mMayResolveLater = mayResolveLater;
     }
 
     /** Returns the reason as the second half of a sentence: "The outcome is unknown: ...". */
@@ -28,8 +30,8 @@
         return mExplanation;
     }
 
-    /** Tells whether asking again by the same key later can give another answer. */
+    /** Returns whether a later query of the same key can return another answer. */
     public boolean mayResolveLater() {
-        return mMayBeSettledLater;
+        return mMayResolveLater;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
@@ -4,14 +4,16 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Holds, for the keys that name this VM as their witness, what became of each.
+ * The witness's part of the at-most-once protocol: the register of the intents and outcomes of keys
+ * that name this VM incarnation as their witness.
  *
- * <p>Each entry is written once: absent, then intent, then result or not run; or absent, then
- * refused. Memory is bounded and nothing is dropped before its key has expired here.
+ * <p>An entry goes from absent to intent to result or not run, or from absent to refused. Memory is
+ * bounded, and no entry is evicted before its key has expired. Not thread-safe; confined to one
+ * thread.
  */
 public class WitnessRegister {
 
-    /** How far an entry has come. */
+    /** The state of an entry. */
     private enum State {
         INTENT,
         RESULT,
@@ -20,9 +22,8 @@
     }
 
     /**
-     * One entry.
+     * An entry of the register.
      *
-     * @param state how far it has come
      * @param result the result; only with {@link State#RESULT}
      */
     record Entry(State state, Optional<RecordedResult> result) {
@@ -36,11 +37,11 @@
     private final OperationTable<Entry> mTable;
 
     /**
-     * Makes an empty register.
+     * Creates an empty register.
      *
-     * @param self this life of this VM
-     * @param window how long keys are taken and kept
-     * @param limits bounds of the memory
+     * @param self this VM incarnation
+     * @param window how long keys are accepted and kept
+     * @param limits limits of the memory
      */
     public WitnessRegister(VmIdentity self, RetentionWindow window, TableLimits limits) {
         this(self, new OperationTable<>(window, limits));
@@ -52,16 +53,16 @@
     }
 
     /**
-     * Records that a home is about to dispatch; the same intent again gets the same reply.
+     * Records the intent of a home to dispatch an operation; a repeated intent gets the same reply.
      *
-     * @param from who sent the intent, as the connection or datagram proved it
-     * @param operation what is about to be dispatched
-     * @param nowMillis this VM's clock
+     * @param from the sender's identity, verified by the transport
+     * @param nowMillis the current time of this VM's clock
      */
     public IntentReply recordIntent(VmIdentity from, Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
-        // An acknowledgement by a life that the key does not name would be worth nothing: askers
-        // go to the named one. Nor may a home's later life dispatch for the earlier.
+        // Outcomes are queried only at the witness incarnation that the key names, and only the
+        // home
+        // incarnation that the key names may dispatch.
         if (!isWitnessOf(operation.key()) || !from.equals(operation.key().home())) {
             return IntentReply.WRONG_INCARNATION;
         }
@@ -78,12 +79,11 @@
     }
 
     /**
-     * Records how an operation ended; only the key's home may say so, and only the first end
-     * counts.
+     * Records the outcome of an operation; ignores notices that are not from the key's home and all
+     * but the first outcome.
      *
-     * @param from who sent the notice
-     * @param notice how the operation ended
-     * @param nowMillis this VM's clock
+     * @param from the sender's identity, verified by the transport
+     * @param nowMillis the current time of this VM's clock
      */
     public void recordOutcome(VmIdentity from, OutcomeNotice notice, long nowMillis) {
         mTable.advance(nowMillis);
@@ -99,26 +99,24 @@
         if (known.get().state() != State.INTENT) {
             return;
         }
-        Entry end =
+        Entry outcome =
                 notice.result()
                         .map(result -> mTable.fitResult(operation, result))
-                        .map(kept -> new Entry(State.RESULT, Optional.of(kept)))
+                        .map(recorded -> new Entry(State.RESULT, Optional.of(recorded)))
                         .orElse(Entry.of(State.NOT_RUN));
-        mTable.replace(operation, end);
+        mTable.replace(operation, outcome);
     }
 
     /**
-     * Answers what became of an operation whose home gives no word; an unknown key is refused for
-     * good by being asked for.
+     * Returns the outcome of an operation whose home is unavailable. Refuses an unknown key for
+     * good.
      *
-     * @param operation the operation asked for
-     * @param nowMillis this VM's clock
-     * @return result, not run, or unknown
+     * @param nowMillis the current time of this VM's clock
+     * @return a result, not run, or unknown
      */
     public OperationAnswer resolve(Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
-        // A restarted witness has an empty register. Answering "not run" from that would be false
-        // for each key that its former life acknowledged.
+        // A restarted witness has no record of the keys that its earlier incarnation acknowledged.
         if (!isWitnessOf(operation.key())) {
             return new OperationAnswer.Unknown(UnknownReason.WITNESS_RESTARTED);
         }
@@ -131,17 +129,17 @@
                 .orElseGet(() -> refuseAbsent(operation));
     }
 
-    /** Returns how many keys are on record. */
+    /** Returns the number of recorded keys. */
     public int size() {
         return mTable.size();
     }
 
-    /** Tells whether the key names this very life as its witness. */
+    /** Returns whether the key names this VM incarnation as its witness. */
     boolean isWitnessOf(OperationKey key) {
         return key.witness().equals(mSelf);
     }
 
-    /** Writes the refusal that makes "not run" stay true: every later intent for it fails. */
+    /** Records a refusal, so that every later intent for the operation fails. */
     boolean refuse(Operation operation) {
         return mTable.addRefusal(operation, Entry.of(State.REFUSED));
     }
@@ -153,10 +151,10 @@
         return new OperationAnswer.NotRun(NotRunReason.REFUSED_BY_WITNESS);
     }
 
-    /** An abandonment that overtakes its intent refuses that intent when it comes. */
+    /** Refuses an operation that was abandoned before its intent arrived. */
     private void refuseAfterEarlyNotice(OutcomeNotice notice) {
-        boolean taken = mTable.refusal(notice.operation().key()).isEmpty();
-        if (taken && notice.result().isEmpty()) {
+        boolean accepted = mTable.refusal(notice.operation().key()).isEmpty();
+        if (accepted && notice.result().isEmpty()) {
             refuse(notice.operation());
         }
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/HomeLedgerTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link HomeLedger}. */
+/** Tests for {@link HomeLedger}. */
 public final class HomeLedgerTest {
 
     private static final long DEADLINE = ISSUED + 5_000;
@@ -26,15 +26,13 @@
 
     private HomeLedger mLedger;
 
-    /** Each case begins with an empty ledger. */
     @BeforeMethod
-    public void makeLedger() {
+    public void createLedger() {
         mLedger = new HomeLedger(HOME, 2, WINDOW, LIMITS);
     }
 
-    /** One request, repeated at each stage: one dispatch, and the recorded result in the end. */
     @Test
-    public void repeatsNeverDispatchAgain() {
+    public void repeatsAreNotDispatchedAgain() {
         assertEquals(begin("x"), new BeginResult.SendIntent(WITNESS));
         assertEquals(begin("x"), answered(new OperationAnswer.InProgress()));
         assertEquals(accepted(), new HomeAction.Dispatch(1));
@@ -43,49 +41,43 @@
         OperationAnswer result = new OperationAnswer.Result(RESULT);
         assertEquals(
                 mLedger.finished(OPERATION, 1, RESULT, ISSUED),
-                settled(result, OutcomeNotice.ran(OPERATION, RESULT)));
+                respond(result, OutcomeNotice.ran(OPERATION, RESULT)));
         assertEquals(begin("x"), answered(result));
         assertEquals(begin("y"), answered(new OperationAnswer.Mismatch()));
     }
 
-    /**
-     * The witness's acknowledgement takes longer than the caller waits, so the caller is told "not
-     * run" and sends under a new key. Then the acknowledgement arrives; it must start nothing.
-     */
+    /** A late acknowledgement must not dispatch a key that was answered with "not run". */
     @Test
-    public void witnessTimedOutIsFinal() {
+    public void witnessTimeoutIsFinal() {
         begin("x");
         OperationAnswer answer = notRun(NotRunReason.WITNESS_SILENT);
         assertEquals(
                 mLedger.witnessTimedOut(OPERATION, ISSUED),
-                settled(answer, OutcomeNotice.abandoned(OPERATION)));
+                respond(answer, OutcomeNotice.abandoned(OPERATION)));
         assertEquals(accepted(), IGNORE);
         assertEquals(begin("x"), answered(answer));
         assertEquals(mLedger.query(OPERATION, ISSUED), Optional.of(answer));
     }
 
-    /** Whatever the witness replies but an acknowledgement ends in "not run". */
     @Test
-    public void witnessRepliedWithARefusalIsFinal() {
+    public void witnessRefusalIsFinal() {
         begin("x");
         assertEquals(
                 mLedger.witnessReplied(OPERATION, IntentReply.FULL, ISSUED),
-                settled(notRun(NotRunReason.WITNESS_FULL), OutcomeNotice.abandoned(OPERATION)));
+                respond(notRun(NotRunReason.WITNESS_FULL), OutcomeNotice.abandoned(OPERATION)));
         assertEquals(accepted(), IGNORE);
     }
 
-    /** A home that is frozen past the deadline wakes, gives up and stays with that. */
     @Test
-    public void witnessRepliedAfterTheDeadlineDispatchesNothing() {
+    public void witnessReplyAfterDeadlineIsNotDispatched() {
         begin("x");
         assertEquals(
                 mLedger.witnessReplied(OPERATION, IntentReply.ACCEPTED, DEADLINE + 1),
-                settled(notRun(NotRunReason.DEADLINE_PASSED), OutcomeNotice.abandoned(OPERATION)));
+                respond(notRun(NotRunReason.DEADLINE_PASSED), OutcomeNotice.abandoned(OPERATION)));
     }
 
-    /** A home that is frozen past the key's window wakes and knows the key no more. */
     @Test
-    public void witnessRepliedAfterTheWindowDispatchesNothing() {
+    public void witnessReplyAfterExpiryIsNotDispatched() {
         begin("x");
         OperationAnswer expired = unknown(UnknownReason.EXPIRED);
         assertEquals(
@@ -94,24 +86,20 @@
         assertEquals(mLedger.begin(OPERATION, "x", EXPIRED, EXPIRED), answered(expired));
     }
 
-    /**
-     * A target refuses an attempt and the next target gets it. The refusal is reported twice; the
-     * second report must not start a third run beside the second.
-     */
+    /** A duplicate refusal of the first attempt must not dispatch beside the second attempt. */
     @Test
-    public void targetRefusedCountsOnceForItsAttempt() {
+    public void duplicateTargetRefusalIsIgnored() {
         begin("x");
         accepted();
         assertEquals(mLedger.targetRefused(OPERATION, 1, true, ISSUED), new HomeAction.Dispatch(2));
         assertEquals(mLedger.targetRefused(OPERATION, 1, true, ISSUED), IGNORE);
         assertEquals(
                 mLedger.targetRefused(OPERATION, 2, true, ISSUED),
-                settled(notRun(NotRunReason.TARGETS_REFUSED), OutcomeNotice.abandoned(OPERATION)));
+                respond(notRun(NotRunReason.TARGETS_REFUSED), OutcomeNotice.abandoned(OPERATION)));
     }
 
-    /** A broken connection is no proof; the late answer settles it. */
     @Test
-    public void lostTouchIsUnknownUntilTheAnswerComes() {
+    public void lostResponseIsUnknownUntilResultArrives() {
         begin("x");
         accepted();
         OperationAnswer unknown = unknown(UnknownReason.MAY_HAVE_RUN);
@@ -123,30 +111,24 @@
         assertEquals(begin("x"), answered(new OperationAnswer.Result(RESULT)));
     }
 
-    /** A restarted home runs nothing of its former life. */
     @Test
-    public void beginLeavesOtherLivesAlone() {
+    public void keyOfOtherIncarnationIsNotBegun() {
         HomeLedger restarted = new HomeLedger(HOME_RESTARTED, 2, WINDOW, LIMITS);
         assertEquals(
                 restarted.begin(OPERATION, "x", DEADLINE, ISSUED), new BeginResult.WrongHome(HOME));
         assertEquals(restarted.query(OPERATION, ISSUED), Optional.empty());
     }
 
-    /** An outcome asked for before the request comes keeps the request from running. */
     @Test
-    public void queryRefusesAKeyNotSeen() {
+    public void queryRefusesUnknownKey() {
         OperationAnswer answer = notRun(NotRunReason.ASKED_FIRST);
         assertEquals(mLedger.query(OPERATION, ISSUED), Optional.of(answer));
         assertEquals(begin("x"), answered(answer));
     }
 
-    /**
-     * A full home turns a request down, and the caller goes on to a new key. The first key arrives
-     * again, late, when there is room. So "not run" needs its record, and without room for that the
-     * answer is unknown.
-     */
+    /** Without a recorded refusal, a repeat of the key could run after an answer "not run". */
     @Test
-    public void beginWithoutRoomPromisesNothing() {
+    public void fullLedgerAnswersUnknownWithoutRecordedRefusal() {
         mLedger.begin(operation("b"), "x", DEADLINE, ISSUED);
         mLedger.begin(operation("c"), "x", DEADLINE, ISSUED);
         OperationAnswer full = notRun(NotRunReason.HOME_FULL);
@@ -169,7 +151,7 @@
         return new BeginResult.Answered(answer);
     }
 
-    private static HomeAction settled(OperationAnswer answer, OutcomeNotice notice) {
+    private static HomeAction respond(OperationAnswer answer, OutcomeNotice notice) {
         return new HomeAction.Respond(answer, Optional.of(notice));
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFault.java
@@ -5,11 +5,11 @@
 import org.dahliapass.decisions.once.WitnessRegister.Entry;
 import org.dahliapass.model.VmIdentity;
 
-/** Makes the parts of a VM, each fault with one guard of the production classes taken out. */
+/** Creates the production classes of a VM; each fault disables one of their guards. */
 enum OnceFault {
     NONE,
 
-    NONE_WITH_ROOM {
+    NONE_WITH_LARGE_TABLES {
         @Override
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, new TableLimits(1_000, 10, 1_000_000, 16));
@@ -28,20 +28,20 @@
         }
     },
 
-    DISPATCHES_AFTER_TIMING_OUT {
+    DISPATCHES_AFTER_TIMEOUT {
         @Override
         HomeLedger ledger(VmIdentity self) {
             return new HomeLedger(self, MAX_ATTEMPTS, table()) {
                 @Override
                 boolean awaitsWitness(HomeRecord record) {
-                    boolean gaveUp = record.state() == State.NOT_RUN && record.attempt() == 0;
-                    return gaveUp || super.awaitsWitness(record);
+                    boolean abandoned = record.state() == State.NOT_RUN && record.attempt() == 0;
+                    return abandoned || super.awaitsWitness(record);
                 }
             };
         }
     },
 
-    DISPATCHES_FOR_FORMER_LIFE {
+    DISPATCHES_FOR_EARLIER_INCARNATION {
         @Override
         HomeLedger ledger(VmIdentity self) {
             return new HomeLedger(self, MAX_ATTEMPTS, table()) {
@@ -67,7 +67,7 @@
         }
     },
 
-    REFUSES_WITHOUT_WRITING {
+    REFUSES_WITHOUT_RECORDING {
         @Override
         WitnessRegister register(VmIdentity self) {
             return new WitnessRegister(self, table()) {
@@ -79,7 +79,7 @@
         }
     },
 
-    ANSWERS_FOR_FORMER_LIFE_OF_WITNESS {
+    ANSWERS_FOR_EARLIER_WITNESS_INCARNATION {
         @Override
         WitnessRegister register(VmIdentity self) {
             return new WitnessRegister(self, table()) {
@@ -102,7 +102,7 @@
         }
     },
 
-    DROPS_RECORDS_WHEN_FULL {
+    EVICTS_RECORDS_WHEN_FULL {
         @Override
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, LIMITS) {
@@ -117,7 +117,7 @@
         }
     },
 
-    REFUSES_WITHOUT_ROOM_TO_WRITE {
+    REFUSES_WITHOUT_CAPACITY {
         @Override
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, LIMITS) {
@@ -130,7 +130,7 @@
         }
     },
 
-    DROPS_RECORDS_EARLY {
+    EVICTS_RECORDS_EARLY {
         @Override
         <R> OperationTable<R> table() {
             return new OperationTable<>(WINDOW, LIMITS) {
@@ -143,7 +143,7 @@
         }
     },
 
-    SAYS_NOT_RUN_FOR_SILENCE {
+    ANSWERS_NOT_RUN_ON_TIMEOUT {
         @Override
         Resolver resolver(VmIdentity self, WitnessRegister register) {
             return new Resolver(self, register) {
@@ -160,9 +160,9 @@
     static final TableLimits LIMITS = new TableLimits(4, 1, 4 * OperationTable.BASE_BYTES + 20, 16);
     static final int MAX_ATTEMPTS = 2;
 
-    /** Tells whether nothing is taken out. */
+    /** Returns whether no guard is disabled. */
     boolean isNone() {
-        return this == NONE || this == NONE_WITH_ROOM;
+        return this == NONE || this == NONE_WITH_LARGE_TABLES;
     }
 
     HomeLedger ledger(VmIdentity self) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFixtures.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFixtures.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.dahliapass.model.VmIdentity;
 
-/** Names and keys that the tests of this package share. */
+/** Shared identities, keys and records for the tests of this package. */
 final class OnceFixtures {
 
     static final VmIdentity HOME = new VmIdentity("home-1", 7);
@@ -24,9 +24,9 @@
 
     private OnceFixtures() {}
 
-    static Operation operation(String unique) {
+    static Operation operation(String suffix) {
         return new Operation(
-                "suva", new OperationKey(new OperationToken(HOME, WITNESS, ISSUED), unique));
+                "suva", new OperationKey(new OperationToken(HOME, WITNESS, ISSUED), suffix));
     }
 
     static OperationAnswer notRun(NotRunReason reason) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceFuzzTest.java
@@ -15,10 +15,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Fuzzes home, witness and resolver together. A failure prints the seed and a schedule from which
- * no step can be left out without losing the failure.
+ * Fuzz test of home, witness and resolver together. A failure prints the seed and a minimal failing
+ * schedule.
  *
- * <p>{@code -Ddahliapass.fuzz.seconds=N} goes on for N seconds with new seeds.
+ * <p>{@code -Ddahliapass.fuzz.seconds=N} continues with new seeds for N seconds.
  */
 public final class OnceFuzzTest {
 
@@ -28,36 +28,36 @@
     private static final int FAULTLESS_STEPS = 30;
     private static final String SECONDS = "dahliapass.fuzz.seconds";
 
-    /** Small tables that are often full, and tables that never are. */
+    /** Provides small tables, which are often full, and large ones. */
     @DataProvider
-    public Object[][] sound() {
+    public Object[][] withoutFault() {
         return faultsWhere(true);
     }
 
-    /** Each guard that can be taken out. */
+    /** Provides each injectable fault. */
     @DataProvider
-    public Object[][] planted() {
+    public Object[][] withFault() {
         return faultsWhere(false);
     }
 
     /**
-     * VMs die, freeze, restart and lose touch of each other, callers repeat keys anywhere, targets
-     * run requests late: no key runs twice, and nobody is told anything that is or becomes untrue.
+     * No key runs twice and no answer is or becomes false, while VMs restart, pause and lose
+     * messages, callers repeat keys anywhere and targets run requests late.
      */
-    @Test(dataProvider = "sound")
-    public void anySchedule(OnceFault none) {
-        fixed().forAll(OnceStep.schedules(MAX_STEPS, true)).checkAssert(truthful(none));
+    @Test(dataProvider = "withoutFault")
+    public void answersAreTruthfulOnAnySchedule(OnceFault none) {
+        fixedSeed().forAll(OnceStep.schedules(MAX_STEPS, true)).checkAssert(truthful(none));
     }
 
-    /** With nothing going wrong, every request ends in its result. */
+    /** Without faults, every request ends with its result. */
     @Test
-    public void faultlessSchedule() {
+    public void everyRequestRunsWithoutFaults() {
         Gen<List<OnceStep>> schedules = OnceStep.schedules(FAULTLESS_STEPS, false);
-        fixed().forAll(schedules).checkAssert(shrinking(OnceFuzzTest::checkAllRun));
+        fixedSeed().forAll(schedules).checkAssert(shrinking(OnceFuzzTest::checkAllRun));
     }
 
-    /** Goes on with new seeds for as long as asked, and does nothing otherwise. */
-    @Test(dataProvider = "sound")
+    /** Runs new seeds for the requested time; does nothing by default. */
+    @Test(dataProvider = "withoutFault")
     public void longRun(OnceFault none) {
         long seconds = Long.getLong(SECONDS, 0);
         if (seconds > 0) {
@@ -70,21 +70,22 @@
         }
     }
 
-    /** The same fuzz with the same seed finds every guard that is missing. */
-    @Test(dataProvider = "planted")
-    public void plantedFault(OnceFault fault) {
+    /** The fuzz test detects each disabled guard. */
+    @Test(dataProvider = "withFault")
+    public void injectedFaultIsDetected(OnceFault fault) {
         AssertionError found =
                 expectThrows(
                         AssertionError.class,
                         () ->
-                                fixed().forAll(OnceStep.schedules(MAX_STEPS, true))
+                                fixedSeed()
+                                        .forAll(OnceStep.schedules(MAX_STEPS, true))
                                         .checkAssert(truthful(fault)));
         assertTrue(found.getMessage().contains("Shortest schedule"), found.getMessage());
         assertTrue(found.getMessage().contains("Seed was " + SEED), found.getMessage());
     }
 
-    private static QuickTheory fixed() {
-        // The library shrinks values well but lists of steps badly; shrinking() does that instead.
+    private static QuickTheory fixedSeed() {
+        // The library shrinks lists of steps poorly; shrinking() does that instead.
         return QuickTheory.qt().withFixedSeed(SEED).withExamples(SCHEDULES).withShrinkCycles(0);
     }
 
@@ -128,13 +129,15 @@
     }
 
     private static void checkAllRun(List<OnceStep> steps) {
-        OnceSchedule schedule = new OnceSchedule(OnceFault.NONE_WITH_ROOM).run(steps);
+        OnceSchedule schedule = new OnceSchedule(OnceFault.NONE_WITH_LARGE_TABLES).run(steps);
         for (Operation operation : schedule.operations()) {
-            assertTrue(schedule.oracle().hasRun(operation), "Not run without any fault.");
+            assertTrue(
+                    schedule.oracle().hasRun(operation),
+                    "Expected every operation to run without faults");
         }
-        schedule.sendAllAgain();
+        schedule.resendAll();
         for (Operation operation : schedule.operations()) {
-            assertEquals(schedule.lastTold(operation).getClass(), OperationAnswer.Result.class);
+            assertEquals(schedule.lastAnswer(operation).getClass(), OperationAnswer.Result.class);
         }
     }
 
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceMessage.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceMessage.java
@@ -2,13 +2,13 @@
 
 import org.dahliapass.model.VmIdentity;
 
-/** What one VM, or a target, says to a VM in a schedule. */
+/** A message from a VM or a target to a VM in a schedule. */
 @FunctionalInterface
 interface OnceMessage {
 
-    /** Reaches whichever life of the addressed VM is there now. */
-    void reach(SimulatedVm receiver, VmIdentity from, long nowMillis);
+    /** Delivers the message to the current incarnation of the addressed VM. */
+    void deliver(SimulatedVm receiver, VmIdentity from, long nowMillis);
 
-    /** A message under way; targets answer in the name of the VM that asked them. */
+    /** A message in transit; the response of a target has the dispatching VM as its sender. */
     record Envelope(VmIdentity from, String to, OnceMessage message) {}
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceOracle.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceOracle.java
@@ -5,35 +5,36 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Compares what the targets ran with what callers were told; fails at the first contradiction. */
+/** Compares the runs at targets with the answers to callers; fails at the first contradiction. */
 final class OnceOracle {
 
     private final Map<Operation, RecordedResult> mRan = new HashMap<>();
-    private final Set<Operation> mToldNotRun = new HashSet<>();
+    private final Set<Operation> mAnsweredNotRun = new HashSet<>();
 
-    /** A target runs an operation, perhaps long after its sender died. */
+    /** Records that a target ran an operation, possibly long after its sender stopped. */
     void ran(Operation operation, RecordedResult result) {
         if (mRan.put(operation, result) != null) {
             throw new AssertionError("Ran twice: " + operation.key());
         }
-        if (mToldNotRun.contains(operation)) {
+        if (mAnsweredNotRun.contains(operation)) {
             throw new AssertionError("Ran after the answer NOT_RUN: " + operation.key());
         }
     }
 
-    /** A caller is told something. */
+    /** Records an answer to a caller. */
     void answered(Operation operation, OperationAnswer answer) {
         RecordedResult ran = mRan.get(operation);
         if (answer instanceof OperationAnswer.NotRun) {
-            mToldNotRun.add(operation);
+            mAnsweredNotRun.add(operation);
             if (ran != null) {
-                throw new AssertionError("Told NOT_RUN after it ran: " + operation.key());
+                throw new AssertionError("Answered NOT_RUN after it ran: " + operation.key());
             }
         }
-        if (answer instanceof OperationAnswer.Result told) {
-            // The status is unique to each run here.
-            if (ran == null || ran.status() != told.result().status()) {
-                throw new AssertionError("Told another result than the run's: " + operation.key());
+        if (answer instanceof OperationAnswer.Result answeredResult) {
+            // Each run has a unique status.
+            if (ran == null || ran.status() != answeredResult.result().status()) {
+                throw new AssertionError(
+                        "Answered with a result that differs from the run's: " + operation.key());
             }
         }
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OnceStep.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OnceStep.java
@@ -7,32 +7,31 @@
 import org.quicktheories.generators.SourceDSL;
 
 /**
- * One step of a schedule; a step that has nothing to act on does nothing, so any part of a schedule
- * is a schedule too.
+ * One step of a schedule. A step without anything to act on does nothing, so any part of a schedule
+ * is valid.
  *
- * @param kind what happens
- * @param first chooses the VM, message or request that it happens to
- * @param second chooses a further detail
+ * @param first selects the VM, message or request
+ * @param second selects further details of the step
  */
 record OnceStep(Kind kind, int first, int second) {
 
     private static final int CHOICES = 1_000;
 
-    /** What can happen, and how often relative to the others. */
+    /** The kind of a step, with its relative frequency. */
     enum Kind {
         SEND_NEW(8, true),
         SEND_AGAIN(8, true),
         SEND_CHANGED(1, false),
-        ASK(4, false),
+        QUERY(4, false),
         DELIVER(40, true),
-        LOSE(2, false),
+        DROP(2, false),
         DUPLICATE(4, false),
         RUN_AT_TARGET(8, true),
         REFUSE_AT_TARGET(3, false),
         TIME_OUT(8, false),
         RESTART(2, false),
-        FREEZE_OR_WAKE(3, false),
-        CUT_OR_HEAL(3, false),
+        PAUSE_OR_RESUME(3, false),
+        BREAK_OR_REPAIR_LINK(3, false),
         ADVANCE(3, false),
         SKEW(1, false);
 
@@ -45,7 +44,9 @@
         }
     }
 
-    /** Makes schedules of up to the given length, with every kind of step or the faultless only. */
+    /**
+     * Generates schedules of up to a length, with all kinds of steps or only the faultless ones.
+     */
     static Gen<List<OnceStep>> schedules(int maxLength, boolean withFaults) {
         List<Kind> kinds = new ArrayList<>();
         for (Kind kind : Kind.values()) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationKeyTest.java
@@ -7,19 +7,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OperationKey} and {@link OperationToken}. */
+/** Tests for {@link OperationKey} and {@link OperationToken}. */
 public final class OperationKeyTest {
 
     private static final String TEXT = "home-1~7.witness-1~3.lfls.a";
 
-    /** What is written is read back as the same key. */
     @Test
-    public void parseReadsWhatToStringWrites() {
+    public void parseInvertsToString() {
         assertEquals(OnceFixtures.OPERATION.key().toString(), TEXT);
         assertEquals(OperationKey.parse(TEXT), Optional.of(OnceFixtures.OPERATION.key()));
     }
 
-    /** Texts that are no key, or a second spelling of one. */
+    /** Provides texts that are not keys or not in canonical form. */
     @DataProvider
     public Object[][] malformed() {
         return new Object[][] {
@@ -42,15 +41,13 @@
         };
     }
 
-    /** Each malformed text gives no key. */
     @Test(dataProvider = "malformed")
-    public void parseRefusesMalformedText(String text) {
+    public void parseRejectsMalformedText(String text) {
         assertEquals(OperationKey.parse(text), Optional.empty());
     }
 
-    /** The longest parts still make a key. */
     @Test
-    public void parseTakesTheLongestKey() {
+    public void parseAcceptsLongestKey() {
         String longest =
                 "h".repeat(63)
                         + "~1y2p0ij32e8e7."
@@ -61,9 +58,8 @@
         assertEquals(OperationKey.parse(longest).map(Object::toString), Optional.of(longest));
     }
 
-    /** A VM isn't its own witness, in whichever life. */
     @Test
-    public void tokenRefusesTheHomeAsWitness() {
+    public void tokenRejectsHomeAsWitness() {
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
--- a/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/OperationTableTest.java
@@ -13,14 +13,13 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OperationTable} and {@link RetentionWindow}. */
+/** Tests for {@link OperationTable} and {@link RetentionWindow}. */
 public final class OperationTableTest {
 
-    private static final long LAST = ISSUED + WINDOW.retentionMillis();
+    private static final long EXPIRY = ISSUED + WINDOW.retentionMillis();
 
-    /** The last place is for refusals only, and nothing makes room in a full table. */
     @Test
-    public void addKeepsTheReserveAndNeverDropsALiveRecord() {
+    public void addKeepsReserveAndNeverEvictsLiveRecords() {
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
         table.advance(ISSUED);
         assertTrue(table.add(operation("a"), "a"));
@@ -33,43 +32,37 @@
         assertEquals(table.size(), 3);
     }
 
-    /** The record lives exactly as long as its key is taken. */
     @Test
-    public void advanceDropsOnceTheKeyIsRefused() {
+    public void advanceEvictsOnceKeyIsRefused() {
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
-        table.advance(LAST);
+        table.advance(EXPIRY);
         assertTrue(table.add(OPERATION, "kept"));
         table.fitResult(OPERATION, RESULT);
         assertEquals(table.refusal(OPERATION.key()), Optional.empty());
-        table.advance(LAST + 1);
+        table.advance(EXPIRY + 1);
         assertEquals(table.find(OPERATION), Optional.empty());
         assertEquals(table.bytes(), 0);
         assertEquals(table.refusal(OPERATION.key()), Optional.of(UnknownReason.EXPIRED));
     }
 
-    /**
-     * A clock is set back by an hour. The record has been dropped, so the key would be taken again
-     * and run twice, if the table followed the clock.
-     */
+    /** Otherwise a key whose record was evicted would be accepted again and run twice. */
     @Test
-    public void advanceIgnoresAClockThatGoesBack() {
+    public void advanceIgnoresClockThatGoesBack() {
         OperationTable<String> table = new OperationTable<>(WINDOW, LIMITS);
-        table.advance(LAST + 1);
+        table.advance(EXPIRY + 1);
         table.advance(ISSUED);
         assertEquals(table.refusal(OPERATION.key()), Optional.of(UnknownReason.EXPIRED));
     }
 
-    /** A key from the future within the margin is taken, beyond it not yet. */
     @Test
-    public void refusalAllowsTheMargin() {
+    public void refusalToleratesMaxClockSkew() {
         assertEquals(WINDOW.refusal(ISSUED, ISSUED - 1_000), Optional.empty());
         assertEquals(
                 WINDOW.refusal(ISSUED, ISSUED - 1_001), Optional.of(UnknownReason.NOT_YET_VALID));
     }
 
-    /** A body too long, or more bytes than are left, costs the body but never the status. */
     @Test
-    public void fitGivesUpTheBodyBeforeTheStatus() {
+    public void fitResultDropsBodyBeforeStatus() {
         TableLimits shortBodies = new TableLimits(3, 1, 10_000, 2);
         OperationTable<String> table = new OperationTable<>(WINDOW, shortBodies);
         assertEquals(table.fitResult(operation("a"), RESULT), RESULT.withoutBody());
--- a/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/ResolverTest.java
@@ -16,33 +16,30 @@
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Resolver}. */
+/** Tests for {@link Resolver}. */
 public final class ResolverTest {
 
-    private static final ResolverStep ASK_WITNESS = new ResolverStep.QueryWitness(WITNESS);
+    private static final ResolverStep QUERY_WITNESS = new ResolverStep.QueryWitness(WITNESS);
     private static final OperationAnswer NOT_RUN = notRun(NotRunReason.WITNESS_SILENT);
 
-    /** The home's word is passed on as it is. */
     @Test
-    public void homeAnsweredIsPassedOn() {
+    public void answerOfHomeIsReturned() {
         Resolver resolver = resolverOf(OTHER);
         assertEquals(resolver.start(OPERATION, ISSUED), new ResolverStep.ForwardToHome(HOME));
         assertEquals(resolver.homeAnswered(OPERATION, HOME, NOT_RUN, ISSUED), answer(NOT_RUN));
     }
 
-    /** Neither silence nor another life's word is the home's word. */
     @Test
-    public void homeWithoutWordLeadsToTheWitness() {
+    public void unavailableOrRestartedHomeLeadsToWitness() {
         Resolver resolver = resolverOf(OTHER);
         assertEquals(
-                resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, ISSUED), ASK_WITNESS);
-        assertEquals(resolver.homeUnavailable(OPERATION, ISSUED), ASK_WITNESS);
-        assertEquals(resolverOf(HOME_RESTARTED).start(OPERATION, ISSUED), ASK_WITNESS);
+                resolver.homeAnswered(OPERATION, HOME_RESTARTED, NOT_RUN, ISSUED), QUERY_WITNESS);
+        assertEquals(resolver.homeUnavailable(OPERATION, ISSUED), QUERY_WITNESS);
+        assertEquals(resolverOf(HOME_RESTARTED).start(OPERATION, ISSUED), QUERY_WITNESS);
     }
 
-    /** Only the witness life that the key names is believed. */
     @Test
-    public void witnessAnsweredIsBelievedOnlyFromTheNamedLife() {
+    public void onlyNamedWitnessIncarnationIsTrusted() {
         Resolver resolver = resolverOf(OTHER);
         assertEquals(resolver.witnessAnswered(OPERATION, WITNESS, NOT_RUN), answer(NOT_RUN));
         assertEquals(
@@ -51,9 +48,8 @@
         assertEquals(resolver.witnessUnavailable(), answer(unknown(UnknownReason.NO_WORD)));
     }
 
-    /** A VM that is the witness itself asks its own register, and a later life knows nothing. */
     @Test
-    public void homeSilentAtTheWitnessAsksItsOwnRegister() {
+    public void witnessQueriesItsOwnRegister() {
         assertEquals(
                 resolverOf(WITNESS).homeUnavailable(OPERATION, ISSUED),
                 answer(notRun(NotRunReason.REFUSED_BY_WITNESS)));
--- a/decisions/src/test/java/org/dahliapass/decisions/once/SimulatedVm.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/SimulatedVm.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import org.dahliapass.model.VmIdentity;
 
-/** One life of a VM in a schedule: the production classes, joined as the adapters join them. */
+/** One VM incarnation in a schedule, with the production classes wired as by the adapters. */
 final class SimulatedVm {
 
-    private static final int TO_CALLER = -1;
+    private static final int CALLER = -1;
     private static final long DEADLINE_MILLIS = 20_000;
 
     private record Waiter(String vm, int exchange) {}
@@ -20,7 +20,7 @@
     private record Exchange(Operation operation, String digest, boolean atWitness) {}
 
     private final VmIdentity mSelf;
-    private final OnceSchedule mWorld;
+    private final OnceSchedule mSchedule;
     private final HomeLedger mLedger;
     private final WitnessRegister mRegister;
     private final Resolver mResolver;
@@ -29,9 +29,9 @@
     private final Map<Operation, Integer> mOpenAttempts = new LinkedHashMap<>();
     private int mNextExchange;
 
-    SimulatedVm(VmIdentity self, OnceFault fault, OnceSchedule world) {
+    SimulatedVm(VmIdentity self, OnceFault fault, OnceSchedule schedule) {
         mSelf = self;
-        mWorld = world;
+        mSchedule = schedule;
         mLedger = fault.ledger(self);
         mRegister = fault.register(self);
         mResolver = fault.resolver(self, mRegister);
@@ -41,9 +41,9 @@
         return mSelf;
     }
 
-    /** A caller sends a request or, with an empty digest, asks for its outcome. */
-    void callerSends(Operation operation, String digest, long now) {
-        request(operation, digest, new Waiter(mSelf.name(), TO_CALLER), now);
+    /** Processes a request of a caller or, with an empty digest, a query for its outcome. */
+    void onCallerRequest(Operation operation, String digest, long now) {
+        request(operation, digest, new Waiter(mSelf.name(), CALLER), now);
     }
 
     void finished(Operation operation, int attempt, RecordedResult result, long now) {
@@ -54,12 +54,12 @@
         act(operation, mLedger.targetRefused(operation, attempt, true, now));
     }
 
-    /** Counts what this VM waits for with a time-out. */
+    /** Returns the number of pending timeouts. */
     int timers() {
         return mOpenAttempts.size() + mExchanges.size();
     }
 
-    /** Lets the chosen time-out pass. */
+    /** Fires the selected timeout. */
     void timeOut(int choice, long now) {
         if (choice < mOpenAttempts.size()) {
             Operation operation = nth(mOpenAttempts.keySet(), choice);
@@ -101,8 +101,8 @@
     }
 
     private void resolve(Operation operation, String digest, Waiter waiter, long now) {
-        // A request is forwarded only once; whoever forwarded it goes on by itself.
-        if (waiter.exchange() != TO_CALLER) {
+        // A request is forwarded only once; the forwarding VM continues with its resolver.
+        if (waiter.exchange() != CALLER) {
             answer(operation, waiter, new OperationAnswer.Unknown(UnknownReason.NO_WORD));
             return;
         }
@@ -120,10 +120,10 @@
             send(to.home(), (vm, from, at) -> vm.request(operation, digest, waiter, at));
         } else if (step instanceof ResolverStep.QueryWitness to) {
             mExchanges.put(id, new Exchange(operation, digest, true));
-            send(to.witness(), (vm, from, at) -> vm.asked(from, operation, id, at));
+            send(to.witness(), (vm, from, at) -> vm.onQuery(from, operation, id, at));
         } else if (step instanceof ResolverStep.Answer known) {
             mExchanges.remove(id);
-            mWorld.callerTold(operation, known.answer());
+            mSchedule.answerCaller(operation, known.answer());
         }
     }
 
@@ -135,9 +135,9 @@
                         vm.act(operation, vm.mLedger.witnessReplied(operation, reply, at)));
     }
 
-    private void asked(VmIdentity asker, Operation operation, int id, long now) {
+    private void onQuery(VmIdentity sender, Operation operation, int id, long now) {
         OperationAnswer answer = mRegister.resolve(operation, now);
-        send(asker, (vm, from, at) -> vm.witnessAnswered(from, operation, id, answer));
+        send(sender, (vm, from, at) -> vm.witnessAnswered(from, operation, id, answer));
     }
 
     private void witnessAnswered(
@@ -162,7 +162,7 @@
     private void act(Operation operation, HomeAction action) {
         if (action instanceof HomeAction.Dispatch dispatch) {
             mOpenAttempts.put(operation, dispatch.attempt());
-            mWorld.dispatch(mSelf, operation, dispatch.attempt());
+            mSchedule.dispatch(mSelf, operation, dispatch.attempt());
         } else if (action instanceof HomeAction.Respond settle) {
             mOpenAttempts.remove(operation);
             List<Waiter> waiters = mWaiters.remove(operation);
@@ -180,18 +180,18 @@
     }
 
     private void answer(Operation operation, Waiter waiter, OperationAnswer answer) {
-        if (waiter.exchange() == TO_CALLER) {
-            mWorld.callerTold(operation, answer);
+        if (waiter.exchange() == CALLER) {
+            mSchedule.answerCaller(operation, answer);
             return;
         }
-        mWorld.send(
+        mSchedule.send(
                 mSelf,
                 waiter.vm(),
                 (vm, from, at) -> vm.homeAnswered(from, operation, waiter.exchange(), answer, at));
     }
 
     private void send(VmIdentity vm, OnceMessage message) {
-        mWorld.send(mSelf, vm.name(), message);
+        mSchedule.send(mSelf, vm.name(), message);
     }
 
     private static <E> E nth(Collection<E> elements, int index) {
--- a/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/WitnessRegisterTest.java
@@ -16,14 +16,13 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of {@link WitnessRegister}. */
+/** Tests for {@link WitnessRegister}. */
 public final class WitnessRegisterTest {
 
     private static final long EXPIRED = ISSUED + WINDOW.retentionMillis() + 1;
 
-    /** An intent whose acknowledgement was lost is acknowledged again; then the result stands. */
     @Test
-    public void recordIntentIsIdempotentUntilTheOutcome() {
+    public void recordIntentIsIdempotentUntilOutcome() {
         WitnessRegister register = register();
         assertEquals(intent(register), IntentReply.ACCEPTED);
         assertEquals(intent(register), IntentReply.ACCEPTED);
@@ -34,29 +33,24 @@
         assertEquals(intent(register), IntentReply.REFUSED);
     }
 
-    /**
-     * A caller is told "not run" and goes on to a new key. Then the first key's intent arrives late
-     * at the witness. It must fail, or both keys run.
-     */
+    /** A late intent must not be accepted for a key that was answered with "not run". */
     @Test
-    public void resolveRefusesAnAbsentKeyForGood() {
+    public void resolveRefusesUnknownKeyForGood() {
         WitnessRegister register = register();
         assertEquals(register.resolve(OPERATION, ISSUED), notRun(NotRunReason.REFUSED_BY_WITNESS));
         assertEquals(intent(register), IntentReply.REFUSED);
         assertEquals(register.resolve(OPERATION, ISSUED), notRun(NotRunReason.REFUSED_BY_WITNESS));
     }
 
-    /** An abandonment that overtakes its intent refuses it. */
     @Test
-    public void recordOutcomeAbandonsBeforeTheIntentComes() {
+    public void abandonmentBeforeIntentRefusesIntent() {
         WitnessRegister register = register();
         register.recordOutcome(HOME, OutcomeNotice.abandoned(OPERATION), ISSUED);
         assertEquals(intent(register), IntentReply.REFUSED);
     }
 
-    /** Only the home that the key names may write its entry. */
     @Test
-    public void recordIntentRefusesAnotherSender() {
+    public void onlyTheHomeIncarnationMayRecord() {
         WitnessRegister register = register();
         assertEquals(
                 register.recordIntent(HOME_RESTARTED, OPERATION, ISSUED),
@@ -66,21 +60,17 @@
         assertEquals(register.resolve(OPERATION, ISSUED), unknown(UnknownReason.MAY_HAVE_RUN));
     }
 
-    /**
-     * The witness is replaced after it has acknowledged; the home ran the key and died. The new
-     * life's empty register is no proof of "not run".
-     */
+    /** The empty register of a restarted witness does not prove "not run". */
     @Test
-    public void restartedWitnessKnowsNothingOfItsFormerLife() {
+    public void restartedWitnessAnswersUnknown() {
         WitnessRegister restarted = new WitnessRegister(WITNESS_RESTARTED, WINDOW, LIMITS);
         assertEquals(
                 restarted.resolve(OPERATION, ISSUED), unknown(UnknownReason.WITNESS_RESTARTED));
         assertEquals(intent(restarted), IntentReply.WRONG_INCARNATION);
     }
 
-    /** Outside the window nothing is taken and nothing is known. */
     @Test
-    public void expiredKeyIsNeitherTakenNorRefused() {
+    public void expiredKeyIsUnknown() {
         WitnessRegister register = register();
         assertEquals(intent(register), IntentReply.ACCEPTED);
         assertEquals(register.resolve(OPERATION, EXPIRED), unknown(UnknownReason.EXPIRED));
@@ -88,9 +78,8 @@
         assertEquals(register.size(), 0);
     }
 
-    /** A full register takes no intent, and says "not run" only while it can write that down. */
     @Test
-    public void fullRegisterAnswersUnknownWithoutRoomToRefuse() {
+    public void fullRegisterAnswersUnknownWithoutRecordedRefusal() {
         WitnessRegister full = register();
         full.recordIntent(HOME, operation("a"), ISSUED);
         full.recordIntent(HOME, operation("b"), ISSUED);
