--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptProtocol.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptProtocol.java
@@ -9,44 +9,45 @@
 import java.util.Set;
 
 /**
- * Accepts one change into the fleet-wide order, or tells why it isn't there.
+ * The protocol that appends one change to the fleet-wide log.
  *
- * <p>Reads the head, checks that the author started from the customer's newest change, writes the
- * text, the indexes and the pointers of changes that leave the ring, then swaps the head. Only that
- * last swap is the accept; whatever a writer that dies earlier leaves behind is true or harmless.
+ * <p>Reads the head, checks that the change is based on the customer's newest one, writes the text,
+ * the indexes and the pointers of changes that leave the ring, then swaps the head. Only the swap
+ * of the head accepts the change; values that a crash leaves behind before it are harmless.
  */
 public class AcceptProtocol implements StoreProtocol {
-    /** Calls without an answer after which this gives up. */
+    /** Maximum number of failed store calls before the protocol gives up. */
     static final int MAX_FAILURES = 8;
 
-    /** Times that others may come first before this gives up. */
+    /** Maximum number of conflicts with other writers before the protocol gives up. */
     static final int MAX_CONFLICTS = 200;
 
-    private enum Step {
+    private enum State {
         READ_HEAD,
         READ_POINTER,
         PREPARE,
         SWAP_HEAD
     }
 
-    /** A value that must stand in the store before the head may be swapped. */
+    /** A value that must be in the store before the head is swapped. */
     record Preparation(StoreKey key, MergeableItem item) {}
 
     private final AcceptRequest mRequest;
     private final int mRingCapacity;
-    private final Set<Preparation> mPrepared = new HashSet<>();
-    private Deque<Preparation> mToPrepare = new ArrayDeque<>();
-    private Step mStep = Step.READ_HEAD;
+    private final Set<Preparation> mDone = new HashSet<>();
+    private Deque<Preparation> mPendingPreparations = new ArrayDeque<>();
+    private State mState = State.READ_HEAD;
     private Head mHead = Head.EMPTY;
     private long mHeadIndex;
-    private Optional<OperationHandle> mPending = Optional.empty();
+    private Optional<OperationHandle> mUnconfirmed = Optional.empty();
     private int mFailures;
-    private int mRounds;
+    private int mConflicts;
 
     /**
-     * Creates the machine of one accept.
+     * Creates the protocol for one change.
      *
-     * @param ringCapacity how many changes the head keeps; {@link Head#RING_CAPACITY} in the field
+     * @param ringCapacity number of changes in the head's ring; {@link Head#RING_CAPACITY} in
+     *     production
      */
     public AcceptProtocol(AcceptRequest request, int ringCapacity) {
         mRequest = request;
@@ -60,36 +61,36 @@
 
     @Override
     public final StoreAction onRead(Optional<StoreItem> item, long index) {
-        return switch (mStep) {
+        return switch (mState) {
             case READ_HEAD -> onHead(OperationSearch.head(item), index);
             case READ_POINTER -> decide(OperationSearch.pointer(item));
-            case PREPARE -> swapPrepared(item, index);
-            case SWAP_HEAD -> throw new IllegalStateException("No read was asked for.");
+            case PREPARE -> swapPreparation(item, index);
+            case SWAP_HEAD ->
+                    throw new IllegalStateException("Unexpected read result in state SWAP_HEAD");
         };
     }
 
     @Override
     public final StoreAction onReadFailed() {
-        return fail().orElseGet(this::repeatRead);
+        return retryAfterFailure().orElseGet(this::readForState);
     }
 
     @Override
-    public final StoreAction onSwap(SwapOutcome answer) {
-        return mStep == Step.SWAP_HEAD ? onHeadSwapped(answer) : onPrepared(answer);
+    public final StoreAction onSwap(SwapOutcome outcome) {
+        return mState == State.SWAP_HEAD ? onHeadSwapped(outcome) : onPreparationSwapped(outcome);
     }
 
-    /** Returns the handle of the head swap that is under way or may have taken effect. */
+    /** Returns the handle of the head swap that is in progress or may have taken effect. */
     public final OperationHandle handle() {
         return new OperationHandle(
                 mRequest.operationId(), mRequest.customer(), mHeadIndex, mHead.number() + 1);
     }
 
     /**
-     * Returns what must stand in the store before the head is swapped, in this order.
+     * Returns the values that must be in the store before the head is swapped, in order.
      *
-     * <p>Guards against a writer that dies after its accept: a change that it pushed out of the
-     * ring would be found nowhere, which would show as a template that reverts on new VMs. It holds
-     * because the pointer is written while the change is still in the ring.
+     * <p>A pointer is written while its change is still in the ring, so that no change is lost if
+     * the writer crashes.
      */
     List<Preparation> preparations(Head head, int ringCapacity) {
         List<Preparation> all = new ArrayList<>();
@@ -110,14 +111,14 @@
     }
 
     private StoreAction readHead() {
-        mStep = Step.READ_HEAD;
+        mState = State.READ_HEAD;
         return new StoreAction.Read(StoreKey.HEAD);
     }
 
-    private StoreAction repeatRead() {
-        return switch (mStep) {
+    private StoreAction readForState() {
+        return switch (mState) {
             case READ_POINTER -> new StoreAction.Read(StoreKey.pointer(mRequest.customer()));
-            case PREPARE -> new StoreAction.Read(mToPrepare.element().key());
+            case PREPARE -> new StoreAction.Read(mPendingPreparations.element().key());
             case READ_HEAD, SWAP_HEAD -> readHead();
         };
     }
@@ -125,11 +126,11 @@
     private StoreAction onHead(Head head, long index) {
         mHead = head;
         mHeadIndex = index;
-        if (mPending.isEmpty() && head.newestOf(mRequest.customer()).isPresent()) {
+        if (mUnconfirmed.isEmpty() && head.newestOf(mRequest.customer()).isPresent()) {
             return decide(Optional.empty());
         }
-        mStep = Step.READ_POINTER;
-        return repeatRead();
+        mState = State.READ_POINTER;
+        return readForState();
     }
 
     private StoreAction decide(Optional<Pointer> pointer) {
@@ -137,13 +138,13 @@
         if (number.isPresent()) {
             return new StoreAction.Finish(new AcceptOutcome.Accepted(number.get()));
         }
-        if (mPending.isPresent() && mPending.get().headIndex() == mHeadIndex) {
+        if (mUnconfirmed.isPresent() && mUnconfirmed.get().headIndex() == mHeadIndex) {
             return swapHead();
         }
-        if (mPending.isPresent() && mayHaveForgotten(pointer)) {
-            return new StoreAction.Finish(new AcceptOutcome.Unknown(mPending.get()));
+        if (mUnconfirmed.isPresent() && mayHaveEvicted(pointer)) {
+            return new StoreAction.Finish(new AcceptOutcome.Unknown(mUnconfirmed.get()));
         }
-        mPending = Optional.empty();
+        mUnconfirmed = Optional.empty();
         Optional<ChangeRecord> newest =
                 OperationSearch.newestOf(mRequest.customer(), mHead, pointer);
         if (newest.map(ChangeRecord::number).orElse(0L) != mRequest.baseNumber()) {
@@ -152,88 +153,86 @@
         return prepare();
     }
 
-    private boolean mayHaveForgotten(Optional<Pointer> pointer) {
-        return pointer.isPresent() && pointer.get().mayHaveEvicted(mPending.get().number());
+    private boolean mayHaveEvicted(Optional<Pointer> pointer) {
+        return pointer.isPresent() && pointer.get().mayHaveEvicted(mUnconfirmed.get().number());
     }
 
     private StoreAction prepare() {
-        mToPrepare = new ArrayDeque<>(preparations(mHead, mRingCapacity));
-        mToPrepare.removeAll(mPrepared);
+        mPendingPreparations = new ArrayDeque<>(preparations(mHead, mRingCapacity));
+        mPendingPreparations.removeAll(mDone);
         return nextPreparation();
     }
 
     private StoreAction nextPreparation() {
-        if (mToPrepare.isEmpty()) {
+        if (mPendingPreparations.isEmpty()) {
             return swapHead();
         }
-        mStep = Step.PREPARE;
-        return repeatRead();
+        mState = State.PREPARE;
+        return readForState();
     }
 
-    private StoreAction swapPrepared(Optional<StoreItem> standing, long index) {
-        Preparation preparation = mToPrepare.element();
-        MergeableItem merged = preparation.item().mergedWith(standing);
-        if (standing.isPresent() && standing.get().equals(merged)) {
-            return preparationDone();
+    private StoreAction swapPreparation(Optional<StoreItem> current, long index) {
+        Preparation preparation = mPendingPreparations.element();
+        MergeableItem merged = preparation.item().mergedWith(current);
+        if (current.isPresent() && current.get().equals(merged)) {
+            return onPreparationDone();
         }
         return new StoreAction.Swap(preparation.key(), merged, index);
     }
 
-    private StoreAction onPrepared(SwapOutcome answer) {
-        return switch (answer) {
-            case SWAPPED -> preparationDone();
-            case CONFLICT -> anotherRound().orElseGet(this::repeatRead);
-            case UNKNOWN, NOT_WRITTEN -> fail().orElseGet(this::repeatRead);
+    private StoreAction onPreparationSwapped(SwapOutcome outcome) {
+        return switch (outcome) {
+            case SWAPPED -> onPreparationDone();
+            case CONFLICT -> retryAfterConflict().orElseGet(this::readForState);
+            case UNKNOWN, NOT_WRITTEN -> retryAfterFailure().orElseGet(this::readForState);
         };
     }
 
-    private StoreAction preparationDone() {
-        mPrepared.add(mToPrepare.remove());
+    private StoreAction onPreparationDone() {
+        mDone.add(mPendingPreparations.remove());
         return nextPreparation();
     }
 
     private StoreAction swapHead() {
-        mStep = Step.SWAP_HEAD;
+        mState = State.SWAP_HEAD;
         ChangeRecord record = mRequest.toRecord(mHead.number() + 1);
         return new StoreAction.Swap(StoreKey.HEAD, mHead.append(record, mRingCapacity), mHeadIndex);
     }
 
     /**
-     * Guards against a head swap whose answer is lost, or that is delayed in the network and takes
-     * effect after this machine has looked for it: a wrong "not accepted" would make the operator
-     * accept the change twice. It holds because the swap names the head's index: while the head
-     * still has that index the swap is only repeated, and once the head has another one the late
-     * swap can't take effect any more.
+     * Handles the result of the head swap. A swap without a known outcome is repeated while the
+     * head has the same index; once the head has another index, a delayed swap can't take effect.
      */
-    private StoreAction onHeadSwapped(SwapOutcome answer) {
-        return switch (answer) {
+    private StoreAction onHeadSwapped(SwapOutcome outcome) {
+        return switch (outcome) {
             case SWAPPED -> new StoreAction.Finish(new AcceptOutcome.Accepted(mHead.number() + 1));
-            case CONFLICT -> anotherRound().orElseGet(this::readHead);
+            case CONFLICT -> retryAfterConflict().orElseGet(this::readHead);
             case UNKNOWN -> {
-                mPending = Optional.of(handle());
-                yield fail().orElseGet(this::readHead);
+                mUnconfirmed = Optional.of(handle());
+                yield retryAfterFailure().orElseGet(this::readHead);
             }
-            case NOT_WRITTEN -> fail().orElseGet(this::readHead);
+            case NOT_WRITTEN -> retryAfterFailure().orElseGet(this::readHead);
         };
     }
 
-    private Optional<StoreAction> fail() {
+    private Optional<StoreAction> retryAfterFailure() {
         mFailures++;
         return mFailures < MAX_FAILURES
                 ? Optional.empty()
-                : Optional.of(giveUp("The store gave no answer; nothing was accepted."));
+                : Optional.of(giveUp("The store did not respond; nothing was accepted."));
     }
 
-    private Optional<StoreAction> anotherRound() {
-        mRounds++;
-        return mRounds < MAX_CONFLICTS
+    private Optional<StoreAction> retryAfterConflict() {
+        mConflicts++;
+        return mConflicts < MAX_CONFLICTS
                 ? Optional.empty()
-                : Optional.of(giveUp("Other changes came first each time; accept it again."));
+                : Optional.of(giveUp("Other changes were accepted first each time; retry."));
     }
 
     private StoreAction giveUp(String reason) {
         AcceptOutcome outcome =
-                mPending.<AcceptOutcome>map(AcceptOutcome.Unknown::new)
+                mUnconfirmed
+                        .<AcceptOutcome>map(AcceptOutcome.Unknown::new)
                         .orElse(new AcceptOutcome.NotAccepted(reason));
         return new StoreAction.Finish(outcome);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptRequest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/AcceptRequest.java
@@ -3,14 +3,12 @@
 import java.util.List;
 
 /**
- * What an operator wants accepted; the text has been checked.
+ * An operator's request to accept a template with a validated text.
  *
- * @param customer the customer
- * @param text the template's text
- * @param services the services that the template names
- * @param operationId names this accept, unique
+ * @param services the services that the template references
+ * @param operationId the unique ID of this accept operation
  * @param author the operator
- * @param baseNumber the customer's change that the operator started from; 0 for none
+ * @param baseNumber number of the customer's change that this one is based on; 0 for none
  */
 public record AcceptRequest(
         String customer,
@@ -20,12 +18,12 @@
         String author,
         long baseNumber) {
 
-    /** Copies the list. */
+    /** Creates a request with a copy of the list. */
     public AcceptRequest {
         services = List.copyOf(services);
     }
 
-    /** Returns the change with its number in the fleet-wide order. */
+    /** Returns the change with its number in the fleet-wide log. */
     ChangeRecord toRecord(long number) {
         return new ChangeRecord(
                 number, customer, text.digest(), services, operationId, author, baseNumber);
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ActiveTemplates.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ActiveTemplates.java
@@ -7,26 +7,29 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** The templates that this VM serves by, and a few texts that a watcher keeps for its peers. */
+/**
+ * The templates that are active on this VM, and a cache of texts that a watcher keeps for its
+ * peers.
+ */
 class ActiveTemplates {
-    private record InForce(long number, String digest, String text) {}
+    private record ActiveTemplate(long number, String digest, String text) {}
 
     private record TextKey(String customer, String digest) {}
 
-    private final Function<String, Optional<String>> mCheck;
+    private final Function<String, Optional<String>> mValidator;
     private final int mCacheSize;
-    private final Map<String, InForce> mInForce = new HashMap<>();
-    private final Map<String, Long> mRejected = new HashMap<>();
+    private final Map<String, ActiveTemplate> mActive = new HashMap<>();
+    private final Map<String, Long> mRejectedNumbers = new HashMap<>();
     private final Map<TextKey, String> mCache = new LinkedHashMap<>();
     private long mRejections;
 
-    ActiveTemplates(Function<String, Optional<String>> check, int cacheSize) {
-        mCheck = check;
+    ActiveTemplates(Function<String, Optional<String>> validator, int cacheSize) {
+        mValidator = validator;
         mCacheSize = cacheSize;
     }
 
     final int size() {
-        return mInForce.size();
+        return mActive.size();
     }
 
     final long rejected() {
@@ -34,13 +37,13 @@
     }
 
     final Optional<Long> number(String customer) {
-        return Optional.ofNullable(mInForce.get(customer)).map(InForce::number);
+        return Optional.ofNullable(mActive.get(customer)).map(ActiveTemplate::number);
     }
 
     final Optional<String> text(String customer, String digest) {
-        InForce inForce = mInForce.get(customer);
-        if (inForce != null && inForce.digest().equals(digest)) {
-            return Optional.of(inForce.text());
+        ActiveTemplate active = mActive.get(customer);
+        if (active != null && active.digest().equals(digest)) {
+            return Optional.of(active.text());
         }
         return Optional.ofNullable(mCache.get(new TextKey(customer, digest)));
     }
@@ -52,37 +55,37 @@
         }
     }
 
-    /** Returns whether a change is newer than the one in force and the last one that failed. */
+    /** Returns whether a change is newer than the active one and the last rejected one. */
     boolean isNewer(ChangeRecord record) {
-        InForce inForce = mInForce.get(record.customer());
-        return (inForce == null || record.number() > inForce.number())
-                && record.number() > mRejected.getOrDefault(record.customer(), 0L);
+        ActiveTemplate active = mActive.get(record.customer());
+        return (active == null || record.number() > active.number())
+                && record.number() > mRejectedNumbers.getOrDefault(record.customer(), 0L);
     }
 
     /**
-     * Puts a template in force if it is news and passes its check.
+     * Activates a template if it is newer and valid.
      *
-     * <p>Guards against a text that a later release accepted and this one can't read, which would
-     * show as a customer without any template. It holds because the last good one stays.
+     * <p>If the text is invalid, for example because a later release accepted it, the previous
+     * template stays active.
      */
     final List<FollowerAction> activate(ChangeRecord record, String text) {
         if (!isNewer(record)) {
             return List.of();
         }
         String customer = record.customer();
-        Optional<String> problem = mCheck.apply(text);
-        if (problem.isPresent()) {
-            mRejected.put(customer, record.number());
+        Optional<String> error = mValidator.apply(text);
+        if (error.isPresent()) {
+            mRejectedNumbers.put(customer, record.number());
             mRejections++;
-            return List.of(new FollowerAction.Reject(customer, record.number(), problem.get()));
+            return List.of(new FollowerAction.Reject(customer, record.number(), error.get()));
         }
-        mInForce.put(customer, new InForce(record.number(), record.digest(), text));
+        mActive.put(customer, new ActiveTemplate(record.number(), record.digest(), text));
         return List.of(new FollowerAction.Apply(customer, record.number(), text));
     }
 
-    /** Lets go of a customer's template; returns whether there was one. */
+    /** Removes a customer's template; returns whether there was one. */
     final boolean release(String customer) {
-        mRejected.remove(customer);
-        return mInForce.remove(customer) != null;
+        mRejectedNumbers.remove(customer);
+        return mActive.remove(customer) != null;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeRecord.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeRecord.java
@@ -3,15 +3,14 @@
 import java.util.List;
 
 /**
- * One accepted change of one customer's template.
+ * An accepted change of a customer's template.
  *
- * @param number its place in the fleet-wide order, from 1
- * @param customer the customer
+ * @param number its position in the fleet-wide log, from 1
  * @param digest the digest of the text, see {@link TemplateText#digest()}
- * @param services the services that the template names
- * @param operationId names the accept, so that a lost answer can be resolved
+ * @param services the services that the template references
+ * @param operationId the unique ID of the accept operation, to resolve an unknown outcome
  * @param author the operator
- * @param baseNumber the customer's change that the author started from; 0 for none
+ * @param baseNumber number of the customer's change that this one is based on; 0 for none
  */
 public record ChangeRecord(
         long number,
@@ -22,12 +21,12 @@
         String author,
         long baseNumber) {
 
-    /** Copies the list. */
+    /** Creates a record with a copy of the list. */
     public ChangeRecord {
         services = List.copyOf(services);
     }
 
-    /** Returns whether this customer lists the targets of one of the services. */
+    /** Returns whether the customer provides one of the services. */
     public boolean provides() {
         return services.stream().anyMatch(use -> use.service().provider().equals(customer));
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeWindow.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ChangeWindow.java
@@ -5,75 +5,76 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** The newest changes without gaps, and those beyond a gap that arrived ahead of their turn. */
+/** A bounded window of the newest changes without gaps, and the changes received beyond a gap. */
 final class ChangeWindow {
     private final int mCapacity;
-    private final TreeMap<Long, ChangeRecord> mRecords = new TreeMap<>();
-    private final TreeMap<Long, ChangeRecord> mAhead = new TreeMap<>();
+    private final TreeMap<Long, ChangeRecord> mContiguous = new TreeMap<>();
+    private final TreeMap<Long, ChangeRecord> mBeyondGap = new TreeMap<>();
     private long mThrough;
 
     ChangeWindow(int capacity) {
         mCapacity = capacity;
     }
 
-    /** Returns the newest number up to which there is no gap. */
+    /** Returns the highest number up to which all changes are known. */
     long through() {
         return mThrough;
     }
 
-    /** Returns the lowest number from which on there is no gap. */
+    /** Returns the lowest number of the contiguous changes. */
     long first() {
-        return mRecords.isEmpty() ? mThrough + 1 : mRecords.firstKey();
+        return mContiguous.isEmpty() ? mThrough + 1 : mContiguous.firstKey();
     }
 
-    /** Returns the changes without gaps that are newer than a number. */
+    /** Returns the contiguous changes with higher numbers. */
     List<ChangeRecord> since(long number) {
-        return List.copyOf(mRecords.tailMap(number, false).values());
+        return List.copyOf(mContiguous.tailMap(number, false).values());
     }
 
-    /** Returns all changes, those beyond a gap last. */
+    /** Returns all changes by ascending number. */
     List<ChangeRecord> all() {
-        List<ChangeRecord> all = new ArrayList<>(mRecords.values());
-        all.addAll(mAhead.values());
+        List<ChangeRecord> all = new ArrayList<>(mContiguous.values());
+        all.addAll(mBeyondGap.values());
         return all;
     }
 
-    /** Returns whether a newer change of the same customer is here. */
+    /** Returns whether the window contains a newer change of the same customer. */
     boolean hasNewer(ChangeRecord record) {
-        return Stream.concat(mRecords.values().stream(), mAhead.values().stream())
+        return Stream.concat(mContiguous.values().stream(), mBeyondGap.values().stream())
                 .anyMatch(
                         other ->
                                 other.number() > record.number()
                                         && other.customer().equals(record.customer()));
     }
 
-    /** Adds a change; returns whether it was news. */
+    /** Adds a change; returns whether it was new. */
     boolean add(ChangeRecord record) {
-        if (record.number() <= mThrough || mAhead.putIfAbsent(record.number(), record) != null) {
+        if (record.number() <= mThrough
+                || mBeyondGap.putIfAbsent(record.number(), record) != null) {
             return false;
         }
-        close();
+        advance();
         return true;
     }
 
-    /** Gives up on everything before a number: the window begins there. */
+    /** Drops all changes before a number and starts the window there. */
     void resetTo(long first) {
-        mRecords.clear();
+        mContiguous.clear();
         mThrough = first - 1;
-        mAhead.headMap(first).clear();
-        close();
+        mBeyondGap.headMap(first).clear();
+        advance();
     }
 
-    private void close() {
-        while (!mAhead.isEmpty() && mAhead.firstKey() == mThrough + 1) {
+    private void advance() {
+        while (!mBeyondGap.isEmpty() && mBeyondGap.firstKey() == mThrough + 1) {
             mThrough++;
-            mRecords.put(mThrough, mAhead.pollFirstEntry().getValue());
+            mContiguous.put(mThrough, mBeyondGap.pollFirstEntry().getValue());
         }
-        while (mRecords.size() > mCapacity) {
-            mRecords.pollFirstEntry();
+        while (mContiguous.size() > mCapacity) {
+            mContiguous.pollFirstEntry();
         }
-        while (mAhead.size() > mCapacity) {
-            mAhead.pollLastEntry();
+        while (mBeyondGap.size() > mCapacity) {
+            mBeyondGap.pollLastEntry();
         }
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ConfigurationFollower.java
@@ -10,15 +10,16 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Follows the fleet-wide order of changes on one VM and puts in force the templates of customers
- * whose services the VM serves, each only by a higher number.
+ * Follows the fleet-wide log of changes on one VM and activates the templates of customers whose
+ * services the VM serves, with ascending change numbers.
  *
- * <p>Each event returns what to do. The answers to fetches and reads are events again; an answer
- * that never comes is asked for elsewhere by {@link #onTick}.
+ * <p>Each event returns the actions to perform. Responses to fetches and reads are events; {@link
+ * #onTick} retries at another source those that don't arrive. Not thread-safe; confined to one
+ * thread.
  */
 public class ConfigurationFollower {
-    /** A watcher that sees more news than this is just starting and doesn't read their texts. */
-    private static final int MOST_TEXTS_OF_A_HEAD = 8;
+    /** With more new changes than this, a watcher is starting and doesn't prefetch their texts. */
+    private static final int MAX_TEXTS_PER_HEAD = 8;
 
     private final FollowerSettings mSettings;
     private final FollowerPeers mPeers;
@@ -28,25 +29,25 @@
     private final GroupTracker mGroups;
     private final ActiveTemplates mTemplates;
     private final TextFetcher mTexts;
-    private final StoreReadLimiter mBudget;
+    private final StoreReadLimiter mReadLimiter;
     private final List<FollowerAction> mActions = new ArrayList<>();
     private Optional<StoreBackfill> mBackfill = Optional.empty();
-    private Optional<VmIdentity> mAhead = Optional.empty();
-    private long mAskedUntil = Long.MIN_VALUE;
+    private Optional<VmIdentity> mPeerAhead = Optional.empty();
+    private long mResponseDeadlineMillis = Long.MIN_VALUE;
     private boolean mDirectoryChanged;
-    private long mPassedOn;
+    private long mForwarded;
 
     /**
-     * Creates the follower of a VM that knows nothing yet.
+     * Creates a follower without any changes.
      *
-     * @param check tells what is wrong with a template's text; empty if it is good
+     * @param validator returns the error in a template's text; empty if the text is valid
      */
     public ConfigurationFollower(
             FollowerSettings settings,
             FollowerPeers peers,
-            Function<String, Optional<String>> check,
+            Function<String, Optional<String>> validator,
             RandomGenerator random) {
-        this(settings, peers, new ActiveTemplates(check, settings.textCacheSize()), random);
+        this(settings, peers, new ActiveTemplates(validator, settings.textCacheSize()), random);
     }
 
     ConfigurationFollower(
@@ -62,120 +63,126 @@
         mGroups = new GroupTracker(settings, peers);
         mTemplates = templates;
         mTexts = new TextFetcher(settings, peers);
-        mBudget = new StoreReadLimiter(settings.storeReadIntervalMillis());
+        mReadLimiter = new StoreReadLimiter(settings.storeReadIntervalMillis());
     }
 
-    /** Takes changes that a member passed on. */
+    /** Processes changes that a member sent as a rumor. */
     public final List<FollowerAction> onRumor(List<ChangeRecord> records, long nowMillis) {
-        passOn(learn(records));
+        sendRumor(addAll(records));
         return actions(nowMillis);
     }
 
-    /** Takes the head that this VM, being a watcher, read from the store. */
+    /** Processes the head that this VM read from the store as a watcher. */
     public final List<FollowerAction> onHead(Head head, long nowMillis) {
-        List<ChangeRecord> news = learnHead(head);
-        passOn(news);
-        if (news.size() <= MOST_TEXTS_OF_A_HEAD) {
-            news.forEach(this::readText);
+        List<ChangeRecord> added = addHead(head);
+        sendRumor(added);
+        if (added.size() <= MAX_TEXTS_PER_HEAD) {
+            added.forEach(this::readText);
         }
         return actions(nowMillis);
     }
 
-    /** Takes the {@link #headNumber()} that a peer's ping carried. */
+    /** Processes the {@link #headNumber()} of a peer's gossip datagram. */
     public final List<FollowerAction> onPing(VmIdentity peer, long headNumber, long nowMillis) {
         if (headNumber > mWindow.through()) {
-            mAhead = Optional.of(peer);
+            mPeerAhead = Optional.of(peer);
         }
         return actions(nowMillis);
     }
 
-    /** Takes a peer's answer to a {@link FollowerAction.FetchRecords}, however late. */
-    public final List<FollowerAction> onAnswer(RecordsResponse answer, long nowMillis) {
-        mAskedUntil = Long.MIN_VALUE;
-        jumpIfBehind(answer.firstNumber(), answer.through());
-        learn(answer.records());
-        for (GroupSnapshot fill : answer.snapshots()) {
-            fill(fill, answer.through());
+    /** Processes a peer's response, possibly late, to a {@link FollowerAction.FetchRecords}. */
+    public final List<FollowerAction> onAnswer(RecordsResponse response, long nowMillis) {
+        mResponseDeadlineMillis = Long.MIN_VALUE;
+        resetIfBehind(response.firstNumber(), response.through());
+        addAll(response.records());
+        for (GroupSnapshot snapshot : response.snapshots()) {
+            applySnapshot(snapshot, response.through());
         }
         return actions(nowMillis);
     }
 
     /**
-     * Takes a peer's answer to a {@link FollowerAction.FetchText}; empty if it has no such text.
+     * Processes a peer's response to a {@link FollowerAction.FetchText}.
+     *
+     * @param text the text; empty if the peer doesn't have it
      */
     public final List<FollowerAction> onText(
             String customer, String digest, Optional<String> text, long nowMillis) {
-        takeText(customer, digest, text);
+        onTextReceived(customer, digest, text);
         return actions(nowMillis);
     }
 
-    /** Takes the answer to a read of the store, however late; empty if the key is absent. */
+    /**
+     * Processes the result, possibly late, of a read of the store.
+     *
+     * @param item the value; empty if the key is absent
+     */
     public final List<FollowerAction> onStoreItem(
             FollowerAction.ReadStore read, Optional<StoreItem> item, long nowMillis) {
         StoreKey key = read.key();
         if (key.kind() == StoreKind.TEXT) {
-            item.map(TemplateText.class::cast).ifPresent(text -> takeStoreText(key, text));
+            item.map(TemplateText.class::cast).ifPresent(text -> onStoreText(key, text));
             return actions(nowMillis);
         }
         if (key.kind() == StoreKind.HEAD) {
-            learnHead(OperationSearch.head(item));
+            addHead(OperationSearch.head(item));
         }
         mBackfill.ifPresent(backfill -> backfill.onItem(read, item));
         if (mBackfill.isPresent() && mBackfill.get().isDone()) {
-            fill(mBackfill.get().snapshot(), mBackfill.get().through());
+            applySnapshot(mBackfill.get().snapshot(), mBackfill.get().through());
             mBackfill = Optional.empty();
         }
         return actions(nowMillis);
     }
 
-    /** Takes the fact that the member list, and with it the cells, may have changed. */
+    /** Processes a change of the member list, which may change the cells. */
     public final List<FollowerAction> onMembersChanged(long nowMillis) {
         refreshGroups();
         return actions(nowMillis);
     }
 
-    /** Asks again, or elsewhere, for what didn't come; call it a few times a second. */
+    /** Retries fetches and reads without a response; call it several times per second. */
     public final List<FollowerAction> onTick(long nowMillis) {
         return actions(nowMillis);
     }
 
-    /** Answers a peer's {@link FollowerAction.FetchRecords}. */
+    /** Returns the response to a peer's {@link FollowerAction.FetchRecords}. */
     public final RecordsResponse answer(RecordsRequest request) {
-        List<GroupSnapshot> fills =
+        List<GroupSnapshot> snapshots =
                 request.groups().stream()
                         .filter(mGroups::isComplete)
                         .map(group -> new GroupSnapshot(group, mCustomers.of(group)))
                         .toList();
         return new RecordsResponse(
-                mWindow.first(), mWindow.through(), mWindow.since(request.since()), fills);
+                mWindow.first(), mWindow.through(), mWindow.since(request.since()), snapshots);
     }
 
-    /** Answers a peer's {@link FollowerAction.FetchText}. */
+    /** Returns the text for a peer's {@link FollowerAction.FetchText}; empty if it isn't here. */
     public final Optional<String> text(String customer, String digest) {
         return mTemplates.text(customer, digest);
     }
 
-    /** Returns the newest number up to which all changes are known; pings carry it. */
+    /** Returns the highest number up to which all changes are known; gossip datagrams carry it. */
     public final long headNumber() {
         return mWindow.through();
     }
 
-    /** Returns whether all that this VM must know, as far as it can tell, is known. */
+    /** Returns whether all groups and texts that this VM needs are complete. */
     public final boolean isReady() {
         return mGroups.incomplete().isEmpty() && mTexts.size() == 0;
     }
 
-    /** Returns the number of the change that is in force for a customer. */
+    /** Returns the number of a customer's active change. */
     public final Optional<Long> activeNumber(String customer) {
         return mTemplates.number(customer);
     }
 
-    /** Returns the fleet's services and their cell sizes, as far as they are known. */
+    /** Returns the known services of the fleet with their cell sizes. */
     public final Map<ServiceId, Integer> cellSizes() {
         return mCustomers.cellSizes();
     }
 
-    /** Returns figures for metrics. */
+    /** Returns the counters for metrics. */
     public final FollowerCounters counters() {
         return new FollowerCounters(
                 mWindow.through(),
@@ -183,64 +190,61 @@
                 mTemplates.size(),
                 mGroups.incomplete().size(),
                 mTexts.size(),
-                mPassedOn,
-                mBudget.reads(),
+                mForwarded,
+                mReadLimiter.reads(),
                 mTemplates.rejected());
     }
 
     /**
-     * Returns whether a change is newer than all that is known of its customer.
+     * Returns whether a change is newer than all known changes of its customer.
      *
-     * <p>Guards against changes that arrive out of order, twice or late, which would show as a
-     * template that reverts. It holds because numbers only grow in the fleet-wide order, and a
-     * change is compared with the one kept and with all in the window, so that a customer that was
-     * let go does not come back by an older change.
+     * <p>The comparison includes the window, so that a late older change doesn't restore a customer
+     * that was released.
      */
     boolean supersedes(ChangeRecord record) {
         return mCustomers.isNewer(record) && !mWindow.hasNewer(record);
     }
 
-    private List<ChangeRecord> learnHead(Head head) {
-        jumpIfBehind(head.firstNumber(), head.number());
-        return learn(head.ring());
+    private List<ChangeRecord> addHead(Head head) {
+        resetIfBehind(head.firstNumber(), head.number());
+        return addAll(head.ring());
     }
 
     /**
-     * Guards against a VM that was away for longer than the window reaches back, which would show
-     * as changes that it never hears of. It holds because all groups count as unknown again and are
-     * fetched whole; what is in force stays so meanwhile.
+     * Resets the window and fetches all groups again if this VM missed more changes than the window
+     * holds. Active templates stay active meanwhile.
      */
-    private void jumpIfBehind(long firstNumber, long through) {
+    private void resetIfBehind(long firstNumber, long through) {
         if (through > mWindow.through() && firstNumber > mWindow.through() + 1) {
             mWindow.resetTo(firstNumber);
             mGroups.resetAll();
         }
     }
 
-    private List<ChangeRecord> learn(List<ChangeRecord> records) {
-        List<ChangeRecord> news = new ArrayList<>();
+    private List<ChangeRecord> addAll(List<ChangeRecord> records) {
+        List<ChangeRecord> added = new ArrayList<>();
         for (ChangeRecord record : records) {
             if (mWindow.add(record)) {
-                news.add(record);
-                consider(record);
+                added.add(record);
+                apply(record);
             }
         }
-        return news;
+        return added;
     }
 
-    private void consider(ChangeRecord record) {
+    private void apply(ChangeRecord record) {
         if (!supersedes(record)) {
             return;
         }
         mDirectoryChanged |= mCustomers.put(record);
         if (mCustomers.isServed(record)) {
-            want(record);
+            fetchOrActivate(record);
         } else {
             release(record.customer());
         }
     }
 
-    private void want(ChangeRecord record) {
+    private void fetchOrActivate(ChangeRecord record) {
         Optional<String> cached = mTemplates.text(record.customer(), record.digest());
         if (cached.isPresent()) {
             mTexts.cancel(record.customer());
@@ -263,53 +267,56 @@
             release(record.customer());
         }
         for (ChangeRecord record : mCustomers.providers()) {
-            considerServed(record);
+            applyIfServed(record);
         }
         if (!added.isEmpty()) {
-            mWindow.all().forEach(this::consider);
+            mWindow.all().forEach(this::apply);
         }
     }
 
-    /** A provider's change is always kept; its text is wanted once the VM serves the service. */
-    private void considerServed(ChangeRecord record) {
+    /**
+     * Fetches a provider's text once this VM serves the service; the change itself is always kept.
+     */
+    private void applyIfServed(ChangeRecord record) {
         if (!mCustomers.isServed(record)) {
             release(record.customer());
         } else if (mTemplates.isNewer(record) && !mTexts.isRequested(record)) {
-            want(record);
+            fetchOrActivate(record);
         }
     }
 
-    private void fill(GroupSnapshot fill, long through) {
-        if (!mGroups.contains(fill.group()) || through < mWindow.first() - 1) {
+    private void applySnapshot(GroupSnapshot snapshot, long through) {
+        if (!mGroups.contains(snapshot.group()) || through < mWindow.first() - 1) {
             return;
         }
-        mGroups.markComplete(fill.group());
-        fill.newest().forEach(this::consider);
-        for (ChangeRecord gone : mCustomers.removeMissing(fill, through, mWindow.first())) {
-            release(gone.customer());
+        mGroups.markComplete(snapshot.group());
+        snapshot.newest().forEach(this::apply);
+        for (ChangeRecord removed : mCustomers.removeMissing(snapshot, through, mWindow.first())) {
+            release(removed.customer());
         }
     }
 
     private void readText(ChangeRecord record) {
         if (mTemplates.text(record.customer(), record.digest()).isEmpty()) {
-            mBudget.recordUnthrottled();
+            mReadLimiter.recordUnthrottled();
             mActions.add(
                     new FollowerAction.ReadStore(
-                            StoreKey.text(record.customer(), record.digest()), mBudget.reads()));
+                            StoreKey.text(record.customer(), record.digest()),
+                            mReadLimiter.reads()));
         }
     }
 
-    private void takeStoreText(StoreKey key, TemplateText text) {
+    private void onStoreText(StoreKey key, TemplateText text) {
         String digest = text.digest();
         String[] parts = key.path().split("/", -1);
         String customer = parts[1];
         if (key.equals(StoreKey.text(customer, digest))) {
             mTemplates.cache(customer, digest, text.text());
-            takeText(customer, digest, Optional.of(text.text()));
+            onTextReceived(customer, digest, Optional.of(text.text()));
         }
     }
 
-    private void takeText(String customer, String digest, Optional<String> text) {
+    private void onTextReceived(String customer, String digest, Optional<String> text) {
         if (text.isEmpty() || !new TemplateText(text.get()).digest().equals(digest)) {
             mTexts.retryNextSource(customer, digest);
             return;
@@ -318,26 +325,24 @@
                 .ifPresent(record -> mActions.addAll(mTemplates.activate(record, text.get())));
     }
 
-    private void passOn(List<ChangeRecord> news) {
+    private void sendRumor(List<ChangeRecord> added) {
         List<VmIdentity> members = new ArrayList<>(mPeers.members());
-        if (news.isEmpty() || members.isEmpty()) {
+        if (added.isEmpty() || members.isEmpty()) {
             return;
         }
-        List<VmIdentity> chosen = new ArrayList<>();
-        while (chosen.size() < mSettings.fanout() && !members.isEmpty()) {
-            chosen.add(members.remove(mRandom.nextInt(members.size())));
+        List<VmIdentity> recipients = new ArrayList<>();
+        while (recipients.size() < mSettings.fanout() && !members.isEmpty()) {
+            recipients.add(members.remove(mRandom.nextInt(members.size())));
         }
-        mPassedOn += news.size();
-        mActions.add(new FollowerAction.SendRumor(chosen, news));
+        mForwarded += added.size();
+        mActions.add(new FollowerAction.SendRumor(recipients, added));
     }
 
     /**
-     * Looks once at the groups that follow from all that was taken in.
-     *
-     * <p>Guards against a look at all services for each provider of a fill, which would show as a
-     * VM that takes seconds of processor time to start among many services.
+     * Refreshes the groups once per event instead of once per change, which is expensive with many
+     * services.
      */
-    private void followDirectory() {
+    private void refreshAfterDirectoryChange() {
         while (mDirectoryChanged) {
             mDirectoryChanged = false;
             refreshGroups();
@@ -345,23 +350,23 @@
     }
 
     private List<FollowerAction> actions(long nowMillis) {
-        followDirectory();
-        askPeer(nowMillis);
+        refreshAfterDirectoryChange();
+        fetchRecords(nowMillis);
         readStore(nowMillis);
-        mActions.addAll(mTexts.due(nowMillis, mBudget));
+        mActions.addAll(mTexts.due(nowMillis, mReadLimiter));
         List<FollowerAction> actions = List.copyOf(mActions);
         mActions.clear();
         return actions;
     }
 
-    private void askPeer(long nowMillis) {
-        if (nowMillis < mAskedUntil) {
+    private void fetchRecords(long nowMillis) {
+        if (nowMillis < mResponseDeadlineMillis) {
             return;
         }
-        Optional<VmIdentity> peer = mAhead.or(() -> mGroups.nextSource(nowMillis));
-        mAhead = Optional.empty();
+        Optional<VmIdentity> peer = mPeerAhead.or(() -> mGroups.nextSource(nowMillis));
+        mPeerAhead = Optional.empty();
         if (peer.isPresent()) {
-            mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
+            mResponseDeadlineMillis = nowMillis + mSettings.responseTimeoutMillis();
             mActions.add(
                     new FollowerAction.FetchRecords(
                             peer.get(),
@@ -377,7 +382,7 @@
             mBackfill = mGroups.nextForStore(nowMillis).map(StoreBackfill::new);
         }
         mBackfill
-                .flatMap(b -> b.due(nowMillis, mSettings.responseTimeoutMillis(), mBudget))
+                .flatMap(b -> b.due(nowMillis, mSettings.responseTimeoutMillis(), mReadLimiter))
                 .ifPresent(mActions::add);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerGroup.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerGroup.java
@@ -4,16 +4,16 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * The customers whose newest changes a VM must know together.
+ * A group of customers whose newest changes a VM fetches together.
  *
- * @param service the customers that name this service; empty for those that provide any service,
- *     which are the fleet's directory of services and cell sizes
+ * @param service the service that the customers reference; empty for all customers that provide a
+ *     service, which form the fleet's service directory
  */
 public record CustomerGroup(Optional<ServiceId> service) {
-    /** The customers that provide services; every VM knows them. */
+    /** The customers that provide services; every VM needs this group. */
     public static final CustomerGroup PROVIDERS = new CustomerGroup(Optional.empty());
 
-    /** Returns the customers that name a service. */
+    /** Returns the group of the customers that reference a service. */
     public static CustomerGroup of(ServiceId service) {
         return new CustomerGroup(Optional.of(service));
     }
@@ -26,7 +26,7 @@
         return record.services().stream().anyMatch(use -> use.service().equals(service.get()));
     }
 
-    /** Returns the key of the store's index of the group. */
+    /** Returns the store key of the group's index. */
     public StoreKey indexKey() {
         return service.map(StoreKey::customers).orElse(StoreKey.PROVIDERS);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerIndex.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/CustomerIndex.java
@@ -5,34 +5,35 @@
 import java.util.TreeSet;
 
 /**
- * The customers whose templates may name a service.
+ * The store's index of the customers whose templates may reference a service.
  *
- * <p>Written before the accept, so it may name a customer whose accept never happened, but misses
- * none. It lets a fleet that was replaced all at once find its templates again.
+ * <p>Written before the accept, so it is complete, but may contain customers whose accept failed. A
+ * fleet that lost its state finds its templates by this index.
  *
  * @param customers the customers' names
  */
 public record CustomerIndex(SortedSet<String> customers) implements MergeableItem {
 
-    /** Copies the set. */
+    /** Creates an index with a copy of the set. */
     public CustomerIndex {
         customers = new TreeSet<>(customers);
     }
 
-    /** Returns the index that names just this customer. */
+    /** Returns an index with one customer. */
     public static CustomerIndex of(String customer) {
-        TreeSet<String> one = new TreeSet<>();
-        one.add(customer);
-        return new CustomerIndex(one);
+        TreeSet<String> single = new TreeSet<>();
+        single.add(customer);
+        return new CustomerIndex(single);
     }
 
     @Override
-    public CustomerIndex mergedWith(Optional<StoreItem> standing) {
-        if (standing.isEmpty()) {
+    public CustomerIndex mergedWith(Optional<StoreItem> current) {
+        if (current.isEmpty()) {
             return this;
         }
-        if (!(standing.get() instanceof CustomerIndex other)) {
-            throw new IllegalArgumentException("An index's key holds another kind of value.");
+        if (!(current.get() instanceof CustomerIndex other)) {
+            throw new IllegalArgumentException(
+                    "The key of a customer index has a value of another type.");
         }
         TreeSet<String> all = new TreeSet<>(other.customers);
         all.addAll(customers);
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerAction.java
@@ -3,65 +3,52 @@
 import java.util.List;
 import org.dahliapass.model.VmIdentity;
 
-/** What a {@link ConfigurationFollower} wants done. */
+/** An action that a {@link ConfigurationFollower} requests of its caller. */
 public sealed interface FollowerAction {
 
     /**
-     * Send changes to members.
+     * Send changes to members as a rumor.
      *
-     * @param members the receivers
-     * @param records the changes
+     * @param members the recipients
      */
     record SendRumor(List<VmIdentity> members, List<ChangeRecord> records)
             implements FollowerAction {}
 
     /**
-     * Ask a peer for changes.
-     *
-     * @param peer the peer
-     * @param request what to ask
+     * Fetch changes from a peer and pass the response to {@link ConfigurationFollower#onAnswer}.
      */
     record FetchRecords(VmIdentity peer, RecordsRequest request) implements FollowerAction {}
 
     /**
-     * Ask a peer for a text.
+     * Fetch a text from a peer and pass the response to {@link ConfigurationFollower#onText}.
      *
-     * @param peer the peer
-     * @param customer the customer
      * @param digest the text's digest
      */
     record FetchText(VmIdentity peer, String customer, String digest) implements FollowerAction {}
 
     /**
-     * Read a key of the store.
+     * Read a key of the store and pass the value to {@link ConfigurationFollower#onStoreItem}.
      *
-     * @param key the key
-     * @param attempt tells this read from an earlier one of the same key, whose answer is late
+     * @param attempt number that distinguishes this read from earlier ones of the same key
      */
     record ReadStore(StoreKey key, long attempt) implements FollowerAction {}
 
     /**
-     * Put a template in force.
+     * Activate a template.
      *
-     * @param customer the customer
-     * @param number the change's number, higher than that of the template in force
-     * @param text the text, which passed its check
+     * @param number the change's number, higher than that of the active template
+     * @param text the valid text
      */
     record Apply(String customer, long number, String text) implements FollowerAction {}
 
-    /**
-     * Let go of a customer's template: this VM serves none of its services any more.
-     *
-     * @param customer the customer
-     */
+    /** Deactivate a customer's template, because this VM serves none of its services any more. */
     record Release(String customer) implements FollowerAction {}
 
     /**
-     * Report a template that failed its check; the one in force stays.
+     * Report an invalid template; the previous one stays active.
      *
-     * @param customer the customer
      * @param number the change's number
-     * @param problem what is wrong
+     * @param problem the error in the text
      */
     record Reject(String customer, long number, String problem) implements FollowerAction {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerCounters.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerCounters.java
@@ -1,16 +1,16 @@
 package org.dahliapass.decisions.configuration;
 
 /**
- * What a follower has done and holds, for metrics.
+ * The counters of a {@link ConfigurationFollower} for metrics.
  *
- * @param headNumber the newest number up to which it knows all changes
- * @param customersKnown the customers whose newest change it keeps
- * @param activeTemplates the customers whose template it holds
- * @param incompleteGroups the groups that it doesn't know whole
- * @param textsWanted the texts that it still looks for
- * @param recordsForwarded the records that it passed on, each counted once
- * @param storeReads the reads of the store that it asked for
- * @param rejected the templates that failed their check
+ * @param headNumber highest number up to which all changes are known
+ * @param customersKnown number of customers whose newest change is known
+ * @param activeTemplates number of active templates
+ * @param incompleteGroups number of groups that are not complete
+ * @param textsWanted number of texts to fetch
+ * @param recordsForwarded number of records sent as rumors, each counted once
+ * @param storeReads number of requested reads of the store
+ * @param rejected number of invalid templates
  */
 public record FollowerCounters(
         long headNumber,
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerSettings.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/FollowerSettings.java
@@ -1,15 +1,15 @@
 package org.dahliapass.decisions.configuration;
 
 /**
- * A follower's bounds and times.
+ * Settings of a {@link ConfigurationFollower}.
  *
- * @param windowCapacity how many of the newest changes it keeps
- * @param fanout to how many members it passes news on
- * @param responseTimeoutMillis how long it waits for an answer before it asks somebody else
- * @param storeReadIntervalMillis the least time between two reads of the store as a last resort
- * @param storeRankDelayMillis how long each later rank waits for the one before it to read a group
- * @param maxTextsInFlight how many texts it fetches at once
- * @param textCacheSize how many texts of others a watcher keeps
+ * @param windowCapacity maximum number of changes in the window
+ * @param fanout number of members that receive a rumor
+ * @param responseTimeoutMillis time after which a fetch is retried at another source
+ * @param storeReadIntervalMillis minimum time between two reads of the store
+ * @param storeRankDelayMillis time that each rank waits for the previous one to read a group
+ * @param maxTextsInFlight maximum number of concurrent fetches of texts
+ * @param textCacheSize maximum number of cached texts that this VM doesn't need itself
  */
 public record FollowerSettings(
         int windowCapacity,
@@ -19,7 +19,7 @@
         long storeRankDelayMillis,
         int maxTextsInFlight,
         int textCacheSize) {
-    /** What runs in the field. */
+    /** The settings in production. */
     public static final FollowerSettings DEFAULTS =
             new FollowerSettings(Head.RING_CAPACITY, 4, 500, 50, 2_000, 16, 32);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupSnapshot.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupSnapshot.java
@@ -5,12 +5,11 @@
 /**
  * The newest change of each customer of a group.
  *
- * @param group the group
- * @param newest the changes, in no order
+ * @param newest the changes in any order
  */
 public record GroupSnapshot(CustomerGroup group, List<ChangeRecord> newest) {
 
-    /** Copies the list. */
+    /** Creates a snapshot with a copy of the list. */
     public GroupSnapshot {
         newest = List.copyOf(newest);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupTracker.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/GroupTracker.java
@@ -11,20 +11,20 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 
-/** The groups of customers that this VM must know whole, and how far it got with each. */
+/** Tracks which groups of customers this VM needs and which of them are complete. */
 final class GroupTracker {
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final class State {
-        private boolean mFilled;
-        private int mAsked;
-        private long mSinceMillis = NEVER;
+        private boolean mComplete;
+        private int mFetches;
+        private long mIncompleteSinceMillis = NEVER;
     }
 
     private final FollowerSettings mSettings;
     private final FollowerPeers mPeers;
     private final Map<CustomerGroup, State> mStates = new LinkedHashMap<>();
-    private long mNextAskMillis = NEVER;
+    private long mNextFetchMillis = NEVER;
 
     GroupTracker(FollowerSettings settings, FollowerPeers peers) {
         mSettings = settings;
@@ -32,7 +32,7 @@
         mStates.put(CustomerGroup.PROVIDERS, new State());
     }
 
-    /** Takes the fleet's services; returns the groups that this VM must know from now on. */
+    /** Updates the needed groups from the fleet's services; returns the added ones. */
     List<CustomerGroup> refresh(Collection<ServiceId> services) {
         Set<CustomerGroup> needed = new HashSet<>();
         needed.add(CustomerGroup.PROVIDERS);
@@ -48,11 +48,11 @@
     }
 
     boolean isComplete(CustomerGroup group) {
-        return mStates.containsKey(group) && mStates.get(group).mFilled;
+        return mStates.containsKey(group) && mStates.get(group).mComplete;
     }
 
     void markComplete(CustomerGroup group) {
-        mStates.get(group).mFilled = true;
+        mStates.get(group).mComplete = true;
     }
 
     void resetAll() {
@@ -60,54 +60,54 @@
     }
 
     List<CustomerGroup> incomplete() {
-        List<CustomerGroup> unfilled = new ArrayList<>(mStates.keySet());
-        unfilled.removeIf(this::isComplete);
-        return unfilled;
+        List<CustomerGroup> incomplete = new ArrayList<>(mStates.keySet());
+        incomplete.removeIf(this::isComplete);
+        return incomplete;
     }
 
     /**
-     * Returns whom to ask next for what is unfilled.
-     *
-     * <p>Guards against VMs that know nothing and ask each other in a tight circle. It holds
-     * because there is a pause after each question, answered or not.
+     * Returns the member to fetch the incomplete groups from, at most one per response timeout, so
+     * that VMs without data don't query each other in a tight loop.
      */
     Optional<VmIdentity> nextSource(long nowMillis) {
-        List<CustomerGroup> unfilled = incomplete();
-        if (unfilled.isEmpty() || nowMillis < mNextAskMillis) {
+        List<CustomerGroup> incomplete = incomplete();
+        if (incomplete.isEmpty() || nowMillis < mNextFetchMillis) {
             return Optional.empty();
         }
-        CustomerGroup group = leastAsked(unfilled);
+        CustomerGroup group = leastFetched(incomplete);
         State state = mStates.get(group);
         List<VmIdentity> sources = mPeers.groupSources(group);
-        state.mAsked++;
-        mNextAskMillis = nowMillis + mSettings.responseTimeoutMillis();
+        state.mFetches++;
+        mNextFetchMillis = nowMillis + mSettings.responseTimeoutMillis();
         return sources.isEmpty()
                 ? Optional.empty()
-                : Optional.of(sources.get((state.mAsked - 1) % sources.size()));
+                : Optional.of(sources.get((state.mFetches - 1) % sources.size()));
     }
 
-    /** Returns a group that no peer could fill and that it is this VM's turn to read. */
+    /**
+     * Returns a group that no peer could provide and whose read from the store is due on this VM.
+     */
     Optional<CustomerGroup> nextForStore(long nowMillis) {
         for (CustomerGroup group : incomplete()) {
             State state = mStates.get(group);
-            if (state.mSinceMillis == NEVER) {
-                state.mSinceMillis = nowMillis;
+            if (state.mIncompleteSinceMillis == NEVER) {
+                state.mIncompleteSinceMillis = nowMillis;
             }
-            long patience =
+            long delayMillis =
                     mSettings.responseTimeoutMillis()
                             + mPeers.storeRank(group) * mSettings.storeRankDelayMillis();
-            if (state.mAsked >= mPeers.groupSources(group).size()
-                    && nowMillis >= state.mSinceMillis + patience) {
+            if (state.mFetches >= mPeers.groupSources(group).size()
+                    && nowMillis >= state.mIncompleteSinceMillis + delayMillis) {
                 return Optional.of(group);
             }
         }
         return Optional.empty();
     }
 
-    private CustomerGroup leastAsked(List<CustomerGroup> groups) {
+    private CustomerGroup leastFetched(List<CustomerGroup> groups) {
         CustomerGroup least = groups.get(0);
         for (CustomerGroup group : groups) {
-            if (mStates.get(group).mAsked < mStates.get(least).mAsked) {
+            if (mStates.get(group).mFetches < mStates.get(least).mFetches) {
                 least = group;
             }
         }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/KnownCustomers.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/KnownCustomers.java
@@ -9,7 +9,9 @@
 import java.util.function.Predicate;
 import org.dahliapass.model.ServiceId;
 
-/** The newest change of each customer that provides a service or uses one that this VM serves. */
+/**
+ * The newest change of each customer that provides a service or references one that this VM serves.
+ */
 final class KnownCustomers {
     private final FollowerPeers mPeers;
     private final Map<String, ChangeRecord> mNewest = new HashMap<>();
@@ -28,21 +30,21 @@
     }
 
     boolean isNewer(ChangeRecord record) {
-        ChangeRecord standing = mNewest.get(record.customer());
-        return standing == null || record.number() > standing.number();
+        ChangeRecord current = mNewest.get(record.customer());
+        return current == null || record.number() > current.number();
     }
 
     boolean isServed(ChangeRecord record) {
         return record.services().stream().anyMatch(use -> mPeers.serves(use.service()));
     }
 
-    /** Keeps a change if it is needed; returns whether the directory of services changed. */
+    /** Stores a change if it is needed; returns whether the service directory changed. */
     boolean put(ChangeRecord record) {
         boolean needed = record.provides() || isServed(record);
         String customer = record.customer();
         ChangeRecord before = needed ? mNewest.put(customer, record) : mNewest.remove(customer);
-        boolean provided = before != null && before.provides();
-        return (provided || record.provides()) && countCells();
+        boolean wasProvider = before != null && before.provides();
+        return (wasProvider || record.provides()) && refreshCellSizes();
     }
 
     List<ChangeRecord> of(CustomerGroup group) {
@@ -53,34 +55,34 @@
         return of(CustomerGroup.PROVIDERS);
     }
 
-    /** Lets go of the changes that this VM no longer needs, and returns them. */
+    /** Removes and returns the changes that this VM no longer needs. */
     List<ChangeRecord> removeUnneeded() {
-        return drop(record -> !record.provides() && !isServed(record));
+        return removeIf(record -> !record.provides() && !isServed(record));
     }
 
-    /** Lets go of the group's customers that left it before the window began, and returns them. */
-    List<ChangeRecord> removeMissing(GroupSnapshot fill, long through, long windowFirst) {
+    /** Removes and returns the changes of customers that left the group before the window. */
+    List<ChangeRecord> removeMissing(GroupSnapshot snapshot, long through, long windowFirst) {
         Set<String> listed = new HashSet<>();
-        fill.newest().forEach(record -> listed.add(record.customer()));
-        List<ChangeRecord> gone =
-                drop(
+        snapshot.newest().forEach(record -> listed.add(record.customer()));
+        List<ChangeRecord> removed =
+                removeIf(
                         record ->
                                 record.number() <= through
                                         && record.number() < windowFirst
-                                        && fill.group().contains(record)
+                                        && snapshot.group().contains(record)
                                         && !listed.contains(record.customer()));
-        countCells();
-        return gone;
+        refreshCellSizes();
+        return removed;
     }
 
-    private List<ChangeRecord> drop(Predicate<ChangeRecord> unneeded) {
-        List<ChangeRecord> gone = new ArrayList<>(mNewest.values());
-        gone.removeIf(unneeded.negate());
-        gone.forEach(record -> mNewest.remove(record.customer()));
-        return gone;
+    private List<ChangeRecord> removeIf(Predicate<ChangeRecord> unneeded) {
+        List<ChangeRecord> removed = new ArrayList<>(mNewest.values());
+        removed.removeIf(unneeded.negate());
+        removed.forEach(record -> mNewest.remove(record.customer()));
+        return removed;
     }
 
-    private boolean countCells() {
+    private boolean refreshCellSizes() {
         Map<ServiceId, Integer> sizes = new HashMap<>();
         for (ChangeRecord record : providers()) {
             for (ServiceUse use : record.services()) {
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/MergeableItem.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/MergeableItem.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** A value that only grows: what is added never takes away what stands. */
+/** A store value that is updated by merging. */
 public sealed interface MergeableItem extends StoreItem
         permits Pointer, CustomerIndex, TemplateText {
 
     /**
-     * Returns what the key must hold so that it holds this value and what stands.
+     * Returns the merge of this value and the current one.
      *
-     * @param standing what the key holds now
-     * @throws IllegalArgumentException if the standing value is of another type
+     * @param current the current value of the key
+     * @throws IllegalArgumentException if the current value is of another type
      */
-    MergeableItem mergedWith(Optional<StoreItem> standing);
+    MergeableItem mergedWith(Optional<StoreItem> current);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationHandle.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationHandle.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * All that is needed to find out later whether an accept took effect.
+ * A handle to resolve the outcome of an accept operation later.
  *
- * @param operationId names the accept
- * @param customer the customer whose template was to change
- * @param headIndex the store's index of the head that was to be replaced
- * @param number the number that the change has if it was accepted
+ * @param operationId the unique ID of the accept operation
+ * @param customer the customer of the template
+ * @param headIndex the store's index of the head to be replaced
+ * @param number the number of the change if it was accepted
  */
 public record OperationHandle(String operationId, String customer, long headIndex, long number) {
     private static final int PARTS = 4;
 
-    /** Reads a handle written by {@link #toString()}. */
+    /** Parses a handle; returns empty unless the text has the format of {@link #toString()}. */
     public static Optional<OperationHandle> parse(String text) {
         String[] parts = text.split("/", -1);
         if (parts.length != PARTS) {
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationSearch.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/OperationSearch.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** Looks for an accept in what was read of the store: the head first, then the pointer. */
+/** Finds an accept operation in the head or, if it was evicted, in the pointer. */
 final class OperationSearch {
     private OperationSearch() {}
 
-    /** Returns the number that the operation's change got, if it is found. */
+    /** Returns the number of the operation's change if it is found. */
     static Optional<Long> numberOf(String operationId, Head head, Optional<Pointer> pointer) {
         return head.findByOperation(operationId)
                 .map(ChangeRecord::number)
@@ -19,12 +19,12 @@
         return inRing.isPresent() ? inRing : pointer.map(Pointer::newest);
     }
 
-    /** Returns the pointer that a read answered. */
+    /** Returns the pointer from the result of a read. */
     static Optional<Pointer> pointer(Optional<StoreItem> item) {
         return item.map(Pointer.class::cast);
     }
 
-    /** Returns the head that a read answered. */
+    /** Returns the head from the result of a read. */
     static Head head(Optional<StoreItem> item) {
         return item.map(Head.class::cast).orElse(Head.EMPTY);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/PastOperation.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/PastOperation.java
@@ -1,9 +1,9 @@
 package org.dahliapass.decisions.configuration;
 
 /**
- * An accept that left the ring.
+ * An accept operation whose change was evicted from the ring.
  *
- * @param operationId names the accept
- * @param number the number that its change got
+ * @param operationId the unique ID of the accept operation
+ * @param number the number of its change
  */
 public record PastOperation(String operationId, long number) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Pointer.java
@@ -6,28 +6,28 @@
 import java.util.stream.Stream;
 
 /**
- * What is known of a customer's changes that left the ring of the {@link Head}.
+ * A customer's changes that were evicted from the ring of the {@link Head}.
  *
  * @param newest the newest of them
- * @param operations the last {@link #MAX_OPERATIONS} accepts, by growing number
+ * @param operations the last {@link #MAX_OPERATIONS} accept operations, by ascending number
  */
 public record Pointer(ChangeRecord newest, List<PastOperation> operations)
         implements MergeableItem {
-    /** How many accepts of a customer can be looked up after they left the ring. */
+    /** Maximum number of accept operations that are kept. */
     public static final int MAX_OPERATIONS = 32;
 
-    /** Copies the list. */
+    /** Creates a pointer with a copy of the list. */
     public Pointer {
         operations = List.copyOf(operations);
     }
 
-    /** Returns the pointer that knows just this change. */
+    /** Returns a pointer with one change. */
     public static Pointer of(ChangeRecord record) {
         return new Pointer(
                 record, List.of(new PastOperation(record.operationId(), record.number())));
     }
 
-    /** Returns the number that the accept of this operation got, if it is still known. */
+    /** Returns the number of an operation's change if it is still known. */
     public Optional<Long> numberOf(String operationId) {
         return operations.stream()
                 .filter(operation -> operation.operationId().equals(operationId))
@@ -35,32 +35,32 @@
                 .findFirst();
     }
 
-    /** Returns whether an accept of this number may have been forgotten. */
+    /** Returns whether an operation with this number may have been evicted. */
     public boolean mayHaveEvicted(long number) {
         return operations.size() >= MAX_OPERATIONS && operations.get(0).number() > number;
     }
 
     /**
-     * Merges so that the newest change stays the newest.
+     * {@inheritDoc}
      *
-     * <p>Guards against a slow writer that writes its older evicted record last, which would show
-     * as a template that reverts. It holds because the merge takes the higher number.
+     * <p>Keeps the change with the higher number, so that a slow writer can't replace a newer
+     * change by an older one.
      */
     @Override
-    public Pointer mergedWith(Optional<StoreItem> standing) {
-        if (standing.isEmpty()) {
+    public Pointer mergedWith(Optional<StoreItem> current) {
+        if (current.isEmpty()) {
             return this;
         }
-        if (!(standing.get() instanceof Pointer other)) {
-            throw new IllegalArgumentException("A pointer's key holds another kind of value.");
+        if (!(current.get() instanceof Pointer other)) {
+            throw new IllegalArgumentException("The key of a pointer has a value of another type.");
         }
         List<PastOperation> all =
                 Stream.concat(other.operations.stream(), operations.stream())
                         .distinct()
                         .sorted(Comparator.comparingLong(PastOperation::number))
                         .toList();
-        ChangeRecord higher = newest.number() > other.newest.number() ? newest : other.newest;
+        ChangeRecord newer = newest.number() > other.newest.number() ? newest : other.newest;
         return new Pointer(
-                higher, all.subList(Math.max(0, all.size() - MAX_OPERATIONS), all.size()));
+                newer, all.subList(Math.max(0, all.size() - MAX_OPERATIONS), all.size()));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/RecordsRequest.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/RecordsRequest.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a VM asks of a peer.
+ * A request for changes of the fleet-wide log.
  *
- * @param since the newest number up to which the asker knows all changes
- * @param groups the groups of which the asker doesn't know all customers
+ * @param since highest number up to which the requester knows all changes
+ * @param groups the groups that are incomplete at the requester
  */
 public record RecordsRequest(long since, List<CustomerGroup> groups) {
 
-    /** Copies the list. */
+    /** Creates a request with a copy of the list. */
     public RecordsRequest {
         groups = List.copyOf(groups);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ResolveProtocol.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ResolveProtocol.java
@@ -3,47 +3,46 @@
 import java.util.Optional;
 
 /**
- * Finds out whether an accept took effect whose outcome was unknown, and if not, makes sure that it
- * never will.
+ * The protocol that resolves an accept operation with an unknown outcome: returns whether it took
+ * effect, and if it didn't, ensures that it never will.
  */
 public final class ResolveProtocol implements StoreProtocol {
     private final OperationHandle mHandle;
-    private boolean mPointerAsked;
+    private boolean mReadingPointer;
     private Head mHead = Head.EMPTY;
     private int mFailures;
 
-    /** Creates the machine that resolves one accept. */
+    /** Creates the protocol for one operation. */
     public ResolveProtocol(OperationHandle handle) {
         mHandle = handle;
     }
 
     @Override
     public StoreAction start() {
-        mPointerAsked = false;
+        mReadingPointer = false;
         return new StoreAction.Read(StoreKey.HEAD);
     }
 
     @Override
     public StoreAction onRead(Optional<StoreItem> item, long index) {
-        return mPointerAsked
+        return mReadingPointer
                 ? decide(OperationSearch.pointer(item))
                 : onHead(OperationSearch.head(item), index);
     }
 
     @Override
     public StoreAction onReadFailed() {
-        return startAgain();
+        return retry();
     }
 
     @Override
-    public StoreAction onSwap(SwapOutcome answer) {
-        return answer == SwapOutcome.SWAPPED ? start() : startAgain();
+    public StoreAction onSwap(SwapOutcome outcome) {
+        return outcome == SwapOutcome.SWAPPED ? start() : retry();
     }
 
     /**
-     * Guards against the lost swap being still on its way: "not accepted" would then be said of a
-     * change that comes into force later. It holds because the head is written again unchanged,
-     * which moves its index on, so that the late swap finds another index than it names.
+     * Looks for the operation in the head. If the head still has the index that the unconfirmed
+     * swap expects, rewrites the head unchanged, so that a delayed swap fails by the new index.
      */
     private StoreAction onHead(Head head, long index) {
         mHead = head;
@@ -54,7 +53,7 @@
         if (index == mHandle.headIndex()) {
             return new StoreAction.Swap(StoreKey.HEAD, head, index);
         }
-        mPointerAsked = true;
+        mReadingPointer = true;
         return new StoreAction.Read(StoreKey.pointer(mHandle.customer()));
     }
 
@@ -67,10 +66,11 @@
             return new StoreAction.Finish(new AcceptOutcome.Unknown(mHandle));
         }
         return new StoreAction.Finish(
-                new AcceptOutcome.NotAccepted("It isn't in the order and can't get there."));
+                new AcceptOutcome.NotAccepted(
+                        "The change is not in the log and can't be accepted any more."));
     }
 
-    private StoreAction startAgain() {
+    private StoreAction retry() {
         mFailures++;
         return mFailures < AcceptProtocol.MAX_FAILURES
                 ? start()
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/ServiceUse.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/ServiceUse.java
@@ -3,9 +3,8 @@
 import org.dahliapass.model.ServiceId;
 
 /**
- * A service that a customer's template names.
+ * A reference of a customer's template to a service.
  *
- * @param service the service
- * @param cellSize the number of VMs that serve it if this customer provides it, else 0
+ * @param cellSize number of VMs in the service's cell if the customer provides it, else 0
  */
 public record ServiceUse(ServiceId service, int cellSize) {}
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreAction.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreAction.java
@@ -1,28 +1,19 @@
 package org.dahliapass.decisions.configuration;
 
-/** What a {@link StoreProtocol} wants done next. */
+/** The next action that a {@link StoreProtocol} requests of its caller. */
 public sealed interface StoreAction {
 
-    /**
-     * Read a key.
-     *
-     * @param key the key
-     */
+    /** Read a key. */
     record Read(StoreKey key) implements StoreAction {}
 
     /**
      * Compare and swap a key.
      *
-     * @param key the key
      * @param item the new value
-     * @param index the index that the key must still have; 0 if it must be absent
+     * @param index the expected index of the key; 0 if the key must be absent
      */
     record Swap(StoreKey key, StoreItem item, long index) implements StoreAction {}
 
-    /**
-     * Nothing more: the outcome is known as well as it can be.
-     *
-     * @param outcome the outcome
-     */
+    /** Finish the protocol with an outcome. */
     record Finish(AcceptOutcome outcome) implements StoreAction {}
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreBackfill.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreBackfill.java
@@ -10,41 +10,40 @@
 
 /**
  * Reads one group from the store: the head, then the group's index, then the pointers of those of
- * its customers that the head doesn't tell of.
+ * its customers that are not in the head.
  *
- * <p>The order matters: a change is in a pointer before it leaves the head, so what the head does
- * not show is in a pointer that is read later.
+ * <p>A change is written to a pointer before it leaves the head, so this order misses no change.
  */
 final class StoreBackfill {
     private final CustomerGroup mGroup;
-    private final Deque<StoreKey> mToRead = new ArrayDeque<>();
-    private final List<ChangeRecord> mFound = new ArrayList<>();
+    private final Deque<StoreKey> mPendingKeys = new ArrayDeque<>();
+    private final List<ChangeRecord> mPointerChanges = new ArrayList<>();
     private Head mHead = Head.EMPTY;
     private long mAttempt;
-    private long mAskedUntil = Long.MIN_VALUE;
+    private long mResponseDeadlineMillis = Long.MIN_VALUE;
 
     StoreBackfill(CustomerGroup group) {
         mGroup = group;
-        mToRead.add(StoreKey.HEAD);
-        mToRead.add(group.indexKey());
+        mPendingKeys.add(StoreKey.HEAD);
+        mPendingKeys.add(group.indexKey());
     }
 
     CustomerGroup group() {
         return mGroup;
     }
 
-    /** Returns the head's number: the group is known whole as of it. */
+    /** Returns the head's number, as of which the snapshot is complete. */
     long through() {
         return mHead.number();
     }
 
     boolean isDone() {
-        return mToRead.isEmpty();
+        return mPendingKeys.isEmpty();
     }
 
-    /** Returns the newest changes of the group's customers. */
+    /** Returns the newest change of each customer of the group. */
     GroupSnapshot snapshot() {
-        List<ChangeRecord> newest = new ArrayList<>(mFound);
+        List<ChangeRecord> newest = new ArrayList<>(mPointerChanges);
         for (ChangeRecord record : mHead.ring()) {
             if (mHead.newestOf(record.customer()).orElseThrow().equals(record)) {
                 newest.add(record);
@@ -54,45 +53,44 @@
         return new GroupSnapshot(mGroup, newest);
     }
 
-    /** Returns the read to do now; a read without an answer is repeated. */
-    Optional<FollowerAction> due(long nowMillis, long answerMillis, StoreReadLimiter budget) {
-        if (isDone() || nowMillis < mAskedUntil || !budget.tryAcquire(nowMillis)) {
+    /** Returns the read that is due; repeats a read without a response. */
+    Optional<FollowerAction> due(long nowMillis, long timeoutMillis, StoreReadLimiter limiter) {
+        if (isDone() || nowMillis < mResponseDeadlineMillis || !limiter.tryAcquire(nowMillis)) {
             return Optional.empty();
         }
-        mAskedUntil = nowMillis + answerMillis;
-        mAttempt = budget.reads();
-        return Optional.of(new FollowerAction.ReadStore(mToRead.element(), mAttempt));
+        mResponseDeadlineMillis = nowMillis + timeoutMillis;
+        mAttempt = limiter.reads();
+        return Optional.of(new FollowerAction.ReadStore(mPendingKeys.element(), mAttempt));
     }
 
     /**
-     * Takes a value if it is the one that was asked for last.
-     *
-     * <p>Guards against the late answer to an earlier read of the same key: an index from before a
-     * customer was entered would be taken for one read after the head, which shows as a template
-     * that this VM never gets. It holds because each read has its own attempt number.
+     * Processes the value of the last read; ignores late values of earlier reads, because an index
+     * that was read before the head may lack customers.
      */
     void onItem(FollowerAction.ReadStore read, Optional<StoreItem> item) {
         StoreKey key = read.key();
-        if (read.attempt() != mAttempt || !key.equals(mToRead.peek())) {
+        if (read.attempt() != mAttempt || !key.equals(mPendingKeys.peek())) {
             return;
         }
-        mToRead.remove();
-        mAskedUntil = Long.MIN_VALUE;
+        mPendingKeys.remove();
+        mResponseDeadlineMillis = Long.MIN_VALUE;
         switch (key.kind()) {
             case HEAD -> mHead = OperationSearch.head(item);
             case CUSTOMERS -> item.map(CustomerIndex.class::cast).ifPresent(this::onIndex);
             case POINTER ->
-                    OperationSearch.pointer(item).map(Pointer::newest).ifPresent(mFound::add);
-            case TEXT -> throw new IllegalStateException("No text is asked for.");
+                    OperationSearch.pointer(item)
+                            .map(Pointer::newest)
+                            .ifPresent(mPointerChanges::add);
+            case TEXT -> throw new IllegalStateException("A backfill never reads texts.");
         }
     }
 
     private void onIndex(CustomerIndex index) {
-        Set<String> inHead =
+        Set<String> customersInHead =
                 mHead.ring().stream().map(ChangeRecord::customer).collect(Collectors.toSet());
         index.customers().stream()
-                .filter(customer -> !inHead.contains(customer))
+                .filter(customer -> !customersInHead.contains(customer))
                 .map(StoreKey::pointer)
-                .forEach(mToRead::add);
+                .forEach(mPendingKeys::add);
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreItem.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreItem.java
@@ -1,4 +1,4 @@
 package org.dahliapass.decisions.configuration;
 
-/** A value that the configuration store holds. */
+/** A value of the configuration store. */
 public sealed interface StoreItem permits Head, MergeableItem {}
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreKey.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreKey.java
@@ -5,8 +5,8 @@
 /**
  * A key of the configuration store.
  *
- * @param kind what kind of value it holds
- * @param path the key as the store is given it
+ * @param kind the kind of its value
+ * @param path the key's text in the store
  */
 public record StoreKey(StoreKind kind, String path) {
     /** The key of the {@link Head}. */
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreKind.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreKind.java
@@ -1,6 +1,6 @@
 package org.dahliapass.decisions.configuration;
 
-/** What kind of value a key of the configuration store holds. */
+/** The kind of value of a key of the configuration store. */
 public enum StoreKind {
     /** The {@link Head}. */
     HEAD,
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreProtocol.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreProtocol.java
@@ -2,23 +2,26 @@
 
 import java.util.Optional;
 
-/** A protocol with the store, one call at a time; the caller does the calls and reports answers. */
+/**
+ * A protocol with the store as a state machine; the caller performs one action at a time and
+ * reports the result.
+ */
 public interface StoreProtocol {
 
     /** Returns the first action. */
     StoreAction start();
 
     /**
-     * Takes the answer to a {@link StoreAction.Read}.
+     * Returns the next action after the result of a {@link StoreAction.Read}.
      *
      * @param item the value; empty if the key is absent
      * @param index the value's index; 0 if the key is absent
      */
     StoreAction onRead(Optional<StoreItem> item, long index);
 
-    /** Takes the fact that a {@link StoreAction.Read} got no answer. */
+    /** Returns the next action after a failed {@link StoreAction.Read}. */
     StoreAction onReadFailed();
 
-    /** Takes the answer to a {@link StoreAction.Swap}. */
-    StoreAction onSwap(SwapOutcome answer);
+    /** Returns the next action after a {@link StoreAction.Swap}. */
+    StoreAction onSwap(SwapOutcome outcome);
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreReadLimiter.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/StoreReadLimiter.java
@@ -1,35 +1,33 @@
 package org.dahliapass.decisions.configuration;
 
 /**
- * Spaces a VM's reads of the store.
- *
- * <p>Guards against a fleet that loses its state at once and floods the store, which would show as
- * a store that answers nobody. It holds because each VM reads at most once in each pause.
+ * A rate limiter for a VM's reads of the store, so that a fleet that lost its state doesn't
+ * overload the store.
  */
 final class StoreReadLimiter {
-    private final long mPauseMillis;
+    private final long mIntervalMillis;
     private long mNextMillis = Long.MIN_VALUE;
     private long mReads;
 
-    StoreReadLimiter(long pauseMillis) {
-        mPauseMillis = pauseMillis;
+    StoreReadLimiter(long intervalMillis) {
+        mIntervalMillis = intervalMillis;
     }
 
     long reads() {
         return mReads;
     }
 
-    /** Takes one read if it may be done now. */
+    /** Acquires permission for one read; returns false if the interval has not elapsed. */
     boolean tryAcquire(long nowMillis) {
         if (nowMillis < mNextMillis) {
             return false;
         }
-        mNextMillis = nowMillis + mPauseMillis;
+        mNextMillis = nowMillis + mIntervalMillis;
         mReads++;
         return true;
     }
 
-    /** Counts a read that a watcher's duty brings and that isn't spaced. */
+    /** Counts a read by a watcher, which is not limited. */
     void recordUnthrottled() {
         mReads++;
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/SwapOutcome.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/SwapOutcome.java
@@ -1,13 +1,13 @@
 package org.dahliapass.decisions.configuration;
 
-/** How a compare-and-swap ended. */
+/** The outcome of a compare-and-swap. */
 public enum SwapOutcome {
     /** The value was written. */
     SWAPPED,
     /** The key had another index; nothing was written. */
     CONFLICT,
-    /** The answer was lost: the value may have been written or may be written later. */
+    /** The response was lost; the value may have been written or may still be. */
     UNKNOWN,
-    /** The store was not reached; nothing was written. */
+    /** The store was not reached, and nothing was written. */
     NOT_WRITTEN
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/TemplateText.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/TemplateText.java
@@ -6,16 +6,11 @@
 import java.util.HexFormat;
 import java.util.Optional;
 
-/**
- * The INI text of a template; stored under its digest and never changed.
- *
- * @param text the text
- */
+/** The immutable INI text of a template, stored under its digest. */
 public record TemplateText(String text) implements MergeableItem {
-    /** 128 bits: no two texts of honest operators meet. */
     private static final int DIGEST_CHARACTERS = 32;
 
-    /** Returns the first 128 bits of the text's SHA-256 in hexadecimal digits. */
+    /** Returns the first 128 bits of the text's SHA-256 digest in hexadecimal digits. */
     public String digest() {
         try {
             byte[] hash =
@@ -23,12 +18,13 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash).substring(0, DIGEST_CHARACTERS);
         } catch (NoSuchAlgorithmException failure) {
-            throw new IllegalStateException("Every Java runtime has SHA-256.", failure);
+            throw new IllegalStateException(
+                    "SHA-256 is not available in this Java runtime", failure);
         }
     }
 
     @Override
-    public TemplateText mergedWith(Optional<StoreItem> standing) {
+    public TemplateText mergedWith(Optional<StoreItem> current) {
         return this;
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/TextFetcher.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/TextFetcher.java
@@ -7,23 +7,25 @@
 import java.util.Optional;
 import org.dahliapass.model.VmIdentity;
 
-/** Looks for texts: each source in turn, then the store, then from the start again. */
+/**
+ * Fetches texts from each source in turn, then from the store, then from the first source again.
+ */
 final class TextFetcher {
-    private static final class Want {
+    private static final class Fetch {
         private final ChangeRecord mRecord;
         private List<VmIdentity> mSources = List.of();
-        private int mNext;
+        private int mNextSource;
         private boolean mStarted;
-        private long mAskedUntil = Long.MIN_VALUE;
+        private long mResponseDeadlineMillis = Long.MIN_VALUE;
 
-        Want(ChangeRecord record) {
+        Fetch(ChangeRecord record) {
             mRecord = record;
         }
     }
 
     private final FollowerSettings mSettings;
     private final FollowerPeers mPeers;
-    private final Map<String, Want> mWants = new LinkedHashMap<>();
+    private final Map<String, Fetch> mFetches = new LinkedHashMap<>();
 
     TextFetcher(FollowerSettings settings, FollowerPeers peers) {
         mSettings = settings;
@@ -31,78 +33,82 @@
     }
 
     int size() {
-        return mWants.size();
+        return mFetches.size();
     }
 
     boolean isRequested(ChangeRecord record) {
-        Want want = mWants.get(record.customer());
-        return want != null && want.mRecord.equals(record);
+        Fetch fetch = mFetches.get(record.customer());
+        return fetch != null && fetch.mRecord.equals(record);
     }
 
-    /** Looks for this text in place of the one wanted until now. */
+    /** Starts to fetch a change's text, in place of the customer's previous fetch. */
     void request(ChangeRecord record) {
-        mWants.put(record.customer(), new Want(record));
+        mFetches.put(record.customer(), new Fetch(record));
     }
 
     void cancel(String customer) {
-        mWants.remove(customer);
+        mFetches.remove(customer);
     }
 
-    /** Returns the change whose text this is if it is still wanted, and looks no further. */
+    /** Ends the fetch of a text and returns its change; empty if the text is not being fetched. */
     Optional<ChangeRecord> complete(String customer, String digest) {
-        Want want = mWants.get(customer);
-        if (want == null || !want.mRecord.digest().equals(digest)) {
+        Fetch fetch = mFetches.get(customer);
+        if (fetch == null || !fetch.mRecord.digest().equals(digest)) {
             return Optional.empty();
         }
-        mWants.remove(customer);
-        return Optional.of(want.mRecord);
+        mFetches.remove(customer);
+        return Optional.of(fetch.mRecord);
     }
 
-    /** Lets the next source be asked at once. */
+    /** Ends the wait for the current source, so that the next one is tried. */
     void retryNextSource(String customer, String digest) {
-        Want want = mWants.get(customer);
-        if (want != null && want.mRecord.digest().equals(digest)) {
-            want.mAskedUntil = Long.MIN_VALUE;
+        Fetch fetch = mFetches.get(customer);
+        if (fetch != null && fetch.mRecord.digest().equals(digest)) {
+            fetch.mResponseDeadlineMillis = Long.MIN_VALUE;
         }
     }
 
-    /** Returns what to ask now, within the bound on texts in flight. */
-    List<FollowerAction> due(long nowMillis, StoreReadLimiter budget) {
+    /** Returns the fetches that are due, up to the maximum number in flight. */
+    List<FollowerAction> due(long nowMillis, StoreReadLimiter limiter) {
         List<FollowerAction> actions = new ArrayList<>();
-        long inFlight = mWants.values().stream().filter(w -> w.mAskedUntil > nowMillis).count();
-        for (Want want : mWants.values()) {
+        long inFlight =
+                mFetches.values().stream()
+                        .filter(fetch -> fetch.mResponseDeadlineMillis > nowMillis)
+                        .count();
+        for (Fetch fetch : mFetches.values()) {
             if (inFlight >= mSettings.maxTextsInFlight()) {
                 break;
             }
-            if (want.mAskedUntil <= nowMillis) {
-                ask(want, nowMillis, budget).ifPresent(actions::add);
+            if (fetch.mResponseDeadlineMillis <= nowMillis) {
+                nextAction(fetch, nowMillis, limiter).ifPresent(actions::add);
                 inFlight++;
             }
         }
         return actions;
     }
 
-    private Optional<FollowerAction> ask(Want want, long nowMillis, StoreReadLimiter budget) {
-        ChangeRecord record = want.mRecord;
-        if (!want.mStarted) {
-            want.mStarted = true;
-            want.mNext = 0;
-            want.mSources = mPeers.textSources(record);
+    private Optional<FollowerAction> nextAction(
+            Fetch fetch, long nowMillis, StoreReadLimiter limiter) {
+        ChangeRecord record = fetch.mRecord;
+        if (!fetch.mStarted) {
+            fetch.mStarted = true;
+            fetch.mNextSource = 0;
+            fetch.mSources = mPeers.textSources(record);
         }
-        if (want.mNext < want.mSources.size()) {
-            VmIdentity source = want.mSources.get(want.mNext);
-            want.mNext++;
-            want.mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
+        if (fetch.mNextSource < fetch.mSources.size()) {
+            VmIdentity source = fetch.mSources.get(fetch.mNextSource);
+            fetch.mNextSource++;
+            fetch.mResponseDeadlineMillis = nowMillis + mSettings.responseTimeoutMillis();
             return Optional.of(
                     new FollowerAction.FetchText(source, record.customer(), record.digest()));
         }
-        if (!budget.tryAcquire(nowMillis)) {
+        if (!limiter.tryAcquire(nowMillis)) {
             return Optional.empty();
         }
-        want.mStarted = false;
-        want.mAskedUntil = nowMillis + mSettings.responseTimeoutMillis();
+        fetch.mStarted = false;
+        fetch.mResponseDeadlineMillis = nowMillis + mSettings.responseTimeoutMillis();
         return Optional.of(
                 new FollowerAction.ReadStore(
-                        StoreKey.text(record.customer(), record.digest()), budget.reads()));
+                        StoreKey.text(record.customer(), record.digest()), limiter.reads()));
     }
 }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/Watchers.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/Watchers.java
@@ -7,14 +7,14 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Tells which members watch the store: in each availability zone the {@link #PER_ZONE} that rank
- * highest by rendezvous hashing.
+ * Selects the members that watch the store: in each availability zone the {@link #PER_ZONE} members
+ * that rank highest by hash.
  *
- * <p>Decided from the member list alone. Members whose lists differ for a while may pick different
- * watchers; that costs a few calls more, or a few seconds, and never correctness.
+ * <p>Depends only on the member list. While lists differ, members may select different watchers,
+ * which affects load and latency but not correctness.
  */
 public final class Watchers {
-    /** How many members of a zone watch, so that one may fail unnoticed. */
+    /** Number of watchers per zone; two, so that one can fail. */
     public static final int PER_ZONE = 2;
 
     private static final long SEED = 0x9E3779B97F4A7C15L;
@@ -23,7 +23,7 @@
 
     private Watchers() {}
 
-    /** Returns the watchers of a zone, the first-ranked first. */
+    /** Returns the watchers of a zone by rank. */
     public static List<VmIdentity> ofZone(String availabilityZone, Collection<Vm> members) {
         return members.stream()
                 .filter(vm -> vm.availabilityZone().equals(availabilityZone))
@@ -38,11 +38,11 @@
         return ofZone(self.availabilityZone(), members).contains(self.identity());
     }
 
-    /** Spreads identities evenly over all numbers, the same way on every VM. */
+    /** Returns a hash of the identity that is the same on every VM. */
     private static long rank(VmIdentity identity) {
         long mixed = SEED ^ identity.incarnation();
-        for (int place = 0; place < identity.name().length(); place++) {
-            mixed = mix(mixed + identity.name().charAt(place));
+        for (int index = 0; index < identity.name().length(); index++) {
+            mixed = mix(mixed + identity.name().charAt(index));
         }
         return mix(mixed);
     }
--- a/decisions/src/main/java/org/dahliapass/decisions/configuration/package-info.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** How templates are accepted into one fleet-wide order and spread to the VMs that need them. */
+/** Acceptance of template changes into a fleet-wide log, and their distribution to the VMs. */
 package org.dahliapass.decisions.configuration;
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFollowerTest.java
@@ -22,12 +22,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of one VM's follower. */
+/** Tests for {@link ConfigurationFollower}. */
 public final class ConfigurationFollowerTest {
     private static final ServiceId DESK = new ServiceId("himal", "desk");
     private static final VmIdentity PEER_1 = new VmIdentity("vm-1", 1);
     private static final VmIdentity PEER_2 = new VmIdentity("vm-2", 1);
-    private static final long PATIENCE = FollowerSettings.DEFAULTS.responseTimeoutMillis();
+    private static final long RESPONSE_TIMEOUT_MILLIS =
+            FollowerSettings.DEFAULTS.responseTimeoutMillis();
 
     private final Set<ServiceId> mServed = new HashSet<>();
     private List<VmIdentity> mMembers = List.of();
@@ -84,39 +85,38 @@
                 0);
     }
 
-    private List<FollowerAction> text(ChangeRecord record, String text, long nowMillis) {
+    private List<FollowerAction> receiveText(ChangeRecord record, String text, long nowMillis) {
         return mFollower.onText(record.customer(), record.digest(), Optional.of(text), nowMillis);
     }
 
-    private static <T> List<T> only(Class<T> type, List<FollowerAction> actions) {
+    private static <T> List<T> actionsOf(Class<T> type, List<FollowerAction> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     @Test
-    public void newsArePassedOnOnceAndFetched() {
+    public void newChangeIsForwardedOnceAndItsTextFetched() {
         ChangeRecord change = change(1, "himal", "good");
         List<FollowerAction> actions = mFollower.onRumor(List.of(change), 0);
-        assertEquals(only(SendRumor.class, actions).size(), 1);
+        assertEquals(actionsOf(SendRumor.class, actions).size(), 1);
         assertEquals(
-                only(FetchText.class, actions),
+                actionsOf(FetchText.class, actions),
                 List.of(new FetchText(PEER_1, "himal", change.digest())));
-        assertTrue(only(SendRumor.class, mFollower.onRumor(List.of(change), 1)).isEmpty());
+        assertTrue(actionsOf(SendRumor.class, mFollower.onRumor(List.of(change), 1)).isEmpty());
         assertEquals(
-                only(Apply.class, text(change, "good", 2)), List.of(new Apply("himal", 1, "good")));
+                actionsOf(Apply.class, receiveText(change, "good", 2)),
+                List.of(new Apply("himal", 1, "good")));
         assertEquals(mFollower.cellSizes().get(DESK), Integer.valueOf(6));
     }
 
-    // A later release accepts a template that this VM's release can't read. The VM must go on with
-    // the last good one and say what is wrong.
     @Test
-    public void badTextIsReportedAndTheLastGoodStays() {
+    public void invalidTextIsRejectedAndPreviousOneStaysActive() {
         ChangeRecord good = change(1, "himal", "good");
         mFollower.onRumor(List.of(good), 0);
-        text(good, "good", 1);
+        receiveText(good, "good", 1);
         ChangeRecord bad = change(2, "himal", "bad");
         mFollower.onRumor(List.of(bad), 2);
         assertEquals(
-                only(Reject.class, text(bad, "bad", 3)),
+                actionsOf(Reject.class, receiveText(bad, "bad", 3)),
                 List.of(new Reject("himal", 2, "It is bad.")));
         assertEquals(mFollower.activeNumber("himal"), Optional.of(1L));
         assertEquals(mFollower.text("himal", good.digest()), Optional.of("good"));
@@ -124,37 +124,37 @@
     }
 
     @Test
-    public void textThatIsNotTheDigestsIsNotApplied() {
+    public void textWithWrongDigestIsNotApplied() {
         ChangeRecord change = change(1, "himal", "good");
         mFollower.onRumor(List.of(change), 0);
-        List<FollowerAction> actions = text(change, "other", 1);
-        assertTrue(only(Apply.class, actions).isEmpty());
-        assertEquals(only(FetchText.class, actions).get(0).peer(), PEER_2);
+        List<FollowerAction> actions = receiveText(change, "other", 1);
+        assertTrue(actionsOf(Apply.class, actions).isEmpty());
+        assertEquals(actionsOf(FetchText.class, actions).get(0).peer(), PEER_2);
     }
 
     @Test
-    public void peersAreAskedBeforeTheStore() {
+    public void peersAreTriedBeforeStore() {
         ChangeRecord change = change(1, "himal", "good");
         StoreKey key = StoreKey.text("himal", change.digest());
-        List<String> asked = new ArrayList<>();
+        List<String> sources = new ArrayList<>();
         List<FollowerAction> actions = mFollower.onRumor(List.of(change), 0);
-        for (long now = 0; now <= 3 * PATIENCE; now += PATIENCE / 5) {
-            only(FetchText.class, actions).forEach(fetch -> asked.add(fetch.peer().name()));
-            only(ReadStore.class, actions).stream()
+        for (long now = 0; now <= 3 * RESPONSE_TIMEOUT_MILLIS; now += RESPONSE_TIMEOUT_MILLIS / 5) {
+            actionsOf(FetchText.class, actions).forEach(fetch -> sources.add(fetch.peer().name()));
+            actionsOf(ReadStore.class, actions).stream()
                     .filter(read -> read.key().equals(key))
-                    .forEach(read -> asked.add("store"));
+                    .forEach(read -> sources.add("store"));
             actions = mFollower.onTick(now);
         }
-        assertEquals(asked.subList(0, 3), List.of("vm-1", "vm-2", "store"));
+        assertEquals(sources.subList(0, 3), List.of("vm-1", "vm-2", "store"));
     }
 
-    // The whole fleet is replaced and nobody knows anything: the store is read, but not in a burst.
+    // A fleet that lost its state must not overload the store.
     @Test
-    public void readsOfTheStoreAreSpaced() {
+    public void storeReadsAreRateLimited() {
         mMembers = List.of();
         long reads = 0;
         for (long now = 0; now < 10_000; now++) {
-            List<ReadStore> due = only(ReadStore.class, mFollower.onTick(now));
+            List<ReadStore> due = actionsOf(ReadStore.class, mFollower.onTick(now));
             for (ReadStore read : due) {
                 mFollower.onStoreItem(read, customers(read.key()), now);
             }
@@ -165,23 +165,24 @@
                 reads <= 10_000 / FollowerSettings.DEFAULTS.storeReadIntervalMillis(), "" + reads);
     }
 
-    // A read of the providers' index is slow, so it is sent again. Meanwhile a first provider was
-    // entered. The answer to the first read arrives first, and must not hide that provider.
+    // A late result of an earlier read must not hide a provider that was added meanwhile.
     @Test
-    public void lateAnswerToAnEarlierReadIsNotTaken() {
+    public void lateResultOfEarlierReadIsIgnored() {
         mMembers = List.of();
-        long now = PATIENCE;
+        long now = RESPONSE_TIMEOUT_MILLIS;
         mFollower.onTick(0);
-        ReadStore head = only(ReadStore.class, mFollower.onTick(now)).get(0);
+        ReadStore head = actionsOf(ReadStore.class, mFollower.onTick(now)).get(0);
         assertTrue(mFollower.onStoreItem(head, Optional.empty(), now).isEmpty());
-        ReadStore early = only(ReadStore.class, mFollower.onTick(now + 100)).get(0);
-        ReadStore again = only(ReadStore.class, mFollower.onTick(now + 100 + PATIENCE)).get(0);
-        assertEquals(again.key(), early.key());
-        mFollower.onStoreItem(early, Optional.empty(), now + 1000);
+        ReadStore first = actionsOf(ReadStore.class, mFollower.onTick(now + 100)).get(0);
+        ReadStore second =
+                actionsOf(ReadStore.class, mFollower.onTick(now + 100 + RESPONSE_TIMEOUT_MILLIS))
+                        .get(0);
+        assertEquals(second.key(), first.key());
+        mFollower.onStoreItem(first, Optional.empty(), now + 1000);
         assertFalse(mFollower.isReady());
         List<FollowerAction> next =
-                mFollower.onStoreItem(again, Optional.of(CustomerIndex.of("himal")), now + 1000);
-        assertEquals(only(ReadStore.class, next).get(0).key(), StoreKey.pointer("himal"));
+                mFollower.onStoreItem(second, Optional.of(CustomerIndex.of("himal")), now + 1000);
+        assertEquals(actionsOf(ReadStore.class, next).get(0).key(), StoreKey.pointer("himal"));
     }
 
     private static Optional<StoreItem> customers(StoreKey key) {
@@ -193,27 +194,28 @@
     }
 
     @Test
-    public void pingFromAheadIsFollowedByAFetchFromThatPeer() {
-        List<FetchRecords> fetches = only(FetchRecords.class, mFollower.onPing(PEER_2, 5, 0));
+    public void higherHeadNumberCausesFetchFromThatPeer() {
+        List<FetchRecords> fetches = actionsOf(FetchRecords.class, mFollower.onPing(PEER_2, 5, 0));
         assertEquals(fetches.get(0).peer(), PEER_2);
         assertEquals(fetches.get(0).request().since(), 0);
-        assertTrue(only(FetchRecords.class, mFollower.onPing(PEER_2, 5, 1)).isEmpty());
+        assertTrue(actionsOf(FetchRecords.class, mFollower.onPing(PEER_2, 5, 1)).isEmpty());
     }
 
     @Test
-    public void templateIsReleasedWhenTheCellMovesAway() {
+    public void templateIsReleasedWhenVmLeavesCell() {
         ChangeRecord change = change(1, "himal", "good");
         mFollower.onRumor(List.of(change), 0);
-        text(change, "good", 1);
+        receiveText(change, "good", 1);
         mServed.clear();
         assertEquals(
-                only(Release.class, mFollower.onMembersChanged(2)), List.of(new Release("himal")));
+                actionsOf(Release.class, mFollower.onMembersChanged(2)),
+                List.of(new Release("himal")));
         mServed.add(DESK);
-        assertEquals(only(FetchText.class, mFollower.onMembersChanged(3)).size(), 1);
+        assertEquals(actionsOf(FetchText.class, mFollower.onMembersChanged(3)).size(), 1);
     }
 
     @Test
-    public void customerOfAnotherCellIsNotKept() {
+    public void customerOfAnotherCellIsNotStored() {
         mServed.clear();
         mFollower.onRumor(List.of(change(1, "himal", "good"), change(2, "valley", "good")), 0);
         assertEquals(mFollower.headNumber(), 2);
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFuzzTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/ConfigurationFuzzTest.java
@@ -11,40 +11,41 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs seeded schedules of faults over the production classes, against the oracle.
+ * Fuzz test: runs seeded schedules of faults on the production classes and checks them against an
+ * oracle.
  *
- * <p>{@code -Ddahliapass.fuzz.seconds=N} goes on for N seconds with new seeds.
+ * <p>{@code -Ddahliapass.fuzz.seconds=N} continues with new seeds for N seconds.
  */
 public final class ConfigurationFuzzTest {
     private static final long FIRST_SEED = 1;
     private static final int SCHEDULES = 3000;
     private static final String SECONDS = "dahliapass.fuzz.seconds";
 
-    // Operators race and die between any two steps, the store's answers are lost, late or missing,
-    // messages are lost, doubled and out of order, and VMs are replaced. Whatever comes: the order
-    // has each accepted change once and no refused one, no VM goes back, and once it is calm every
-    // VM that serves a customer has the newest template.
+    // The log has each accepted change once, no VM reverts to an older change, and after the faults
+    // every VM that serves a customer has the newest template.
     @Test
-    public void productionClassesKeepTheOrder() {
+    public void followersConvergeOnAcceptedChanges() {
         long accepted = 0;
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed++) {
-            accepted += runSound(seed);
+            accepted += runWithoutFault(seed);
         }
-        assertTrue(accepted > SCHEDULES, "The schedules accept too little: " + accepted);
+        assertTrue(
+                accepted > SCHEDULES,
+                "Expected more than " + SCHEDULES + " accepted changes, got " + accepted);
     }
 
-    /** Goes on with new seeds for as long as asked, and does nothing otherwise. */
+    /** Runs new seeds for the requested time; does nothing by default. */
     @Test
     public void longRun() {
         Instant end = Clock.systemUTC().instant().plusSeconds(Long.getLong(SECONDS, 0));
         RandomGenerator seeds = RandomGenerator.getDefault();
         while (Clock.systemUTC().instant().isBefore(end)) {
-            runSound(seeds.nextLong());
+            runWithoutFault(seeds.nextLong());
         }
     }
 
-    /** Runs a schedule without a planted fault and returns how many changes were accepted. */
-    private static long runSound(long seed) {
+    /** Runs a schedule without an injected fault; returns the number of accepted changes. */
+    private static long runWithoutFault(long seed) {
         FuzzSchedule schedule = FuzzSchedule.of(seed);
         FuzzSchedule.Result result = schedule.run(InjectedFault.NONE);
         if (result.failure().isPresent()) {
@@ -66,20 +67,20 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {InjectedFault.NO_MONOTONE_CHECK},
+            {InjectedFault.NO_MONOTONICITY_CHECK},
             {InjectedFault.NO_POINTER},
-            {InjectedFault.LOST_MEANS_NOT_WRITTEN},
+            {InjectedFault.LOST_RESPONSE_AS_NOT_WRITTEN},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void plantedFaultIsFound(InjectedFault fault) {
+    public void injectedFaultIsDetected(InjectedFault fault) {
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed++) {
             Optional<String> failure = FuzzSchedule.of(seed).run(fault).failure();
             if (failure.isPresent() && failure.get().contains(fault.symptom())) {
                 return;
             }
         }
-        fail("No schedule found " + fault + ".");
+        fail("Expected a schedule to detect " + fault + ".");
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
@@ -9,53 +9,53 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 
-/** A few VMs' followers, operators' accepts and a store, driven step by step. */
+/** A simulated fleet of followers, operators and a store, driven step by step. */
 final class FuzzFleet {
     static final int VMS = 5;
-    static final int CELL = 3;
-    static final int RING = 3;
+    static final int CELL_SIZE = 3;
+    static final int RING_CAPACITY = 3;
     static final List<String> CUSTOMERS = List.of("a", "b", "c");
     static final List<ServiceId> SERVICES =
             List.of(new ServiceId("a", "s"), new ServiceId("b", "s"));
 
     private static final int WATCHERS = 2;
     private static final long TICK_MILLIS = 100;
-    private static final int LIMIT_TICKS = 60;
-    private static final int MOST_MESSAGES = 300;
+    private static final int MAX_RECOVERY_TICKS = 60;
+    private static final int MAX_MESSAGES = 300;
     private static final FollowerSettings SETTINGS =
-            new FollowerSettings(RING, 2, 200, 10, 300, 4, 4);
+            new FollowerSettings(RING_CAPACITY, 2, 200, 10, 300, 4, 4);
 
-    /** A message on its way to one life of one VM. */
+    /** A message in transit to one VM incarnation. */
     private record Message(VmIdentity to, Function<Node, List<FollowerAction>> event) {}
 
-    /** One life of one VM. */
+    /** One VM incarnation. */
     private record Node(VmIdentity identity, int slot, ConfigurationFollower follower) {}
 
-    /** An operator's command under way. */
+    /** An operator's command in progress. */
     private static final class Operator {
         private final String mOperationId;
-        private final StoreProtocol mMachine;
+        private final StoreProtocol mProtocol;
         private StoreAction mAction;
 
-        Operator(String operationId, StoreProtocol machine) {
+        Operator(String operationId, StoreProtocol protocol) {
             mOperationId = operationId;
-            mMachine = machine;
-            mAction = machine.start();
+            mProtocol = protocol;
+            mAction = protocol.start();
         }
     }
 
     private final InjectedFault mFault;
     private final InMemoryStore mStore = new InMemoryStore();
-    private final FuzzOracle mOrder = new FuzzOracle();
+    private final FuzzOracle mOracle = new FuzzOracle();
     private final List<Node> mNodes = new ArrayList<>();
     private final List<Message> mMessages = new ArrayList<>();
     private final List<Operator> mOperators = new ArrayList<>();
-    private final List<StoreAction.Swap> mStuck = new ArrayList<>();
-    private final boolean[] mDeaf = new boolean[VMS];
-    private final boolean[] mFrozen = new boolean[VMS];
-    private boolean mStoreAway;
+    private final List<StoreAction.Swap> mDelayedSwaps = new ArrayList<>();
+    private final boolean[] mReceivesNothing = new boolean[VMS];
+    private final boolean[] mPaused = new boolean[VMS];
+    private boolean mStoreUnavailable;
     private long mNowMillis;
-    private long mLives;
+    private long mIncarnations;
     private int mOperations;
 
     FuzzFleet(InjectedFault fault) {
@@ -66,15 +66,15 @@
     }
 
     private Node newNode(int slot) {
-        mLives++;
-        VmIdentity identity = new VmIdentity("vm-" + slot, mLives);
+        mIncarnations++;
+        VmIdentity identity = new VmIdentity("vm-" + slot, mIncarnations);
         Peers peers = new Peers(slot);
-        peers.mFollower = mFault.follower(SETTINGS, peers, new SplittableRandom(mLives));
+        peers.mFollower = mFault.follower(SETTINGS, peers, new SplittableRandom(mIncarnations));
         return new Node(identity, slot, peers.mFollower);
     }
 
     private static boolean serves(int slot, ServiceId service) {
-        return (slot + SERVICES.indexOf(service)) % VMS < CELL;
+        return (slot + SERVICES.indexOf(service)) % VMS < CELL_SIZE;
     }
 
     private final class Peers implements FollowerPeers {
@@ -122,12 +122,12 @@
         return serves(node.slot(), service);
     }
 
-    // Steps: each takes an argument that chooses among what is possible now.
+    // Steps of a schedule; the argument selects among the possible choices.
 
     void tick(int choice) {
         mNowMillis += TICK_MILLIS;
         for (Node node : List.copyOf(mNodes)) {
-            if (mFrozen[node.slot()]) {
+            if (mPaused[node.slot()]) {
                 continue;
             }
             run(node, node.follower().onTick(mNowMillis));
@@ -145,13 +145,13 @@
         Message message = mMessages.get(place);
         Optional<Node> receiver =
                 mNodes.stream().filter(node -> node.identity().equals(message.to())).findFirst();
-        if (receiver.isPresent() && mFrozen[receiver.get().slot()]) {
+        if (receiver.isPresent() && mPaused[receiver.get().slot()]) {
             return;
         }
         if (!keep) {
             mMessages.remove(place);
         }
-        receiver.filter(node -> !mDeaf[node.slot()])
+        receiver.filter(node -> !mReceivesNothing[node.slot()])
                 .ifPresent(node -> run(node, message.event().apply(node)));
     }
 
@@ -161,8 +161,8 @@
         }
     }
 
-    void watch(int choice) {
-        if (!mStoreAway) {
+    void readHead(int choice) {
+        if (!mStoreUnavailable) {
             Node watcher = mNodes.get(Math.floorMod(choice, WATCHERS));
             Head head = mStore.head();
             send(watcher.identity(), node -> node.follower().onHead(head, mNowMillis));
@@ -180,25 +180,25 @@
         }
     }
 
-    /** A VM that is deaf still sends: a network cut one way. */
-    void switchDeaf(int choice) {
+    /** Starts or ends a one-way partition, in which a VM sends but receives nothing. */
+    void toggleReceiving(int choice) {
         int slot = Math.floorMod(choice, VMS);
-        mDeaf[slot] = !mDeaf[slot];
+        mReceivesNothing[slot] = !mReceivesNothing[slot];
     }
 
-    /** A VM that is frozen does nothing, and finds all its messages when it wakes. */
-    void switchFrozen(int choice) {
+    /** Pauses or resumes a VM; its messages are kept meanwhile. */
+    void togglePaused(int choice) {
         int slot = Math.floorMod(choice, VMS);
-        mFrozen[slot] = !mFrozen[slot];
+        mPaused[slot] = !mPaused[slot];
     }
 
-    void switchStore() {
-        mStoreAway = !mStoreAway;
+    void toggleStore() {
+        mStoreUnavailable = !mStoreUnavailable;
     }
 
     void startAccept(int choice) {
         String customer = pick(CUSTOMERS, choice);
-        long newest = mOrder.newestOf(customer).map(ChangeRecord::number).orElse(0L);
+        long newest = mOracle.newestOf(customer).map(ChangeRecord::number).orElse(0L);
         long base = choice % 5 == 0 ? newest / 2 : newest;
         String operationId = "op-" + ++mOperations;
         AcceptRequest request =
@@ -209,7 +209,7 @@
                         operationId,
                         "operator",
                         base);
-        mOperators.add(new Operator(operationId, mFault.accept(request, RING)));
+        mOperators.add(new Operator(operationId, mFault.accept(request, RING_CAPACITY)));
     }
 
     private static List<ServiceUse> uses(String customer, int choice) {
@@ -218,21 +218,21 @@
             ServiceId service = SERVICES.get(place);
             boolean provides = service.provider().equals(customer);
             if (provides || (choice >> place) % 2 != 0) {
-                uses.add(new ServiceUse(service, provides ? CELL : 0));
+                uses.add(new ServiceUse(service, provides ? CELL_SIZE : 0));
             }
         }
         return uses;
     }
 
-    void stepOperator(int choice, SwapOutcome fate) {
+    void stepOperator(int choice, SwapOutcome simulated) {
         if (mOperators.isEmpty()) {
             return;
         }
         Operator operator = pick(mOperators, choice);
-        operator.mAction = answer(operator, fate);
+        operator.mAction = answer(operator, simulated);
         if (operator.mAction instanceof StoreAction.Finish finish) {
             mOperators.remove(operator);
-            mOrder.onOutcome(operator.mOperationId, finish.outcome());
+            mOracle.onOutcome(operator.mOperationId, finish.outcome());
             if (finish.outcome() instanceof AcceptOutcome.Unknown unknown) {
                 mOperators.add(
                         new Operator(operator.mOperationId, new ResolveProtocol(unknown.handle())));
@@ -246,28 +246,28 @@
         }
     }
 
-    void arriveLate(int choice) {
-        if (!mStuck.isEmpty() && !mStoreAway) {
-            apply(mStuck.remove(Math.floorMod(choice, mStuck.size())));
+    void deliverDelayedSwap(int choice) {
+        if (!mDelayedSwaps.isEmpty() && !mStoreUnavailable) {
+            apply(mDelayedSwaps.remove(Math.floorMod(choice, mDelayedSwaps.size())));
         }
     }
 
-    /** Heals everything and returns after how many ticks all agree; they have the letter's 6 s. */
-    int calmDown() {
-        mStoreAway = false;
-        Arrays.fill(mDeaf, false);
-        Arrays.fill(mFrozen, false);
-        while (!mStuck.isEmpty()) {
-            arriveLate(0);
+    /** Ends all faults and returns the number of ticks until all VMs agree. */
+    int recover() {
+        mStoreUnavailable = false;
+        Arrays.fill(mReceivesNothing, false);
+        Arrays.fill(mPaused, false);
+        while (!mDelayedSwaps.isEmpty()) {
+            deliverDelayedSwap(0);
         }
         while (!mOperators.isEmpty()) {
             stepOperator(0, SwapOutcome.SWAPPED);
         }
-        for (int round = 1; round <= LIMIT_TICKS; round++) {
-            watch(0);
-            watch(1);
+        for (int round = 1; round <= MAX_RECOVERY_TICKS; round++) {
+            readHead(0);
+            readHead(1);
             tick(round);
-            for (int count = 0; count < 2 * MOST_MESSAGES && !mMessages.isEmpty(); count++) {
+            for (int count = 0; count < 2 * MAX_MESSAGES && !mMessages.isEmpty(); count++) {
                 deliver(0, false);
             }
             if (disagreement().isEmpty()) {
@@ -278,7 +278,7 @@
     }
 
     int accepted() {
-        return mOrder.size();
+        return mOracle.size();
     }
 
     private Optional<String> disagreement() {
@@ -298,50 +298,50 @@
 
     private Optional<String> disagreement(Node node, String customer) {
         Optional<Long> expected =
-                mOrder.newestOf(customer)
+                mOracle.newestOf(customer)
                         .filter(r -> r.services().stream().anyMatch(u -> mustServe(node, u)))
                         .map(ChangeRecord::number);
-        Optional<Long> inForce = node.follower().activeNumber(customer);
-        return inForce.equals(expected)
+        Optional<Long> active = node.follower().activeNumber(customer);
+        return active.equals(expected)
                 ? Optional.empty()
                 : Optional.of(
                         String.format(
-                                "%s has %s of %s in force, not %s",
-                                node.identity(), inForce, customer, expected));
+                                "%s: expected active change %s of %s, got %s",
+                                node.identity(), expected, customer, active));
     }
 
-    /** A service that nobody provides yet is served by nobody. */
+    /** Returns whether the VM serves the service, which requires a provider. */
     private boolean mustServe(Node node, ServiceUse use) {
-        return isIn(node, use.service()) && mOrder.newestOf(use.service().provider()).isPresent();
+        return isIn(node, use.service()) && mOracle.newestOf(use.service().provider()).isPresent();
     }
 
-    private StoreAction answer(Operator operator, SwapOutcome fate) {
+    private StoreAction answer(Operator operator, SwapOutcome simulated) {
         if (operator.mAction instanceof StoreAction.Read read) {
-            return mStoreAway
-                    ? operator.mMachine.onReadFailed()
-                    : operator.mMachine.onRead(mStore.item(read.key()), mStore.index(read.key()));
+            return mStoreUnavailable
+                    ? operator.mProtocol.onReadFailed()
+                    : operator.mProtocol.onRead(mStore.item(read.key()), mStore.index(read.key()));
         }
         StoreAction.Swap swap = (StoreAction.Swap) operator.mAction;
-        if (fate == SwapOutcome.CONFLICT) {
-            mStuck.add(swap);
-            return operator.mMachine.onSwap(SwapOutcome.UNKNOWN);
+        if (simulated == SwapOutcome.CONFLICT) {
+            mDelayedSwaps.add(swap);
+            return operator.mProtocol.onSwap(SwapOutcome.UNKNOWN);
         }
-        if (mStoreAway) {
-            return operator.mMachine.onSwap(SwapOutcome.NOT_WRITTEN);
+        if (mStoreUnavailable) {
+            return operator.mProtocol.onSwap(SwapOutcome.NOT_WRITTEN);
         }
         SwapOutcome answer = apply(swap);
-        return operator.mMachine.onSwap(fate == SwapOutcome.UNKNOWN ? fate : answer);
+        return operator.mProtocol.onSwap(simulated == SwapOutcome.UNKNOWN ? simulated : answer);
     }
 
     private SwapOutcome apply(StoreAction.Swap swap) {
         SwapOutcome answer = mStore.apply(swap);
-        mOrder.onHead(mStore.head());
+        mOracle.onHead(mStore.head());
         return answer;
     }
 
     private void send(VmIdentity to, Function<Node, List<FollowerAction>> event) {
         mMessages.add(new Message(to, event));
-        if (mMessages.size() > MOST_MESSAGES) {
+        if (mMessages.size() > MAX_MESSAGES) {
             mMessages.remove(0);
         }
     }
@@ -352,7 +352,7 @@
 
     private void run(Node node, FollowerAction action) {
         if (action instanceof FollowerAction.Apply apply) {
-            mOrder.onApply(node.identity(), apply);
+            mOracle.onApply(node.identity(), apply);
         } else if (action instanceof FollowerAction.SendRumor pass) {
             pass.members()
                     .forEach(
@@ -366,22 +366,23 @@
             send(fetch.peer(), peer -> answerRecords(peer, node, fetch.request()));
         } else if (action instanceof FollowerAction.FetchText fetch) {
             send(fetch.peer(), peer -> answerText(peer, node, fetch));
-        } else if (action instanceof FollowerAction.ReadStore read && !mStoreAway) {
+        } else if (action instanceof FollowerAction.ReadStore read && !mStoreUnavailable) {
             Optional<StoreItem> item = mStore.item(read.key());
             send(node.identity(), to -> to.follower().onStoreItem(read, item, mNowMillis));
         }
     }
 
-    private List<FollowerAction> answerRecords(Node peer, Node asker, RecordsRequest request) {
+    private List<FollowerAction> answerRecords(Node peer, Node requester, RecordsRequest request) {
         RecordsResponse answer = peer.follower().answer(request);
-        send(asker.identity(), to -> to.follower().onAnswer(answer, mNowMillis));
+        send(requester.identity(), to -> to.follower().onAnswer(answer, mNowMillis));
         return List.of();
     }
 
-    private List<FollowerAction> answerText(Node peer, Node asker, FollowerAction.FetchText fetch) {
+    private List<FollowerAction> answerText(
+            Node peer, Node requester, FollowerAction.FetchText fetch) {
         Optional<String> text = peer.follower().text(fetch.customer(), fetch.digest());
         send(
-                asker.identity(),
+                requester.identity(),
                 to -> to.follower().onText(fetch.customer(), fetch.digest(), text, mNowMillis));
         return List.of();
     }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzOracle.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzOracle.java
@@ -9,36 +9,40 @@
 import java.util.Set;
 import org.dahliapass.model.VmIdentity;
 
-/** The oracle: the list of accepted changes, and what was reported and applied. */
+/**
+ * The oracle of the fuzz test: the accepted changes, the reported outcomes and the applied changes.
+ */
 final class FuzzOracle {
-    private final List<ChangeRecord> mOrder = new ArrayList<>();
-    private final Set<String> mReportedNo = new HashSet<>();
-    private final Map<VmIdentity, Map<String, Long>> mHighest = new HashMap<>();
+    private final List<ChangeRecord> mLog = new ArrayList<>();
+    private final Set<String> mReportedNotAccepted = new HashSet<>();
+    private final Map<VmIdentity, Map<String, Long>> mHighestApplied = new HashMap<>();
 
     Optional<ChangeRecord> newestOf(String customer) {
-        return mOrder.stream()
+        return mLog.stream()
                 .filter(record -> record.customer().equals(customer))
                 .reduce((earlier, later) -> later);
     }
 
     int size() {
-        return mOrder.size();
+        return mLog.size();
     }
 
-    /** Takes a head that the store now holds. */
+    /** Checks the new value of the head in the store. */
     void onHead(Head head) {
-        if (head.number() == mOrder.size()) {
+        if (head.number() == mLog.size()) {
             return;
         }
         ChangeRecord record = head.ring().get(head.ring().size() - 1);
-        check(head.number() == mOrder.size() + 1, "The head skipped a number: " + record);
+        check(head.number() == mLog.size() + 1, "The head skipped a number: " + record);
         check(
                 newestOf(record.customer()).map(ChangeRecord::number).orElse(0L)
                         == record.baseNumber(),
                 "A change was lost: " + record);
         check(ofOperation(record.operationId()).isEmpty(), "Accepted twice: " + record);
-        check(!mReportedNo.contains(record.operationId()), "In force after a no: " + record);
-        mOrder.add(record);
+        check(
+                !mReportedNotAccepted.contains(record.operationId()),
+                "Accepted after being reported as not accepted: " + record);
+        mLog.add(record);
     }
 
     void onOutcome(String operationId, AcceptOutcome outcome) {
@@ -46,29 +50,33 @@
             check(
                     ofOperation(operationId).map(ChangeRecord::number).orElse(0L)
                             == accepted.number(),
-                    "Reported yes, but not in the order: " + operationId);
+                    "Reported as accepted, but not in the log: " + operationId);
         } else if (!(outcome instanceof AcceptOutcome.Unknown)) {
-            check(ofOperation(operationId).isEmpty(), "Reported no, but it is: " + operationId);
-            mReportedNo.add(operationId);
+            check(
+                    ofOperation(operationId).isEmpty(),
+                    "Reported as not accepted, but in the log: " + operationId);
+            mReportedNotAccepted.add(operationId);
         }
     }
 
     void onApply(VmIdentity vm, FollowerAction.Apply apply) {
-        Map<String, Long> highest = mHighest.computeIfAbsent(vm, ignored -> new HashMap<>());
+        Map<String, Long> highest = mHighestApplied.computeIfAbsent(vm, ignored -> new HashMap<>());
         Long before = highest.put(apply.customer(), apply.number());
-        check(before == null || before <= apply.number(), vm + " went back: " + apply);
-        check(apply.number() <= mOrder.size(), vm + " applied what was never accepted: " + apply);
-        ChangeRecord record = mOrder.get((int) apply.number() - 1);
+        check(
+                before == null || before <= apply.number(),
+                vm + " reverted to an older change: " + apply);
+        check(
+                apply.number() <= mLog.size(),
+                vm + " applied a change that was not accepted: " + apply);
+        ChangeRecord record = mLog.get((int) apply.number() - 1);
         check(
                 record.customer().equals(apply.customer())
                         && record.digest().equals(new TemplateText(apply.text()).digest()),
-                vm + " applied another text: " + apply);
+                vm + " applied a text that differs from the accepted one: " + apply);
     }
 
     private Optional<ChangeRecord> ofOperation(String operationId) {
-        return mOrder.stream()
-                .filter(record -> record.operationId().equals(operationId))
-                .findFirst();
+        return mLog.stream().filter(record -> record.operationId().equals(operationId)).findFirst();
     }
 
     static void check(boolean holds, String message) {
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzSchedule.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzSchedule.java
@@ -5,31 +5,27 @@
 import java.util.Optional;
 import java.util.Random;
 
-/**
- * A list of steps that a seed makes, and that can be shortened while it still fails.
- *
- * @param steps the steps
- */
+/** A schedule of steps that is generated from a seed and can be shrunk. */
 record FuzzSchedule(List<Step> steps) {
     private static final int LENGTH = 400;
 
-    /** What may happen, and how often, compared with the others. */
+    /** The kind of a step, with its relative frequency. */
     enum Kind {
         TICK(12),
         DELIVER(40),
         DUPLICATE(4),
         DROP(6),
-        WATCH(5),
+        READ_HEAD(5),
         REPLACE_VM(2),
         REPLACE_ALL(1),
-        SWITCH_DEAF(2),
-        SWITCH_FROZEN(2),
-        SWITCH_STORE(2),
+        TOGGLE_RECEIVING(2),
+        TOGGLE_PAUSED(2),
+        TOGGLE_STORE(2),
         START_ACCEPT(5),
         STEP_OPERATOR(60),
-        LOSE_ANSWER(2),
-        STICK_WRITE(2),
-        ARRIVE_LATE(2),
+        LOSE_RESPONSE(2),
+        DELAY_SWAP(2),
+        DELIVER_DELAYED_SWAP(2),
         CRASH_OPERATOR(1);
 
         private final int mWeight;
@@ -44,16 +40,16 @@
                 total += kind.mWeight;
             }
             int left = random.nextInt(total);
-            int place = 0;
-            while (left >= values()[place].mWeight) {
-                left -= values()[place].mWeight;
-                place++;
+            int index = 0;
+            while (left >= values()[index].mWeight) {
+                left -= values()[index].mWeight;
+                index++;
             }
-            return values()[place];
+            return values()[index];
         }
     }
 
-    /** One step and its choice among what is possible when it comes. */
+    /** A step; {@code choice} selects among the possible choices when it runs. */
     record Step(Kind kind, int choice) {
         void run(FuzzFleet fleet) {
             switch (kind) {
@@ -61,17 +57,17 @@
                 case DELIVER -> fleet.deliver(choice, false);
                 case DUPLICATE -> fleet.deliver(choice, true);
                 case DROP -> fleet.drop(choice);
-                case WATCH -> fleet.watch(choice);
+                case READ_HEAD -> fleet.readHead(choice);
                 case REPLACE_VM -> fleet.replaceVm(choice);
                 case REPLACE_ALL -> fleet.replaceAll();
-                case SWITCH_DEAF -> fleet.switchDeaf(choice);
-                case SWITCH_FROZEN -> fleet.switchFrozen(choice);
-                case SWITCH_STORE -> fleet.switchStore();
+                case TOGGLE_RECEIVING -> fleet.toggleReceiving(choice);
+                case TOGGLE_PAUSED -> fleet.togglePaused(choice);
+                case TOGGLE_STORE -> fleet.toggleStore();
                 case START_ACCEPT -> fleet.startAccept(choice);
                 case STEP_OPERATOR -> fleet.stepOperator(choice, SwapOutcome.SWAPPED);
-                case LOSE_ANSWER -> fleet.stepOperator(choice, SwapOutcome.UNKNOWN);
-                case STICK_WRITE -> fleet.stepOperator(choice, SwapOutcome.CONFLICT);
-                case ARRIVE_LATE -> fleet.arriveLate(choice);
+                case LOSE_RESPONSE -> fleet.stepOperator(choice, SwapOutcome.UNKNOWN);
+                case DELAY_SWAP -> fleet.stepOperator(choice, SwapOutcome.CONFLICT);
+                case DELIVER_DELAYED_SWAP -> fleet.deliverDelayedSwap(choice);
                 case CRASH_OPERATOR -> fleet.crashOperator(choice);
             }
         }
@@ -80,18 +76,18 @@
     static FuzzSchedule of(long seed) {
         Random random = new Random(seed);
         List<Step> steps = new ArrayList<>();
-        for (int place = 0; place < LENGTH; place++) {
+        for (int index = 0; index < LENGTH; index++) {
             steps.add(new Step(Kind.of(random), random.nextInt(1000)));
         }
         return new FuzzSchedule(steps);
     }
 
     /**
-     * What a run came to.
+     * The result of a run.
      *
-     * @param failure what went wrong
-     * @param accepted how many changes were accepted
-     * @param ticks after how many ticks of calm all VMs agreed
+     * @param failure the failure, if any
+     * @param accepted number of accepted changes
+     * @param ticks number of ticks without faults until all VMs agreed
      */
     record Result(Optional<String> failure, int accepted, int ticks) {}
 
@@ -100,13 +96,13 @@
         FuzzFleet fleet = new FuzzFleet(fault);
         try {
             steps.forEach(step -> step.run(fleet));
-            return new Result(Optional.empty(), fleet.accepted(), fleet.calmDown());
+            return new Result(Optional.empty(), fleet.accepted(), fleet.recover());
         } catch (AssertionError | RuntimeException failure) {
             return new Result(Optional.of(failure.toString()), fleet.accepted(), 0);
         }
     }
 
-    /** Leaves out as many steps as it can while the schedule still fails. */
+    /** Returns a shorter schedule that still fails. */
     FuzzSchedule shrunk(InjectedFault fault) {
         List<Step> left = steps;
         for (int size = left.size() / 2; size > 0; size /= 2) {
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/InMemoryStore.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/InMemoryStore.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A store in memory with compare-and-swap by index. */
+/** An in-memory store with compare-and-swap by index. */
 final class InMemoryStore {
     /** A value and the index of its last write. */
     record Entry(StoreItem item, long index) {}
@@ -33,24 +33,24 @@
         return SwapOutcome.SWAPPED;
     }
 
-    /** Does an action and returns the machine's next one. */
-    StoreAction answer(StoreProtocol machine, StoreAction action) {
+    /** Performs an action and returns the protocol's next one. */
+    StoreAction perform(StoreProtocol protocol, StoreAction action) {
         if (action instanceof StoreAction.Read read) {
-            return machine.onRead(item(read.key()), index(read.key()));
+            return protocol.onRead(item(read.key()), index(read.key()));
         }
-        return machine.onSwap(apply((StoreAction.Swap) action));
+        return protocol.onSwap(apply((StoreAction.Swap) action));
     }
 
-    /** Answers all actions from one on until the machine finishes. */
-    AcceptOutcome finish(StoreProtocol machine, StoreAction from) {
+    /** Performs all actions from the given one until the protocol finishes. */
+    AcceptOutcome runFrom(StoreProtocol protocol, StoreAction from) {
         StoreAction action = from;
         while (!(action instanceof StoreAction.Finish)) {
-            action = answer(machine, action);
+            action = perform(protocol, action);
         }
         return ((StoreAction.Finish) action).outcome();
     }
 
-    AcceptOutcome run(StoreProtocol machine) {
-        return finish(machine, machine.start());
+    AcceptOutcome run(StoreProtocol protocol) {
+        return runFrom(protocol, protocol.start());
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/InjectedFault.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/InjectedFault.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** The production classes, whole or with one guard taken out; the fuzz must find each fault. */
+/** Creates the production classes, with one of their guards disabled by each fault. */
 enum InjectedFault {
     NONE(""),
-    /** A VM takes every change that it hears of, also an older one. */
-    NO_MONOTONE_CHECK("went back") {
+    /** A VM applies every change that it receives, also an older one. */
+    NO_MONOTONICITY_CHECK("reverted to an older change") {
         @Override
         ConfigurationFollower follower(
                 FollowerSettings settings, FollowerPeers peers, RandomGenerator random) {
@@ -27,7 +27,7 @@
             };
         }
     },
-    /** A writer pushes a change out of the ring and dies before it writes the pointer. */
+    /** A writer evicts a change from the ring without writing its pointer. */
     NO_POINTER("A change was lost") {
         @Override
         StoreProtocol accept(AcceptRequest request, int ringCapacity) {
@@ -35,17 +35,17 @@
                 @Override
                 List<Preparation> preparations(Head head, int capacity) {
                     return super.preparations(head, capacity).stream()
-                            .filter(one -> one.key().kind() != StoreKind.POINTER)
+                            .filter(preparation -> preparation.key().kind() != StoreKind.POINTER)
                             .toList();
                 }
             };
         }
     },
-    /** A writer takes a lost answer to mean that nothing was written. */
-    LOST_MEANS_NOT_WRITTEN("In force after a no") {
+    /** A writer treats a lost response as a failed write. */
+    LOST_RESPONSE_AS_NOT_WRITTEN("Accepted after being reported as not accepted") {
         @Override
         StoreProtocol accept(AcceptRequest request, int ringCapacity) {
-            return new Forgetful(new AcceptProtocol(request, ringCapacity));
+            return new LostResponseAsNotWritten(new AcceptProtocol(request, ringCapacity));
         }
     };
 
@@ -55,7 +55,7 @@
         mSymptom = symptom;
     }
 
-    /** Returns what the oracle must say of it in some schedule. */
+    /** Returns a part of the message with which the oracle detects the fault. */
     String symptom() {
         return mSymptom;
     }
@@ -69,7 +69,7 @@
         return new ConfigurationFollower(settings, peers, text -> Optional.empty(), random);
     }
 
-    private record Forgetful(AcceptProtocol accept) implements StoreProtocol {
+    private record LostResponseAsNotWritten(AcceptProtocol accept) implements StoreProtocol {
         @Override
         public StoreAction start() {
             return accept.start();
@@ -86,8 +86,9 @@
         }
 
         @Override
-        public StoreAction onSwap(SwapOutcome answer) {
-            return accept.onSwap(answer == SwapOutcome.UNKNOWN ? SwapOutcome.NOT_WRITTEN : answer);
+        public StoreAction onSwap(SwapOutcome outcome) {
+            return accept.onSwap(
+                    outcome == SwapOutcome.UNKNOWN ? SwapOutcome.NOT_WRITTEN : outcome);
         }
     }
 }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/WatchersTest.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/WatchersTest.java
@@ -14,7 +14,7 @@
 import org.dahliapass.model.VmIdentity;
 import org.testng.annotations.Test;
 
-/** Tests of the choice of watchers. */
+/** Tests for {@link Watchers}. */
 public final class WatchersTest {
     private static final List<String> ZONES = List.of("a", "b", "c");
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void numberOfWatchersDoesNotGrowWithTheFleet() {
+    public void numberOfWatchersIsIndependentOfFleetSize() {
         for (int size : new int[] {36, 370, 3700}) {
             List<Vm> vms = fleet(size);
             long watching = vms.stream().filter(vm -> Watchers.watches(vm, vms)).count();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void orderOfTheListDoesNotMatter() {
+    public void orderOfListDoesNotMatter() {
         List<Vm> vms = fleet(40);
         List<Vm> shuffled = new ArrayList<>(vms);
         Collections.shuffle(shuffled, new Random(1));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void watcherThatLeavesIsFollowedByOneOther() {
+    public void watcherThatLeavesIsReplacedByOneOther() {
         List<Vm> vms = fleet(40);
         List<VmIdentity> before = Watchers.ofZone("a", vms);
         vms.removeIf(vm -> vm.identity().equals(before.get(0)));
@@ -56,17 +56,17 @@
     }
 
     @Test
-    public void dutyIsSpreadOverIncarnations() {
-        Map<String, Integer> duties = new HashMap<>();
-        for (int life = 0; life < 1000; life++) {
+    public void watchersAreSpreadOverIncarnations() {
+        Map<String, Integer> counts = new HashMap<>();
+        for (int incarnation = 0; incarnation < 1000; incarnation++) {
             List<Vm> vms = new ArrayList<>();
             for (Vm vm : fleet(30)) {
-                VmIdentity identity = new VmIdentity(vm.identity().name(), life);
+                VmIdentity identity = new VmIdentity(vm.identity().name(), incarnation);
                 vms.add(new Vm(identity, "a", vm.callerEndpoint(), vm.peerEndpoint()));
             }
-            Watchers.ofZone("a", vms).forEach(id -> duties.merge(id.name(), 1, Integer::sum));
+            Watchers.ofZone("a", vms).forEach(id -> counts.merge(id.name(), 1, Integer::sum));
         }
-        assertEquals(duties.size(), 30);
-        duties.values().forEach(count -> assertTrue(count > 30 && count < 110, "" + duties));
+        assertEquals(counts.size(), 30);
+        counts.values().forEach(count -> assertTrue(count > 30 && count < 110, "" + counts));
     }
 }
