--- a/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/assignment/CellMembership.java
@@ -53,9 +53,9 @@
 
     /** Replaces the members that may be in cells, by name and zone; includes this VM. */
     public void updateMembers(Map<String, String> zoneOfName) {
-        List<String> gone = new ArrayList<>(mZoneOf.keySet());
-        gone.removeIf(name -> mZoneOf.get(name).equals(zoneOfName.get(name)));
-        gone.forEach(this::remove);
+        List<String> removed = new ArrayList<>(mZoneOf.keySet());
+        removed.removeIf(name -> mZoneOf.get(name).equals(zoneOfName.get(name)));
+        removed.forEach(this::remove);
         for (Map.Entry<String, String> entry : zoneOfName.entrySet()) {
             if (!mZoneOf.containsKey(entry.getKey())) {
                 add(entry.getKey(), entry.getValue());
