--- a/http/src/main/java/org/dahliapass/http/ClientCall.java
+++ b/http/src/main/java/org/dahliapass/http/ClientCall.java
@@ -11,10 +11,10 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Set;
 
-/** One request that a client sends; used on its event loop only. */
+/** One request of an {@link HttpClient}. Not thread-safe; used only on the client's event loop. */
 public final class ClientCall {
-    /** Methods whose requests tell a length even without a body (RFC 9110, 8.6). */
-    private static final Set<HttpMethod> USUALLY_WITH_BODY =
+    /** Methods whose requests have a Content-Length even without a body (RFC 9110, 8.6). */
+    private static final Set<HttpMethod> METHODS_WITH_BODY =
             Set.of(HttpMethod.POST, HttpMethod.PUT, HttpMethod.PATCH);
 
     private final HttpMethod mMethod;
@@ -23,7 +23,7 @@
     private final ByteBuf mBody;
     private final ResponseListener mListener;
     private ClientConnection mConnection;
-    private boolean mOver;
+    private boolean mFinished;
 
     ClientCall(
             HttpMethod method,
@@ -38,15 +38,15 @@
         mListener = listener;
     }
 
-    /** Ends the call and closes its connection, which tells the server to stop. */
+    /** Aborts the call and resets its connection; the listener is not called again. */
     public void abort() {
-        mOver = true;
+        mFinished = true;
         if (mConnection != null) {
             mConnection.close();
         }
     }
 
-    /** Stops or goes on reading the answer, for a reader that is slower than the server. */
+    /** Pauses or resumes reading the response, to apply backpressure to the server. */
     public void setAutoRead(boolean reading) {
         if (mConnection != null) {
             mConnection.setAutoRead(reading);
@@ -54,7 +54,7 @@
     }
 
     boolean isFinished() {
-        return mOver;
+        return mFinished;
     }
 
     void attach(ClientConnection connection) {
@@ -69,10 +69,10 @@
         return mMethod;
     }
 
-    FullHttpRequest message() {
-        boolean framed = mBody.isReadable() || USUALLY_WITH_BODY.contains(mMethod);
+    FullHttpRequest toHttpRequest() {
+        boolean hasLength = mBody.isReadable() || METHODS_WITH_BODY.contains(mMethod);
         mHeaders.remove(HttpHeaderNames.CONTENT_LENGTH);
-        if (framed) {
+        if (hasLength) {
             mHeaders.set(HttpHeaderNames.CONTENT_LENGTH, mBody.readableBytes());
         }
         return new DefaultFullHttpRequest(
@@ -85,15 +85,15 @@
     }
 
     void fail(Throwable failure) {
-        if (!mOver) {
-            mOver = true;
+        if (!mFinished) {
+            mFinished = true;
             mListener.onFailure(failure);
         }
     }
 
-    void end(HttpHeaders trailers) {
-        if (!mOver) {
-            mOver = true;
+    void complete(HttpHeaders trailers) {
+        if (!mFinished) {
+            mFinished = true;
             mListener.onEnd(trailers);
         }
     }
--- a/http/src/main/java/org/dahliapass/http/ClientCodec.java
+++ b/http/src/main/java/org/dahliapass/http/ClientCodec.java
@@ -6,10 +6,10 @@
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Encodes requests and decodes answers of one connection, strictly. */
+/** A codec that encodes requests and strictly decodes responses of one connection. */
 final class ClientCodec
         extends CombinedChannelDuplexHandler<HttpResponseDecoder, HttpRequestEncoder> {
-    private static final int MOST_HEAD_BYTES = 64 * 1024;
+    private static final int MAX_HEAD_BYTES = 64 * 1024;
 
     private final Decoder mDecoder;
 
@@ -22,7 +22,7 @@
         mDecoder = decoder;
     }
 
-    /** Sets whether the next answer is to a HEAD request, and so has no body. */
+    /** Sets whether the next response has no body because it answers a HEAD request. */
     void setBodiless(boolean bodiless) {
         mDecoder.mBodiless = bodiless;
     }
@@ -33,22 +33,23 @@
         private Decoder() {
             super(
                     new HttpDecoderConfig()
-                            .setMaxInitialLineLength(MOST_HEAD_BYTES)
-                            .setMaxHeaderSize(MOST_HEAD_BYTES));
+                            .setMaxInitialLineLength(MAX_HEAD_BYTES)
+                            .setMaxHeaderSize(MAX_HEAD_BYTES));
         }
 
         @Override
-        protected boolean isContentAlwaysEmpty(HttpMessage answer) {
-            return mBodiless || super.isContentAlwaysEmpty(answer);
+        protected boolean isContentAlwaysEmpty(HttpMessage response) {
+            return mBodiless || super.isContentAlwaysEmpty(response);
         }
 
         /**
-         * Guards against an answer that looks whole and isn't, or whose rest would be taken for the
-         * next answer: its length and its chunks say different things of its end (RFC 9112, 6.3).
+         * Rejects a response with both Content-Length and chunked coding (RFC 9112, 6.3). Its end
+         * is ambiguous, so a truncated response could look complete.
          */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("Both a length and chunks frame the answer.");
+            throw new IllegalArgumentException(
+                    "The response has both Content-Length and chunked coding.");
         }
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ClientConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ClientConnection.java
@@ -19,32 +19,32 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** One connection to a server, which carries one request at a time. */
+/** A connection to a server that carries one request start a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** What a server tells of how long it keeps an idle connection, in seconds. */
-    private static final String TIMEOUT = "timeout=";
+    /** The Keep-Alive parameter with the server's idle timeout, in seconds. */
+    private static final String TIMEOUT_PARAMETER = "timeout=";
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private final Consumer<ClientConnection> mOnFree;
+    private final Consumer<ClientConnection> mOnIdle;
     private final ClientCodec mCodec = new ClientCodec();
     private Channel mChannel;
     private ClientCall mCall;
     private boolean mInformational;
-    private boolean mHeadCame;
-    private boolean mKeepsOpen;
-    private boolean mWritten;
-    private boolean mEnded;
-    private long mKeptMillis = Long.MAX_VALUE;
+    private boolean mHeadReceived;
+    private boolean mKeepAlive;
+    private boolean mRequestWritten;
+    private boolean mResponseComplete;
+    private long mServerIdleMillis = Long.MAX_VALUE;
     private long mIdleSinceMillis;
 
     /**
      * Creates a connection.
      *
-     * @param onFree told when the connection may carry another request
+     * @param onIdle called when the connection can be reused
      */
-    ClientConnection(Consumer<ClientConnection> onFree) {
-        mOnFree = onFree;
+    ClientConnection(Consumer<ClientConnection> onIdle) {
+        mOnIdle = onIdle;
     }
 
     @Override
@@ -53,12 +53,12 @@
     }
 
     /**
-     * Returns what stands before the codec and closes an idle connection that is sent anything.
+     * Returns the handler, placed before the codec, that closes an idle connection on any input.
      *
-     * <p>Guards against the beginning of a late second answer: the codec keeps it until more comes,
-     * and the next request on this connection would get it for its own.
+     * <p>Without it, the codec buffers the start of an unsolicited response and attributes it to
+     * the next request.
      */
-    ChannelInboundHandlerAdapter guard() {
+    ChannelInboundHandlerAdapter idleGuard() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
@@ -72,7 +72,7 @@
         };
     }
 
-    /** Returns the codec that stands before this handler. */
+    /** Returns the codec, placed before this handler. */
     ClientCodec codec() {
         return mCodec;
     }
@@ -81,12 +81,12 @@
         return mChannel.isActive();
     }
 
-    /** Closes the connection; a request that it carries must not reach the server any more. */
+    /** Closes the connection, with a reset if a request is in flight. */
     void close() {
-        end().close(mChannel);
+        closeMode().close(mChannel);
     }
 
-    private CloseMode end() {
+    private CloseMode closeMode() {
         return mCall == null ? CloseMode.GRACEFUL : CloseMode.ABORTIVE;
     }
 
@@ -98,24 +98,24 @@
         mIdleSinceMillis = millis;
     }
 
-    /** Returns whether the connection was idle for so long that its server may close it. */
-    boolean isStale(long nowMillis, long mostMillis) {
-        return nowMillis - mIdleSinceMillis >= Math.min(mostMillis, mKeptMillis);
+    /** Returns whether the connection has been idle for so long that the server may close it. */
+    boolean isStale(long nowMillis, long maxMillis) {
+        return nowMillis - mIdleSinceMillis >= Math.min(maxMillis, mServerIdleMillis);
     }
 
-    /** Sends a request; the connection is open and carries none. */
+    /** Sends a request; the connection must be open and idle. */
     void send(ClientCall call) {
         mCall = call;
-        mHeadCame = false;
-        mEnded = false;
-        mWritten = false;
+        mHeadReceived = false;
+        mResponseComplete = false;
+        mRequestWritten = false;
         call.attach(this);
         mCodec.setBodiless(HttpMethod.HEAD.equals(call.method()));
-        mChannel.writeAndFlush(call.message())
+        mChannel.writeAndFlush(call.toHttpRequest())
                 .addListener(
-                        done -> {
-                            mWritten = done.isSuccess();
-                            if (!done.isSuccess()) {
+                        written -> {
+                            mRequestWritten = written.isSuccess();
+                            if (!written.isSuccess()) {
                                 close();
                             }
                         });
@@ -125,22 +125,21 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject part = (HttpObject) message;
         try {
-            if (mCall == null || mEnded) {
-                // Guards against an answer that nobody waits for and that the next request on this
-                // connection would take for its own.
-                mKeepsOpen = false;
+            if (mCall == null || mResponseComplete) {
+                // Unsolicited response: it would be attributed to the next request.
+                mKeepAlive = false;
                 close();
             } else if (part.decoderResult().isFailure()) {
-                fail(new ProtocolException("Malformed: " + part.decoderResult().cause()));
+                fail(new ProtocolException("Malformed response: " + part.decoderResult().cause()));
             } else {
-                take(part);
+                process(part);
             }
         } finally {
             ReferenceCountUtil.release(part);
         }
     }
 
-    private void take(HttpObject part) {
+    private void process(HttpObject part) {
         if (part instanceof HttpResponse head) {
             onHead(head);
         }
@@ -151,7 +150,9 @@
 
     private void onHead(HttpResponse head) {
         if (head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-            fail(new ProtocolException("The server switches protocols unasked."));
+            fail(
+                    new ProtocolException(
+                            "The server sent an unrequested 101 Switching Protocols response."));
             return;
         }
         mInformational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
@@ -160,18 +161,22 @@
         }
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty() && !RequestRule.isOnlyChunked(codings)) {
-            fail(new ProtocolException("The answer's end can't be told: " + codings));
+            fail(
+                    new ProtocolException(
+                            "Unsupported transfer codings "
+                                    + codings
+                                    + "; expected chunked, once."));
             return;
         }
-        mHeadCame = true;
-        mKeepsOpen = HttpUtil.isKeepAlive(head) && isFramed(head);
-        mKeptMillis = keptMillis(head.headers());
+        mHeadReceived = true;
+        mKeepAlive = HttpUtil.isKeepAlive(head) && hasExplicitLength(head);
+        mServerIdleMillis = serverIdleMillis(head.headers());
         if (!mCall.isFinished()) {
             mCall.listener().onHead(head);
         }
     }
 
-    private boolean isFramed(HttpResponse head) {
+    private boolean hasExplicitLength(HttpResponse head) {
         return HttpUtil.isContentLengthSet(head)
                 || HttpUtil.isTransferEncodingChunked(head)
                 || head.status().equals(HttpResponseStatus.NO_CONTENT)
@@ -179,16 +184,19 @@
                 || HttpMethod.HEAD.equals(mCall.method());
     }
 
-    /** Half of what the server keeps it: a request must not cross its close. */
-    private static long keptMillis(HttpHeaders headers) {
-        String told = headers.get("keep-alive");
-        int at = told == null ? -1 : told.indexOf(TIMEOUT);
-        if (at < 0) {
+    /**
+     * Returns half of the server's advertised idle timeout, so that a request doesn't race with the
+     * server's close; {@link Long#MAX_VALUE} if there is none.
+     */
+    private static long serverIdleMillis(HttpHeaders headers) {
+        String keepAlive = headers.get("keep-alive");
+        int start = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
+        if (start < 0) {
             return Long.MAX_VALUE;
         }
         long seconds = 0;
-        for (int place = at + TIMEOUT.length(); place < told.length(); place++) {
-            int digit = Character.digit(told.charAt(place), 10);
+        for (int index = start + TIMEOUT_PARAMETER.length(); index < keepAlive.length(); index++) {
+            int digit = Character.digit(keepAlive.charAt(index), 10);
             if (digit < 0) {
                 break;
             }
@@ -198,37 +206,39 @@
     }
 
     private void onContent(HttpContent content) {
-        if (mInformational || !mHeadCame) {
+        if (mInformational || !mHeadReceived) {
             return;
         }
         if (content.content().isReadable() && !mCall.isFinished()) {
             mCall.listener().onData(content.content());
         }
         if (content instanceof LastHttpContent last) {
-            mEnded = true;
-            mCall.end(last.trailingHeaders());
+            mResponseComplete = true;
+            mCall.complete(last.trailingHeaders());
         }
     }
 
     /**
-     * Bytes behind a whole answer have been seen by now, so the connection is clean. A request that
-     * the server answered before it was read to its end is still on its way.
+     * Releases the connection for reuse after a complete response.
+     *
+     * <p>By now any bytes after the response have been read. If the server responded before the
+     * request was fully written, the connection is closed.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (mCall == null || !mEnded) {
+        if (mCall == null || !mResponseComplete) {
             return;
         }
         mCall = null;
         mChannel.config().setAutoRead(true);
-        if (mKeepsOpen && mWritten && isOpen()) {
-            mOnFree.accept(this);
+        if (mKeepAlive && mRequestWritten && isOpen()) {
+            mOnIdle.accept(this);
         } else {
             close();
         }
     }
 
-    /** A reset must not look like the end of an answer without a length. */
+    /** Fails the call, since a reset must not look like the end of a response without a length. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
         fail(failure);
@@ -241,11 +251,11 @@
 
     private void fail(Throwable failure) {
         ClientCall call = mCall;
-        CloseMode end = end();
+        CloseMode mode = closeMode();
         mCall = null;
-        mKeepsOpen = false;
-        end.close(mChannel);
-        if (call != null && !mEnded) {
+        mKeepAlive = false;
+        mode.close(mChannel);
+        if (call != null && !mResponseComplete) {
             call.fail(failure);
         }
     }
--- a/http/src/main/java/org/dahliapass/http/ClientResponse.java
+++ b/http/src/main/java/org/dahliapass/http/ClientResponse.java
@@ -3,9 +3,9 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A server's answer, whole.
+ * A complete response received from a server.
  *
- * @param status its status
- * @param body its body, on the heap, so that it needs no release
+ * @param status the status code
+ * @param body the body, in a heap buffer that needs no release
  */
 public record ClientResponse(int status, ByteBuf body) {}
--- a/http/src/main/java/org/dahliapass/http/EventLoops.java
+++ b/http/src/main/java/org/dahliapass/http/EventLoops.java
@@ -6,24 +6,25 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 
-/** Makes the thread that serves connections. */
+/** A factory of event loop groups. */
 public final class EventLoops {
     static {
-        // Guards against a logging library that sets itself up with Netty's first logger, which
-        // takes 40 ms of the time of a start for lines that a healthy VM never writes.
+        // Loading a logging library together with Netty's first logger slows down startup.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
     private EventLoops() {}
 
     /**
-     * Returns a group of one event loop: a small VM has one core, and one thread needs no locks.
+     * Returns a group with a single event loop on a daemon thread.
+     *
+     * @param name the thread's name
      */
     public static EventLoopGroup singleThreaded(String name) {
         return new MultiThreadIoEventLoopGroup(
                 1,
-                work -> {
-                    Thread thread = new Thread(work, name);
+                task -> {
+                    Thread thread = new Thread(task, name);
                     thread.setDaemon(true);
                     return thread;
                 },
--- a/http/src/main/java/org/dahliapass/http/FramingValidator.java
+++ b/http/src/main/java/org/dahliapass/http/FramingValidator.java
@@ -5,18 +5,18 @@
 import java.util.regex.Pattern;
 
 /**
- * Looks at the lines that frame requests, for what decoding hides: it takes blanks, control
- * characters and folded lines in its own way, and other readers take them in theirs, so that a
- * header or a whole request is seen by one of them only.
+ * Validates the raw lines that frame requests.
  *
- * <p>Sees the bytes that were decoded, in order, and costs O(1) for each.
+ * <p>Detects whitespace, control characters and folded lines that the decoder accepts silently and
+ * that other HTTP implementations interpret differently, which enables request smuggling. Processes
+ * the decoded bytes in order.
  */
 final class FramingValidator implements ByteProcessor {
-    /** Some clients fill up their sizes of chunks with zeros to so many digits. */
-    private static final int MOST_SIZE_DIGITS = 8;
+    /** Some clients pad chunk sizes with zeros to this many digits. */
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
 
-    /** A method, a target and a version, whose letters are capitals. */
-    private static final Pattern REQUEST = Pattern.compile("[^ \\t]+ [^ \\t]+ HTTP/[0-9]\\.[0-9]");
+    private static final Pattern REQUEST_LINE_PATTERN =
+            Pattern.compile("[^ \\t]+ [^ \\t]+ HTTP/[0-9]\\.[0-9]");
 
     private static final int HEXADECIMAL = 16;
     private static final char DELETE = 0x7f;
@@ -24,78 +24,78 @@
     private final StringBuilder mLine = new StringBuilder();
     private Part mPart = Part.REQUEST_LINE;
     private boolean mMalformed;
-    private long mChunkLeft;
+    private long mChunkRemaining;
 
-    /** The parts of a request, and which lines they may have. */
+    /** The parts of a request and the lines that are valid in them. */
     private enum Part {
-        /** RFC 9112, 2.2, 2.3 and 3: empty lines, then three words that single blanks part. */
+        /** RFC 9112, 2.2, 2.3 and 3: empty lines, then three words separated by single spaces. */
         REQUEST_LINE {
             @Override
-            boolean isProper(String line) {
-                return line.isEmpty() || REQUEST.matcher(line).matches();
+            boolean isWellFormed(String line) {
+                return line.isEmpty() || REQUEST_LINE_PATTERN.matcher(line).matches();
             }
         },
-        /** RFC 9112, 5.2: no line that goes on with the one before it. */
+        /** RFC 9112, 5.2: no folded lines. */
         HEADERS {
             @Override
-            boolean isProper(String line) {
+            boolean isWellFormed(String line) {
                 return !line.startsWith(" ") && !line.startsWith("\t");
             }
         },
-        /** Ends with its length; nothing in it is a line. */
+        /** A body with a Content-Length, which has no lines. */
         BODY,
-        /** RFC 9112, 7.1: a number, and perhaps extensions. */
+        /** RFC 9112, 7.1: a hexadecimal size and optional extensions. */
         CHUNK_SIZE {
             @Override
-            boolean isProper(String line) {
-                int digits = sizeDigits(line);
-                boolean ends = digits == line.length() || line.charAt(digits) == ';';
+            boolean isWellFormed(String line) {
+                int digits = countSizeDigits(line);
+                boolean isTerminated = digits == line.length() || line.charAt(digits) == ';';
                 return digits > 0
-                        && digits <= MOST_SIZE_DIGITS
-                        && ends
-                        && chunkSize(line) <= Integer.MAX_VALUE;
+                        && digits <= MAX_CHUNK_SIZE_DIGITS
+                        && isTerminated
+                        && parseChunkSize(line) <= Integer.MAX_VALUE;
             }
         },
-        /** The bytes of a chunk; nothing in them is a line. */
+        /** The data of a chunk, which has no lines. */
         CHUNK,
-        /** RFC 9112, 7.1: an empty line behind the bytes of a chunk. */
+        /** RFC 9112, 7.1: the empty line after the data of a chunk. */
         CHUNK_END {
             @Override
-            boolean isProper(String line) {
+            boolean isWellFormed(String line) {
                 return line.isEmpty();
             }
         },
-        /** RFC 9112, 7.1.2: headers behind the last chunk. */
+        /** RFC 9112, 7.1.2: trailer fields after the last chunk. */
         TRAILERS {
             @Override
-            boolean isProper(String line) {
-                return HEADERS.isProper(line);
+            boolean isWellFormed(String line) {
+                return HEADERS.isWellFormed(line);
             }
         };
 
-        /** Returns whether a line may stand in this part, its control characters aside. */
-        boolean isProper(String line) {
+        /** Returns whether a line is valid in this part, apart from control characters. */
+        boolean isWellFormed(String line) {
             return true;
         }
     }
 
-    /** Takes bytes that were decoded. */
+    /** Validates the decoded bytes of a buffer from one index up to, not including, another. */
     void onBytes(ByteBuf bytes, int from, int until) {
         int unused = bytes.forEachByte(from, until - from, this);
     }
 
     @Override
-    public boolean process(byte letter) {
+    public boolean process(byte character) {
         if (mMalformed || mPart == Part.BODY) {
             return false;
         }
         if (mPart == Part.CHUNK) {
-            mChunkLeft--;
-            mPart = mChunkLeft == 0 ? Part.CHUNK_END : Part.CHUNK;
+            mChunkRemaining--;
+            mPart = mChunkRemaining == 0 ? Part.CHUNK_END : Part.CHUNK;
             return true;
         }
-        mLine.append((char) (letter & 0xff));
-        if (letter == '\n') {
+        mLine.append((char) (character & 0xff));
+        if (character == '\n') {
             onLine();
         }
         return true;
@@ -103,21 +103,22 @@
 
     private void onLine() {
         int end = mLine.length() - 2;
-        boolean ended = end >= 0 && mLine.charAt(end) == '\r';
-        String line = ended ? mLine.substring(0, end) : "";
+        boolean hasLineEnd = end >= 0 && mLine.charAt(end) == '\r';
+        String line = hasLineEnd ? mLine.substring(0, end) : "";
         mLine.setLength(0);
-        mMalformed = !ended || hasControl(line) || !mPart.isProper(line);
+        mMalformed = !hasLineEnd || hasControlCharacter(line) || !mPart.isWellFormed(line);
         if (!mMalformed) {
-            mPart = next(line);
+            mPart = nextPart(line);
         }
     }
 
-    private static boolean hasControl(String line) {
+    private static boolean hasControlCharacter(String line) {
         return line.chars()
-                .anyMatch(letter -> (letter < ' ' && letter != '\t') || letter == DELETE);
+                .anyMatch(
+                        character -> (character < ' ' && character != '\t') || character == DELETE);
     }
 
-    private static int sizeDigits(String line) {
+    private static int countSizeDigits(String line) {
         int digits = 0;
         while (digits < line.length() && Character.digit(line.charAt(digits), HEXADECIMAL) >= 0) {
             digits++;
@@ -125,17 +126,17 @@
         return digits;
     }
 
-    private static long chunkSize(String line) {
-        return Long.parseLong(line, 0, sizeDigits(line), HEXADECIMAL);
+    private static long parseChunkSize(String line) {
+        return Long.parseLong(line, 0, countSizeDigits(line), HEXADECIMAL);
     }
 
-    private Part next(String line) {
+    private Part nextPart(String line) {
         return switch (mPart) {
             case REQUEST_LINE -> line.isEmpty() ? Part.REQUEST_LINE : Part.HEADERS;
             case HEADERS -> line.isEmpty() ? Part.BODY : Part.HEADERS;
             case CHUNK_SIZE -> {
-                mChunkLeft = chunkSize(line);
-                yield mChunkLeft == 0 ? Part.TRAILERS : Part.CHUNK;
+                mChunkRemaining = parseChunkSize(line);
+                yield mChunkRemaining == 0 ? Part.TRAILERS : Part.CHUNK;
             }
             case CHUNK_END -> Part.CHUNK_SIZE;
             case TRAILERS -> line.isEmpty() ? Part.REQUEST_LINE : Part.TRAILERS;
@@ -143,22 +144,22 @@
         };
     }
 
-    /** Takes that the body behind the head that just ended comes in chunks. */
+    /** Records that the body after the current head is chunked. */
     void onChunkedHead() {
         mPart = Part.CHUNK_SIZE;
     }
 
-    /** Takes the end of a request: a next one may follow. */
+    /** Records the end of a request; another one may follow. */
     void onRequestEnd() {
         mPart = Part.REQUEST_LINE;
     }
 
-    /** Returns whether the malformed line stands behind a chunk, whose bytes are as they should. */
+    /** Returns whether the malformed line follows the data of a valid chunk. */
     boolean isMalformedAfterChunk() {
         return mMalformed && mPart == Part.CHUNK_END;
     }
 
-    /** Returns whether a line was malformed, behind which nothing can be told. */
+    /** Returns whether a malformed line was found; no later byte is validated. */
     boolean isMalformed() {
         return mMalformed;
     }
--- a/http/src/main/java/org/dahliapass/http/HopByHopHeaders.java
+++ b/http/src/main/java/org/dahliapass/http/HopByHopHeaders.java
@@ -5,9 +5,9 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** The headers that concern one connection only and are never passed on (RFC 9110, 7.6.1). */
+/** The headers that apply to header connection and are not forwarded (RFC 9110, 7.6.1). */
 public final class HopByHopHeaders {
-    private static final List<AsciiString> ALWAYS =
+    private static final List<AsciiString> ALWAYS_REMOVED =
             List.of(
                     HttpHeaderNames.CONNECTION,
                     AsciiString.cached("keep-alive"),
@@ -21,30 +21,31 @@
     private HopByHopHeaders() {}
 
     /**
-     * Takes them out, and those that a Connection header names.
+     * Removes the hop-by-hop headers, including those nominated by a Connection header.
      *
-     * @param kept headers that stay whatever a Connection header names, since this VM or the other
-     *     side can't do without them
+     * @param kept headers that are never removed, even if a Connection header nominates them
      */
     public static void strip(HttpHeaders headers, List<AsciiString> kept) {
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : value.split(",", -1)) {
-                removeNamed(headers, name.trim(), kept);
+                removeNominated(headers, name.trim(), kept);
             }
         }
-        ALWAYS.forEach(headers::remove);
+        ALWAYS_REMOVED.forEach(headers::remove);
     }
 
     /**
-     * Guards against a peer that names a header of the message itself, its length for instance, and
-     * so has it passed on as another message than it sent.
+     * Removes a header that a Connection header nominates.
+     *
+     * <p>Host and Content-Length stay: without them the forwarded message has another meaning than
+     * the received header.
      */
-    private static void removeNamed(HttpHeaders headers, String name, List<AsciiString> kept) {
-        boolean ofMessage =
+    private static void removeNominated(HttpHeaders headers, String name, List<AsciiString> kept) {
+        boolean describesMessage =
                 HttpHeaderNames.HOST.contentEqualsIgnoreCase(name)
                         || HttpHeaderNames.CONTENT_LENGTH.contentEqualsIgnoreCase(name);
-        boolean isKept = kept.stream().anyMatch(one -> one.contentEqualsIgnoreCase(name));
-        if (!name.isEmpty() && !ofMessage && !isKept) {
+        boolean isKept = kept.stream().anyMatch(header -> header.contentEqualsIgnoreCase(name));
+        if (!name.isEmpty() && !describesMessage && !isKept) {
             headers.remove(name);
         }
     }
--- a/http/src/main/java/org/dahliapass/http/HttpClient.java
+++ b/http/src/main/java/org/dahliapass/http/HttpClient.java
@@ -27,29 +27,28 @@
 import java.util.concurrent.TimeUnit;
 import org.dahliapass.model.Endpoint;
 
-/** Sends HTTP/1.1 requests on kept connections, on the event loop of a group that has one. */
+/** An HTTP/1.1 client that reuses connections and runs on a single event loop. */
 public final class HttpClient {
-    /** How often idle connections are looked at, while there are any. */
-    private static final long CHECK_MILLIS = 1_000;
+    private static final long IDLE_CHECK_MILLIS = 1_000;
 
     private final EventLoop mLoop;
     private final Clock mClock;
     private final long mIdleMillis;
     private final Bootstrap mBootstrap;
 
-    /** Belongs to the event loop, as all below. */
+    // Used only on the event loop, as are the fields below.
     private final Map<Endpoint, Deque<ClientConnection>> mIdle = new HashMap<>();
 
     private final Set<ClientConnection> mOpen = new HashSet<>();
-    private boolean mChecking;
+    private boolean mCheckScheduled;
 
     /**
      * Creates a client.
      *
-     * @param loops has one event loop, on which everything runs
-     * @param clock measures how long connections are idle
-     * @param connectTimeout how long a connection may take to open
-     * @param idle how long an idle connection is kept
+     * @param loops a group with connection event loop
+     * @param clock the clock that measures idle times
+     * @param connectTimeout the time limit for opening a connection
+     * @param idle how long an idle connection is idleConnection for reuse
      */
     public HttpClient(EventLoopGroup loops, Clock clock, Duration connectTimeout, Duration idle) {
         mLoop = loops.next();
@@ -66,17 +65,17 @@
                                 (int) connectTimeout.toMillis());
     }
 
-    /** Returns the event loop on which everything runs. */
+    /** Returns the event loop on which the client runs. */
     public EventLoop loop() {
         return mLoop;
     }
 
     /**
-     * Sends a request; to be called on the event loop.
+     * Sends a request; must be called on the event loop.
      *
-     * @param headers its headers, which the call takes over; the body's length is added
-     * @param body its body, on the heap
-     * @param listener follows the answer; never called before this method returns
+     * @param headers the headers, owned by the call from now on; Content-Length is added
+     * @param body the body, in a heap buffer
+     * @param listener receives the response; never called before this method returns
      */
     public ClientCall send(
             Endpoint server,
@@ -86,16 +85,16 @@
             ByteBuf body,
             ResponseListener listener) {
         ClientCall call = new ClientCall(method, path, headers, body, listener);
-        ClientConnection kept = takeIdle(server);
-        if (kept != null) {
-            kept.send(call);
+        ClientConnection idleConnection = pollIdle(server);
+        if (idleConnection != null) {
+            idleConnection.send(call);
         } else {
             connect(server, call);
         }
         return call;
     }
 
-    private ClientConnection takeIdle(Endpoint server) {
+    private ClientConnection pollIdle(Endpoint server) {
         Deque<ClientConnection> idle = mIdle.get(server);
         long now = mClock.millis();
         while (idle != null && !idle.isEmpty()) {
@@ -109,14 +108,17 @@
     }
 
     private void connect(Endpoint server, ClientCall call) {
-        ClientConnection connection = new ClientConnection(free -> keep(server, free));
+        ClientConnection connection = new ClientConnection(idle -> addIdle(server, idle));
         open(server, connection)
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
-                                call.fail(new NotSentException("No connection.", done.cause()));
+                                call.fail(
+                                        new NotSentException(
+                                                "The connection could not be opened.",
+                                                done.cause()));
                             } else if (call.isFinished()) {
-                                keep(server, connection);
+                                addIdle(server, connection);
                             } else {
                                 connection.send(call);
                             }
@@ -124,19 +126,20 @@
     }
 
     /**
-     * Opens a connection to find out whether anything listens at an address; it is kept for use.
+     * Opens a connection to find out whether a server listens at an address, and keeps it for
+     * reuse.
      *
-     * @return false if it was refused or took too long; fails if this VM could not try, for want of
-     *     descriptors or of a way; completes on the event loop
+     * @return false if the connection was refused or timed out; fails if it could not be attempted,
+     *     for lack of file descriptors or a route; completes on the event loop
      */
     public CompletableFuture<Boolean> isListening(Endpoint server) {
         CompletableFuture<Boolean> listening = new CompletableFuture<>();
-        ClientConnection connection = new ClientConnection(free -> keep(server, free));
+        ClientConnection connection = new ClientConnection(idle -> addIdle(server, idle));
         open(server, connection)
                 .addListener(
                         done -> {
                             if (done.isSuccess()) {
-                                keep(server, connection);
+                                addIdle(server, connection);
                                 listening.complete(true);
                             } else if (done.cause() instanceof ConnectException) {
                                 listening.complete(false);
@@ -154,31 +157,33 @@
                 .connect(new InetSocketAddress(server.host(), server.port()));
     }
 
-    private void keep(Endpoint server, ClientConnection connection) {
+    private void addIdle(Endpoint server, ClientConnection connection) {
         long now = mClock.millis();
         connection.setIdleSince(now);
-        mIdle.computeIfAbsent(server, unknown -> new ArrayDeque<>()).addLast(connection);
-        planCheck();
+        mIdle.computeIfAbsent(server, key -> new ArrayDeque<>()).addLast(connection);
+        scheduleIdleCheck();
     }
 
-    /** Plans the next look at idle connections; none while there is no such connection. */
-    private void planCheck() {
-        if (mChecking || mIdle.isEmpty()) {
+    /** Schedules the next check, unless connection is scheduled or no connection is idle. */
+    private void scheduleIdleCheck() {
+        if (mCheckScheduled || mIdle.isEmpty()) {
             return;
         }
-        mChecking = true;
-        Future<?> unused = mLoop.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mCheckScheduled = true;
+        Future<?> unused =
+                mLoop.schedule(
+                        this::closeStaleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void check() {
-        mChecking = false;
+    private void closeStaleConnections() {
+        mCheckScheduled = false;
         long now = mClock.millis();
-        mIdle.values().forEach(idle -> idle.removeIf(one -> dropIfStale(one, now)));
+        mIdle.values().forEach(idle -> idle.removeIf(connection -> closeIfStale(connection, now)));
         mIdle.values().removeIf(Deque::isEmpty);
-        planCheck();
+        scheduleIdleCheck();
     }
 
-    private boolean dropIfStale(ClientConnection connection, long now) {
+    private boolean closeIfStale(ClientConnection connection, long now) {
         boolean stale = !connection.isOpen() || connection.isStale(now, mIdleMillis);
         if (stale) {
             connection.close();
@@ -187,11 +192,12 @@
     }
 
     /**
-     * Sends a request and collects its answer; any thread may call this.
+     * Sends a request and collects its response; may be called on any thread.
      *
-     * @param limit how long the answer may take
+     * @param limit the time limit for the response
      * @return fails with a {@link NotSentException} if nothing was sent, with a {@link
-     *     java.util.concurrent.TimeoutException} after the limit, or with what broke the answer off
+     *     java.util.concurrent.TimeoutException} after the limit, or with the cause of a truncated
+     *     response
      */
     public CompletableFuture<ClientResponse> fetch(
             Endpoint server,
@@ -206,7 +212,7 @@
         return collector.response();
     }
 
-    /** Closes all connections. */
+    /** Closes all connections; completes once they are closed. */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         mLoop.execute(
@@ -226,7 +232,7 @@
 
         @Override
         protected void initChannel(SocketChannel channel) {
-            channel.pipeline().addLast(mConnection.guard(), mConnection.codec(), mConnection);
+            channel.pipeline().addLast(mConnection.idleGuard(), mConnection.codec(), mConnection);
             mOpen.add(mConnection);
             channel.closeFuture().addListener(closed -> mOpen.remove(mConnection));
         }
--- a/http/src/main/java/org/dahliapass/http/HttpServer.java
+++ b/http/src/main/java/org/dahliapass/http/HttpServer.java
@@ -24,12 +24,12 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
-/** Serves HTTP/1.1 at some addresses, on the event loop of a group that has one. */
+/** An HTTP/1.1 server that listens at one or more addresses and runs on a single event loop. */
 public final class HttpServer {
-    /** How often connections are looked at for clients that take too long; adds to the limits. */
-    private static final long CHECK_MILLIS = 500;
+    /** The interval of the timeout checks, by which timeouts may be exceeded. */
+    private static final long TIMEOUT_CHECK_MILLIS = 500;
 
-    /** Connections that may wait to be accepted while the loop is busy: a burst of callers. */
+    /** Connections that may wait to be accepted while the event loop is busy. */
     private static final int BACKLOG = 1_024;
 
     private static final ComponentLog LOG = ComponentLog.of("http");
@@ -37,37 +37,37 @@
     private final EventLoop mLoop;
     private final RequestHandler mHandler;
     private final Clock mClock;
-    private final Supplier<ServerTimeouts> mLimits;
+    private final Supplier<ServerTimeouts> mTimeouts;
     private final List<Channel> mListeners = new ArrayList<>();
 
-    /** Belongs to the event loop. */
+    // Used only on the event loop, as is the field below.
     private final Set<ServerConnection> mConnections = new HashSet<>();
 
-    private boolean mChecking;
+    private boolean mCheckScheduled;
 
     /**
      * Creates a server.
      *
-     * @param loops has one event loop, on which everything runs
-     * @param handler takes the requests
-     * @param clock measures how long clients take
-     * @param limits how long they may take; asked again at each check
+     * @param loops a group with one event loop
+     * @param handler handles the requests
+     * @param clock the clock that measures the timeouts
+     * @param timeouts supplies the client timeouts; called at each check
      */
     public HttpServer(
             EventLoopGroup loops,
             RequestHandler handler,
             Clock clock,
-            Supplier<ServerTimeouts> limits) {
+            Supplier<ServerTimeouts> timeouts) {
         mLoop = loops.next();
         mHandler = handler;
         mClock = clock;
-        mLimits = limits;
+        mTimeouts = timeouts;
     }
 
     /**
-     * Listens at one more address.
+     * Listens at an address, in addition to any earlier ones.
      *
-     * @return fails with a {@link OperationException} if the address can't be used
+     * @return fails with an {@link OperationException} if the address can't be bound
      */
     public CompletableFuture<Void> listen(Endpoint endpoint) {
         CompletableFuture<Void> started = new CompletableFuture<>();
@@ -91,13 +91,13 @@
                             new OperationException(
                                     "listen for requests",
                                     endpoint.toString(),
-                                    "The port can't be used.",
+                                    "The address can't be bound; choose a free port.",
                                     done.cause()));
                 });
         return started;
     }
 
-    /** Closes all addresses and connections; completes once they are closed. */
+    /** Closes all listeners and connections; completes once they are closed. */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         mLoop.execute(
@@ -118,29 +118,33 @@
             channel.pipeline().addLast(connection.codec(), connection);
             mConnections.add(connection);
             channel.closeFuture().addListener(closed -> mConnections.remove(connection));
-            planCheck();
+            scheduleTimeoutCheck();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
-            LOG.error("A connection could not be set up.", failure);
+            LOG.error("Initializing a connection failed.", failure);
             ChannelFuture unused = context.close();
         }
     }
 
-    /** Plans the next look at all connections; none while there is no connection. */
-    private void planCheck() {
-        if (mChecking || mConnections.isEmpty()) {
+    /** Schedules the next check, unless one is scheduled or no connection is open. */
+    private void scheduleTimeoutCheck() {
+        if (mCheckScheduled || mConnections.isEmpty()) {
             return;
         }
-        mChecking = true;
-        Future<?> unused = mLoop.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mCheckScheduled = true;
+        Future<?> unused =
+                mLoop.schedule(
+                        this::closeTimedOutConnections,
+                        TIMEOUT_CHECK_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    private void check() {
-        mChecking = false;
-        ServerTimeouts limits = mLimits.get();
-        List.copyOf(mConnections).forEach(connection -> connection.closeIfTimedOut(limits));
-        planCheck();
+    private void closeTimedOutConnections() {
+        mCheckScheduled = false;
+        ServerTimeouts timeouts = mTimeouts.get();
+        List.copyOf(mConnections).forEach(connection -> connection.closeIfTimedOut(timeouts));
+        scheduleTimeoutCheck();
     }
 }
--- a/http/src/main/java/org/dahliapass/http/PathRouter.java
+++ b/http/src/main/java/org/dahliapass/http/PathRouter.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Hands requests to the handlers of their paths; any other path gets 404. */
+/** Routes requests to handlers by path; responds with 404 to unknown paths. */
 public final class PathRouter implements RequestHandler {
     private final Map<String, RequestHandler> mHandlers = new HashMap<>();
 
-    /** Adds the handler of one path; before the server starts. */
+    /** Adds the handler of a path; must be called before the server starts. */
     public PathRouter add(String path, RequestHandler handler) {
         mHandlers.put(path, handler);
         return this;
--- a/http/src/main/java/org/dahliapass/http/RequestHandler.java
+++ b/http/src/main/java/org/dahliapass/http/RequestHandler.java
@@ -1,11 +1,11 @@
 package org.dahliapass.http;
 
-/** Takes the requests of a server. */
+/** Handles the requests of a server. */
 @FunctionalInterface
 public interface RequestHandler {
     /**
-     * Takes a request whose head has arrived. Runs on the connection's event loop; the call is
-     * answered then or later, once, on the same loop.
+     * Handles a request whose head has arrived. Runs on the connection's event loop; the handler
+     * must respond exactly once, now or later, on the same loop.
      */
     void onRequest(ServerCall call);
 }
--- a/http/src/main/java/org/dahliapass/http/RequestRule.java
+++ b/http/src/main/java/org/dahliapass/http/RequestRule.java
@@ -10,26 +10,26 @@
 import java.util.Optional;
 
 /**
- * What a request's head must keep to, so that every reader takes it and its end for the same.
+ * Rules that a request head must satisfy so that every HTTP implementation finds the same request
+ * end.
  *
- * <p>Guards against request smuggling: a head that can be read in two ways lets a part of one
- * request run as another one, which nobody asked for.
+ * <p>Prevents request smuggling: with an ambiguous head, part of one request can be processed as
+ * another request.
  */
 enum RequestRule {
-    /** RFC 9112, 2.3 and 3: this server speaks 1.0 and 1.1 and frames no other version. */
+    /** RFC 9112, 2.3 and 3: only HTTP/1.0 and HTTP/1.1 are supported. */
     VERSION {
         @Override
         Optional<HttpResponseStatus> rejection(HttpRequest head) {
             HttpVersion version = head.protocolVersion();
-            boolean known =
+            boolean supported =
                     version.equals(HttpVersion.HTTP_1_1) || version.equals(HttpVersion.HTTP_1_0);
-            return refuseUnless(known, HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED);
+            return rejectUnless(supported, HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED);
         }
     },
     /**
-     * RFC 9112, 6.1 and 6.3: chunked ends a body, so it has to be the last coding and come once;
-     * other codings are unknown here. An old client's coding is one that something added on the
-     * way.
+     * RFC 9112, 6.1 and 6.3: chunked, exactly once, is the only supported coding. It is not valid
+     * in an HTTP/1.0 request, where an intermediary may have added it.
      */
     TRANSFER_CODING {
         @Override
@@ -41,63 +41,63 @@
             if (!isOnlyChunked(codings)) {
                 return Optional.of(HttpResponseStatus.NOT_IMPLEMENTED);
             }
-            boolean current = head.protocolVersion().equals(HttpVersion.HTTP_1_1);
-            return refuseUnless(current, HttpResponseStatus.BAD_REQUEST);
+            boolean isHttp11 = head.protocolVersion().equals(HttpVersion.HTTP_1_1);
+            return rejectUnless(isHttp11, HttpResponseStatus.BAD_REQUEST);
         }
     },
-    /** RFC 9112, 3.2, and RFC 9110, 7.2: one host, without blanks; old clients may leave it out. */
+    /** RFC 9112, 3.2, and RFC 9110, 7.2: one host without spaces; optional in HTTP/1.0. */
     HOST {
         @Override
         Optional<HttpResponseStatus> rejection(HttpRequest head) {
             List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
-            boolean mayLack = !head.protocolVersion().equals(HttpVersion.HTTP_1_1);
-            boolean proper =
-                    hosts.isEmpty() ? mayLack : hosts.size() == 1 && isVisible(hosts.get(0));
-            return refuseUnless(proper, HttpResponseStatus.BAD_REQUEST);
+            boolean optional = !head.protocolVersion().equals(HttpVersion.HTTP_1_1);
+            boolean valid =
+                    hosts.isEmpty() ? optional : hosts.size() == 1 && isVisibleAscii(hosts.get(0));
+            return rejectUnless(valid, HttpResponseStatus.BAD_REQUEST);
         }
     },
-    /** RFC 9112, 3.2: a path of visible letters, which stay the same when it is written again. */
+    /** RFC 9112, 3.2: only visible ASCII characters, which are forwarded unchanged. */
     TARGET {
         @Override
         Optional<HttpResponseStatus> rejection(HttpRequest head) {
-            return refuseUnless(isVisible(head.uri()), HttpResponseStatus.BAD_REQUEST);
+            return rejectUnless(isVisibleAscii(head.uri()), HttpResponseStatus.BAD_REQUEST);
         }
     };
 
-    /** The first character behind the visible ones. */
     private static final char DELETE = 0x7f;
 
     /**
-     * Returns the status that refuses a request; empty if it keeps to this rule.
+     * Returns the status that rejects a request; empty if it satisfies this rule.
      *
-     * @param head the request's line and headers, as decoded
+     * @param head the decoded request line and headers
      */
     abstract Optional<HttpResponseStatus> rejection(HttpRequest head);
 
-    /** Returns the status that refuses a request by the first rule that it breaks; else empty. */
+    /** Returns the status of the first rule that a request violates; empty if there is none. */
     static Optional<HttpResponseStatus> firstRejection(HttpRequest head) {
         for (RequestRule rule : values()) {
-            Optional<HttpResponseStatus> refusal = rule.rejection(head);
-            if (refusal.isPresent()) {
-                return refusal;
+            Optional<HttpResponseStatus> rejection = rule.rejection(head);
+            if (rejection.isPresent()) {
+                return rejection;
             }
         }
         return Optional.empty();
     }
 
-    /** Returns whether the transfer codings of a message are chunked, once, and nothing else. */
+    /** Returns whether the only transfer coding of a message is chunked, exactly once. */
     static boolean isOnlyChunked(List<String> codings) {
         return codings.size() == 1
                 && AsciiString.contentEqualsIgnoreCase(
                         HttpHeaderValues.CHUNKED, codings.get(0).trim());
     }
 
-    private static boolean isVisible(String text) {
-        return !text.isEmpty() && text.chars().allMatch(letter -> letter > ' ' && letter < DELETE);
+    private static boolean isVisibleAscii(String text) {
+        return !text.isEmpty()
+                && text.chars().allMatch(character -> character > ' ' && character < DELETE);
     }
 
-    private static Optional<HttpResponseStatus> refuseUnless(
-            boolean proper, HttpResponseStatus status) {
-        return proper ? Optional.empty() : Optional.of(status);
+    private static Optional<HttpResponseStatus> rejectUnless(
+            boolean valid, HttpResponseStatus status) {
+        return valid ? Optional.empty() : Optional.of(status);
     }
 }
--- a/http/src/main/java/org/dahliapass/http/RequestTarget.java
+++ b/http/src/main/java/org/dahliapass/http/RequestTarget.java
@@ -4,26 +4,26 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * Whom and what a request asks for.
+ * The authority and path that a request addresses.
  *
- * @param authority the host, with its port if one is named; empty if none is
- * @param path the path and query as they came
+ * @param authority the host, with the port if there is one; empty if missing
+ * @param path the path and query, as received
  */
 public record RequestTarget(String authority, String path) {
     private static final String SCHEME_END = "://";
 
-    /** Reads a request; one that names its host in the path goes by that (RFC 9112, 3.2.2). */
+    /** Returns the target of a request; the absolute form overrides Host (RFC 9112, 3.2.2). */
     public static RequestTarget of(HttpRequest request) {
         String uri = request.uri();
-        int scheme = uri.startsWith("/") ? -1 : uri.indexOf(SCHEME_END);
-        if (scheme < 0) {
+        int schemeEnd = uri.startsWith("/") ? -1 : uri.indexOf(SCHEME_END);
+        if (schemeEnd < 0) {
             return new RequestTarget(request.headers().get(HttpHeaderNames.HOST, ""), uri);
         }
-        int from = scheme + SCHEME_END.length();
-        int path = uri.indexOf('/', from);
+        int authorityStart = schemeEnd + SCHEME_END.length();
+        int path = uri.indexOf('/', authorityStart);
         return path < 0
-                ? new RequestTarget(uri.substring(from), "/")
-                : new RequestTarget(uri.substring(from, path), uri.substring(path));
+                ? new RequestTarget(uri.substring(authorityStart), "/")
+                : new RequestTarget(uri.substring(authorityStart, path), uri.substring(path));
     }
 
     /** Returns the path without the query. */
--- a/http/src/main/java/org/dahliapass/http/ResponseAggregator.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseAggregator.java
@@ -11,39 +11,41 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Collects one answer within a time limit. */
+/** Collects one response into a {@link ClientResponse}, within a time timeLimit. */
 final class ResponseAggregator implements ResponseListener {
-    private static final int FIRST_BODY_BYTES = 1_024;
+    private static final int INITIAL_BODY_BYTES = 1_024;
 
     private final EventLoop mLoop;
-    private final Duration mLimit;
-    private final CompletableFuture<ClientResponse> mAnswer = new CompletableFuture<>();
-    private final ByteBuf mBody = Unpooled.buffer(FIRST_BODY_BYTES);
-    private ScheduledFuture<?> mTimeout;
+    private final Duration mTimeLimit;
+    private final CompletableFuture<ClientResponse> mResponse = new CompletableFuture<>();
+    private final ByteBuf mBody = Unpooled.buffer(INITIAL_BODY_BYTES);
+    private ScheduledFuture<?> mTimeoutTask;
     private int mStatus;
 
-    ResponseAggregator(EventLoop loop, Duration limit) {
+    ResponseAggregator(EventLoop loop, Duration timeLimit) {
         mLoop = loop;
-        mLimit = limit;
+        mTimeLimit = timeLimit;
     }
 
     CompletableFuture<ClientResponse> response() {
-        return mAnswer;
+        return mResponse;
     }
 
     void startTimeout(ClientCall call) {
-        if (mAnswer.isDone()) {
+        if (mResponse.isDone()) {
             return;
         }
-        mTimeout =
+        mTimeoutTask =
                 mLoop.schedule(
                         () -> {
                             call.abort();
-                            mAnswer.completeExceptionally(
+                            mResponse.completeExceptionally(
                                     new TimeoutException(
-                                            "No answer within " + mLimit.toMillis() + " ms."));
+                                            "No response within "
+                                                    + mTimeLimit.toMillis()
+                                                    + " ms."));
                         },
-                        mLimit.toMillis(),
+                        mTimeLimit.toMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
@@ -53,25 +55,25 @@
     }
 
     @Override
-    public void onData(ByteBuf piece) {
-        mBody.writeBytes(piece);
+    public void onData(ByteBuf chunk) {
+        mBody.writeBytes(chunk);
     }
 
     @Override
     public void onEnd(HttpHeaders trailers) {
         cancelTimeout();
-        mAnswer.complete(new ClientResponse(mStatus, mBody));
+        mResponse.complete(new ClientResponse(mStatus, mBody));
     }
 
     @Override
     public void onFailure(Throwable failure) {
         cancelTimeout();
-        mAnswer.completeExceptionally(failure);
+        mResponse.completeExceptionally(failure);
     }
 
     private void cancelTimeout() {
-        if (mTimeout != null) {
-            mTimeout.cancel(false);
+        if (mTimeoutTask != null) {
+            mTimeoutTask.cancel(false);
         }
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ResponseListener.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseListener.java
@@ -4,21 +4,21 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Follows the answer to a request that was sent; runs on the client's event loop. */
+/** A listener for the response to one request; called on the client's event loop. */
 public interface ResponseListener {
-    /** The head has come; informational ones before it are left out. */
+    /** Called with the response head; informational (1xx) responses are skipped. */
     void onHead(HttpResponse head);
 
-    /** A piece of the body has come; the buffer is valid during the call only. */
-    void onData(ByteBuf piece);
+    /** Called with a part of the body; the buffer is valid only during the call. */
+    void onData(ByteBuf chunk);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void onEnd(HttpHeaders trailers);
 
     /**
-     * The answer ends early, or there is none.
+     * Called when the response ends early or never arrives.
      *
-     * @param failure a {@link NotSentException} if nothing of the request was sent
+     * @param failure a {@link NotSentException} if no byte of the request was sent
      */
     void onFailure(Throwable failure);
 }
--- a/http/src/main/java/org/dahliapass/http/ResponseWriter.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseWriter.java
@@ -20,81 +20,81 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Writes the answers of one connection, so that each says where it ends. */
+/** Writes the responses of one connection and sets the headers that frame each of them. */
 final class ResponseWriter {
     private final Channel mChannel;
     private final ServerCodec mCodec;
-    private HttpVersion mVersion = HttpVersion.HTTP_1_1;
+    private HttpVersion mRequestVersion = HttpVersion.HTTP_1_1;
     private long mBodyBytes;
-    private boolean mToHead;
+    private boolean mHeadRequest;
     private boolean mChunked;
-    private boolean mCloses;
+    private boolean mCloseAfterResponse;
 
     ResponseWriter(Channel channel, ServerCodec codec) {
         mChannel = channel;
         mCodec = codec;
     }
 
-    /** Takes the request that the next answer is for. */
+    /** Prepares for the response to the given request. */
     void onRequest(HttpRequest head) {
-        mVersion = head.protocolVersion();
-        mToHead = HttpMethod.HEAD.equals(head.method());
-        mCodec.setBodiless(mToHead);
+        mRequestVersion = head.protocolVersion();
+        mHeadRequest = HttpMethod.HEAD.equals(head.method());
+        mCodec.setBodiless(mHeadRequest);
         mBodyBytes = 0;
-        mCloses |= !HttpUtil.isKeepAlive(head);
+        mCloseAfterResponse |= !HttpUtil.isKeepAlive(head);
     }
 
-    /** Makes the next answer the connection's last one, and say so. */
+    /** Marks the next response as the connection's last, with {@code Connection: close}. */
     void closeAfterResponse() {
-        mCloses = true;
+        mCloseAfterResponse = true;
     }
 
-    /** Returns whether the connection is to be closed after the answer. */
-    boolean closes() {
-        return mCloses;
+    /** Returns whether the connection closes after the response. */
+    boolean closesAfterResponse() {
+        return mCloseAfterResponse;
     }
 
-    /** Returns the bytes of the answer's body so far. */
+    /** Returns the number of response body bytes written so far. */
     long bodyBytes() {
         return mBodyBytes;
     }
 
-    /** Lets a client go on that waits for leave to send its body. */
+    /** Sends {@code 100 Continue} to a client that waits for it before it sends its body. */
     void writeContinue() {
         send(
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
 
-    /** Writes a whole answer without a body, the last one. */
+    /** Writes a response without a body and marks the connection for closing. */
     ChannelFuture writeLast(HttpResponseStatus status) {
-        mCloses = true;
-        HttpResponse answer =
+        mCloseAfterResponse = true;
+        HttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-        frame(answer, 0);
-        return mChannel.writeAndFlush(answer);
+        setFraming(response, 0);
+        return mChannel.writeAndFlush(response);
     }
 
-    /** Writes a whole answer. */
-    ChannelFuture write(ServerResponse answer) {
-        HttpResponse whole =
+    /** Writes a complete response. */
+    ChannelFuture write(ServerResponse response) {
+        HttpResponse full =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        answer.status(),
-                        answer.body().duplicate(),
-                        answer.headers(),
-                        answer.trailers());
-        mBodyBytes = answer.body().readableBytes();
-        if (mToHead || !hasBody(answer.status())) {
-            setConnection(whole);
+                        response.status(),
+                        response.body().duplicate(),
+                        response.headers(),
+                        response.trailers());
+        mBodyBytes = response.body().readableBytes();
+        if (mHeadRequest || !hasBody(response.status())) {
+            setConnectionHeader(full);
         } else {
-            frame(whole, answer.trailers().isEmpty() ? mBodyBytes : -1);
+            setFraming(full, response.trailers().isEmpty() ? mBodyBytes : -1);
         }
-        return mChannel.writeAndFlush(whole);
+        return mChannel.writeAndFlush(full);
     }
 
     /**
-     * Writes the head of an answer whose body follows in pieces.
+     * Writes the head of a response whose body follows in parts.
      *
      * @param length the body's length in bytes; negative if unknown
      */
@@ -102,17 +102,17 @@
         HttpResponse head =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, status, new DefaultHttpHeaders().set(headers));
-        frame(head, length);
+        setFraming(head, length);
         ChannelFuture unused = mChannel.write(head, mChannel.voidPromise());
     }
 
-    /** Writes a piece of the body; takes over the buffer. */
-    void writeChunk(ByteBuf piece) {
-        mBodyBytes += piece.readableBytes();
-        send(new DefaultHttpContent(piece));
+    /** Writes a part of the body and takes ownership of the buffer. */
+    void writeChunk(ByteBuf chunk) {
+        mBodyBytes += chunk.readableBytes();
+        send(new DefaultHttpContent(chunk));
     }
 
-    /** Ends an answer in pieces. */
+    /** Ends a response whose body was written in parts. */
     ChannelFuture writeEnd(HttpHeaders trailers) {
         LastHttpContent end =
                 trailers.isEmpty() || !mChunked
@@ -122,7 +122,7 @@
         return mChannel.writeAndFlush(end);
     }
 
-    /** Sends what nobody waits for; if it can't be written, the connection closes. */
+    /** Writes a message without a listener; a write failure closes the connection. */
     private void send(Object message) {
         ChannelFuture unused = mChannel.writeAndFlush(message, mChannel.voidPromise());
     }
@@ -133,26 +133,26 @@
                 && code != HttpResponseStatus.NOT_MODIFIED.code();
     }
 
-    /** Says where a body ends: by its length, in chunks, or for old clients by the close. */
-    private void frame(HttpResponse answer, long length) {
-        mChunked = length < 0 && mVersion.equals(HttpVersion.HTTP_1_1);
+    /** Frames the body by its length, by chunks, or for HTTP/1.0 by closing the connection. */
+    private void setFraming(HttpResponse response, long length) {
+        mChunked = length < 0 && mRequestVersion.equals(HttpVersion.HTTP_1_1);
         if (length >= 0) {
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else if (mChunked) {
-            answer.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
-            answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            response.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
+            response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
-            answer.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
-            mCloses = true;
+            response.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
+            mCloseAfterResponse = true;
         }
-        setConnection(answer);
+        setConnectionHeader(response);
     }
 
-    private void setConnection(HttpResponse answer) {
-        if (mCloses) {
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        } else if (mVersion.equals(HttpVersion.HTTP_1_0)) {
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
+    private void setConnectionHeader(HttpResponse response) {
+        if (mCloseAfterResponse) {
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        } else if (mRequestVersion.equals(HttpVersion.HTTP_1_0)) {
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ServerCall.java
+++ b/http/src/main/java/org/dahliapass/http/ServerCall.java
@@ -11,34 +11,35 @@
 import java.util.function.Consumer;
 
 /**
- * One request of a client and its answer, which is given once.
+ * One request received by an {@link HttpServer}, and its response, which is sent once.
  *
- * <p>Used on the connection's event loop only.
+ * <p>Not thread-safe; used only on the connection's event loop.
  */
 public final class ServerCall {
-    private static final int FIRST_BODY_BYTES = 1_024;
+    private static final int INITIAL_BODY_BYTES = 1_024;
 
-    /** Bodies longer than this grow as they come: a length alone must not take memory. */
-    private static final int MOST_TRUSTED_BYTES = 256 * 1024;
+    /** A Content-Length alone must not allocate more memory than this. */
+    private static final int MAX_PREALLOCATED_BYTES = 256 * 1024;
 
     private final ServerConnection mConnection;
     private final HttpRequest mHead;
-    private final List<Runnable> mGoneListeners = new ArrayList<>(1);
+    private final List<Runnable> mDisconnectListeners = new ArrayList<>(1);
     private Consumer<ByteBuf> mBodyListener;
-    private Runnable mTooLarge;
-    private Consumer<Delivery> mDelivered = delivery -> {};
-    private long mMostBytes;
+    private Runnable mOnTooLarge;
+    private Consumer<Delivery> mDeliveryListener = delivery -> {};
+    private long mMaxBodyBytes;
     private ByteBuf mBody;
-    private boolean mWholeBody;
-    private boolean mAnswered;
-    private boolean mGone;
+    private boolean mBodyComplete;
+    private boolean mResponseStarted;
+    private boolean mDisconnected;
 
     /**
-     * What was written of an answer.
+     * The extent to which a response was written.
      *
-     * @param whole whether its last byte was written
-     * @param bytes the bytes of both bodies
-     * @param millis from its first byte to its last one written, in milliseconds; 0 if it was cut
+     * @param whole whether the last byte was written
+     * @param bytes the number of response body bytes written
+     * @param millis the time from the first to the last written byte, in milliseconds; 0 if the
+     *     response was aborted
      */
     public record Delivery(boolean whole, long bytes, long millis) {}
 
@@ -47,7 +48,7 @@
         mHead = head;
     }
 
-    /** Returns the request's line and headers. */
+    /** Returns the request line and headers. */
     public HttpRequest head() {
         return mHead;
     }
@@ -60,130 +61,133 @@
     /**
      * Collects the request's body.
      *
-     * @param mostBytes the longest body that is taken
-     * @param whole gets the body once it is whole, on the heap
-     * @param tooLarge run instead once the body is known to be longer; the rest is dropped
+     * @param maxBytes the maximum body length, in bytes
+     * @param onComplete receives the complete body, in a heap buffer
+     * @param onTooLarge called instead once the body exceeds the maximum; the rest is discarded
      */
-    public void readBody(long mostBytes, Consumer<ByteBuf> whole, Runnable tooLarge) {
-        mMostBytes = mostBytes;
-        mBodyListener = whole;
-        mTooLarge = tooLarge;
-        long told = mConnection.contentLength(mHead);
-        if (told > mostBytes) {
-            dropBody();
-            tooLarge.run();
+    public void readBody(long maxBytes, Consumer<ByteBuf> onComplete, Runnable onTooLarge) {
+        mMaxBodyBytes = maxBytes;
+        mBodyListener = onComplete;
+        mOnTooLarge = onTooLarge;
+        long contentLength = mConnection.contentLength(mHead);
+        if (contentLength > maxBytes) {
+            discardBody();
+            onTooLarge.run();
             return;
         }
-        mBody = Unpooled.buffer(firstBytes(told));
+        mBody = Unpooled.buffer(initialCapacity(contentLength));
         mConnection.sendContinueIfExpected();
     }
 
-    private static int firstBytes(long told) {
-        return told < 0 ? FIRST_BODY_BYTES : (int) Math.min(told, MOST_TRUSTED_BYTES);
+    private static int initialCapacity(long contentLength) {
+        return contentLength < 0
+                ? INITIAL_BODY_BYTES
+                : (int) Math.min(contentLength, MAX_PREALLOCATED_BYTES);
     }
 
     /**
-     * Runs an action if the client leaves before its answer was written in full; at once if it has
-     * left already.
+     * Adds a listener that is called if the client disconnects before the response is fully
+     * written; called immediately if it has already disconnected.
      */
     public void onDisconnect(Runnable listener) {
-        if (mGone) {
+        if (mDisconnected) {
             listener.run();
             return;
         }
-        mGoneListeners.add(listener);
+        mDisconnectListeners.add(listener);
     }
 
-    /** Tells how much of the answer was written, once no more is. */
+    /** Sets the listener that is called once no more of the response will be written. */
     public void onDelivered(Consumer<Delivery> listener) {
-        mDelivered = listener;
+        mDeliveryListener = listener;
     }
 
-    /** Has the connection closed after this answer. */
+    /** Closes the connection after this response. */
     public void closeAfterResponse() {
         mConnection.closeAfterResponse();
     }
 
-    /** Gives a whole answer. */
-    public void respond(ServerResponse answer) {
-        if (startResponse()) {
-            mConnection.write(answer);
+    /** Sends a complete response. */
+    public void respond(ServerResponse response) {
+        if (markResponseStarted()) {
+            mConnection.write(response);
         }
     }
 
     /**
-     * Begins an answer that follows piece by piece.
+     * Starts a response whose body follows in parts.
      *
      * @param length the body's length in bytes; negative if unknown
      */
     public void startResponse(HttpResponseStatus status, HttpHeaders headers, long length) {
-        if (startResponse()) {
+        if (markResponseStarted()) {
             mConnection.writeHead(status, headers, length);
         }
     }
 
-    /** Writes a piece of the body; takes over the buffer. */
-    public void write(ByteBuf piece) {
-        mConnection.writeChunk(piece);
+    /** Writes a part of the body and takes ownership of the buffer. */
+    public void write(ByteBuf chunk) {
+        mConnection.writeChunk(chunk);
     }
 
-    /** Ends an answer that was begun. */
+    /** Ends a response that was started. */
     public void endResponse(HttpHeaders trailers) {
         mConnection.writeEnd(trailers);
     }
 
-    /** Breaks an answer off that was begun: the connection closes, so that it looks incomplete. */
+    /** Aborts a response that was started by closing the connection, so that it is incomplete. */
     public void abort() {
         mConnection.close();
     }
 
-    /** Returns whether the client takes more now; else it has to be waited for. */
+    /** Returns whether more can be written now without exceeding the write buffer's limit. */
     public boolean isWritable() {
         return mConnection.isWritable();
     }
 
-    /** Runs an action whenever the client takes more again. */
+    /** Sets the listener that is called whenever the connection becomes writable again. */
     public void onWritable(Runnable listener) {
         mConnection.onWritable(listener);
     }
 
-    private boolean startResponse() {
-        if (mAnswered) {
-            throw new IllegalStateException("This request has its answer already.");
+    /** Returns whether the connection is still open. */
+    private boolean markResponseStarted() {
+        if (mResponseStarted) {
+            throw new IllegalStateException("The request already has a response; respond once.");
         }
-        mAnswered = true;
+        mResponseStarted = true;
         mBodyListener = null;
         mBody = null;
         return mConnection.isOpen();
     }
 
     boolean isResponseStarted() {
-        return mAnswered;
+        return mResponseStarted;
     }
 
     boolean isBodyComplete() {
-        return mWholeBody;
+        return mBodyComplete;
     }
 
-    void onContent(ByteBuf piece) {
+    void onContent(ByteBuf chunk) {
         if (mBody == null) {
             return;
         }
-        if (mBody.readableBytes() + piece.readableBytes() > mMostBytes) {
-            dropBody();
-            mTooLarge.run();
+        if (mBody.readableBytes() + chunk.readableBytes() > mMaxBodyBytes) {
+            discardBody();
+            mOnTooLarge.run();
             return;
         }
-        mBody.writeBytes(piece);
+        mBody.writeBytes(chunk);
     }
 
-    private void dropBody() {
+    private void discardBody() {
         mBody = null;
         mBodyListener = null;
     }
 
     void onBodyEnd() {
-        mWholeBody = true;
+        mBodyComplete = true;
         Consumer<ByteBuf> listener = mBodyListener;
         mBodyListener = null;
         if (listener != null) {
@@ -194,14 +198,14 @@
     }
 
     void onClientDisconnected() {
-        mGone = true;
+        mDisconnected = true;
         mBodyListener = null;
-        mGoneListeners.forEach(Runnable::run);
+        mDisconnectListeners.forEach(Runnable::run);
     }
 
     void notifyDelivered(Delivery delivery) {
-        Consumer<Delivery> listener = mDelivered;
-        mDelivered = told -> {};
+        Consumer<Delivery> listener = mDeliveryListener;
+        mDeliveryListener = ignored -> {};
         listener.accept(delivery);
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ServerCodec.java
+++ b/http/src/main/java/org/dahliapass/http/ServerCodec.java
@@ -20,18 +20,18 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Decodes requests and encodes answers of one connection, strictly. */
+/** A codec that strictly decodes requests and encodes responses of one connection. */
 final class ServerCodec
         extends CombinedChannelDuplexHandler<HttpRequestDecoder, HttpResponseEncoder> {
-    /** Well over what operators allow, so that a head they refuse is answered and not cut. */
-    private static final int MOST_HEAD_BYTES = 64 * 1024;
+    /** Well above configurable limits, so that an oversized head still gets a response. */
+    private static final int MAX_HEAD_BYTES = 64 * 1024;
 
     private final Encoder mEncoder;
 
     /**
      * Creates a codec.
      *
-     * @param onBytes run when any bytes arrive, before they are decoded
+     * @param onBytes called when bytes arrive, before they are decoded
      */
     ServerCodec(Runnable onBytes) {
         this(new Decoder(onBytes), new Encoder());
@@ -42,20 +42,20 @@
         mEncoder = encoder;
     }
 
-    /** Sets whether the next answer is to a HEAD request, and so has no body. */
+    /** Sets whether the next response has no body because it answers a HEAD request. */
     void setBodiless(boolean bodiless) {
         mEncoder.mBodiless = bodiless;
     }
 
     private static final class Decoder extends HttpRequestDecoder {
         private final Runnable mOnBytes;
-        private final FramingValidator mLines = new FramingValidator();
+        private final FramingValidator mFraming = new FramingValidator();
 
         private Decoder(Runnable onBytes) {
             super(
                     new HttpDecoderConfig()
-                            .setMaxInitialLineLength(MOST_HEAD_BYTES)
-                            .setMaxHeaderSize(MOST_HEAD_BYTES));
+                            .setMaxInitialLineLength(MAX_HEAD_BYTES)
+                            .setMaxHeaderSize(MAX_HEAD_BYTES));
             mOnBytes = onBytes;
         }
 
@@ -71,55 +71,60 @@
             int from = bytes.readerIndex();
             int before = parts.size();
             super.decode(context, bytes, parts);
-            mLines.onBytes(bytes, from, bytes.readerIndex());
-            if (mLines.isMalformed()) {
-                dropMalformed(parts.subList(before, parts.size()));
-                parts.add(malformed());
+            mFraming.onBytes(bytes, from, bytes.readerIndex());
+            if (mFraming.isMalformed()) {
+                dropRequestBoundaries(parts.subList(before, parts.size()));
+                parts.add(malformedEnd());
                 return;
             }
-            parts.subList(before, parts.size()).forEach(this::onPart);
+            parts.subList(before, parts.size()).forEach(this::updateFraming);
         }
 
-        /** Drops what would run a request, and a chunk whose size can't be told. */
-        private void dropMalformed(List<Object> parts) {
-            boolean keepsChunk = mLines.isMalformedAfterChunk();
-            Iterator<Object> each = parts.iterator();
-            while (each.hasNext()) {
-                Object part = each.next();
-                boolean runs = part instanceof HttpRequest || part instanceof LastHttpContent;
-                if (runs || !keepsChunk) {
-                    each.remove();
+        /** Drops the parts that start or end a request, and chunks of unknown size. */
+        private void dropRequestBoundaries(List<Object> parts) {
+            boolean keepChunk = mFraming.isMalformedAfterChunk();
+            Iterator<Object> iterator = parts.iterator();
+            while (iterator.hasNext()) {
+                Object part = iterator.next();
+                boolean isBoundary = part instanceof HttpRequest || part instanceof LastHttpContent;
+                if (isBoundary || !keepChunk) {
+                    iterator.remove();
                     ReferenceCountUtil.release(part);
                 }
             }
         }
 
-        /** Returns what ends a request whose framing can't be told; nothing behind it is read. */
-        private static HttpObject malformed() {
+        /** Returns the part that ends a malformed request; no later byte is processed. */
+        private static HttpObject malformedEnd() {
             HttpObject end = new DefaultLastHttpContent();
             end.setDecoderResult(
                     DecoderResult.failure(
-                            new IllegalArgumentException("A line that frames is malformed.")));
+                            new IllegalArgumentException(
+                                    "Malformed request line, header or chunk size.")));
             return end;
         }
 
-        private void onPart(Object part) {
+        private void updateFraming(Object part) {
             if (part instanceof HttpRequest head && HttpUtil.isTransferEncodingChunked(head)) {
-                mLines.onChunkedHead();
+                mFraming.onChunkedHead();
             }
             if (part instanceof LastHttpContent) {
-                mLines.onRequestEnd();
+                mFraming.onRequestEnd();
             }
         }
 
         /**
-         * Guards against request smuggling: a length beside chunks is read one way here and may be
-         * read the other way behind, so that a part of the body runs as a request of its own.
+         * Rejects a request with both Content-Length and chunked coding.
+         *
+         * <p>Prevents request smuggling: implementations disagree on which one applies, so part of
+         * the body could be processed as another request.
          */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
             throw new IllegalArgumentException(
-                    "Both " + HttpHeaderNames.CONTENT_LENGTH + " and chunks frame the body.");
+                    "The request has both "
+                            + HttpHeaderNames.CONTENT_LENGTH
+                            + " and chunked coding; one of them is expected.");
         }
     }
 
@@ -127,9 +132,9 @@
         private boolean mBodiless;
 
         @Override
-        protected boolean isContentAlwaysEmpty(HttpResponse answer) {
-            boolean informational = answer.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            return super.isContentAlwaysEmpty(answer) || (mBodiless && !informational);
+        protected boolean isContentAlwaysEmpty(HttpResponse response) {
+            boolean informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            return super.isContentAlwaysEmpty(response) || (mBodiless && !informational);
         }
     }
 }
--- a/http/src/main/java/org/dahliapass/http/ServerConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ServerConnection.java
@@ -22,69 +22,67 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/**
- * One client's connection: its requests one after another, each answered before the next is taken.
- */
+/** A client's connection, whose requests are handled one at a time, in order. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** Pieces of pipelined requests that are held before no more is read from the client. */
-    private static final int MOST_HELD = 64;
+    /** Reading pauses once this many parts of pipelined requests are queued. */
+    private static final int MAX_PIPELINED_PARTS = 64;
 
     private final RequestHandler mHandler;
     private final Clock mClock;
     private final ServerCodec mCodec = new ServerCodec(this::onBytes);
-    private final Deque<HttpObject> mHeld = new ArrayDeque<>();
+    private final Deque<HttpObject> mPipelined = new ArrayDeque<>();
     private Channel mChannel;
     private ResponseWriter mWriter;
     private ServerCall mCall;
     private Phase mPhase = Phase.IDLE;
-    private Runnable mWritable = () -> {};
-    private long mPhaseMillis;
-    private long mBegunMillis;
-    private boolean mAsksToContinue;
+    private Runnable mWritableListener = () -> {};
+    private long mPhaseStartMillis;
+    private long mResponseStartMillis;
+    private boolean mExpectsContinue;
     private boolean mWriting;
-    private boolean mDrops;
+    private boolean mDiscardsInput;
 
-    /** What the connection waits for, and so how long it may take. */
+    /** What the connection waits for, with the timeout that applies. */
     private enum Phase {
-        /** A next request. */
+        /** The next request. */
         IDLE {
             @Override
-            long mostMillis(ServerTimeouts limits) {
-                return limits.idle().toMillis();
+            long maxMillis(ServerTimeouts timeouts) {
+                return timeouts.idle().toMillis();
             }
         },
         /** The rest of a request's head. */
         HEAD {
             @Override
-            long mostMillis(ServerTimeouts limits) {
-                return limits.head().toMillis();
+            long maxMillis(ServerTimeouts timeouts) {
+                return timeouts.head().toMillis();
             }
         },
         /** More of a request's body. */
         BODY {
             @Override
-            long mostMillis(ServerTimeouts limits) {
-                return limits.body().toMillis();
+            long maxMillis(ServerTimeouts timeouts) {
+                return timeouts.body().toMillis();
             }
         },
-        /** The answer, whose time is bounded elsewhere. */
-        ANSWER {
+        /** The response, whose time is limited by the handler. */
+        RESPONSE {
             @Override
-            long mostMillis(ServerTimeouts limits) {
+            long maxMillis(ServerTimeouts timeouts) {
                 return Long.MAX_VALUE;
             }
         };
 
-        abstract long mostMillis(ServerTimeouts limits);
+        abstract long maxMillis(ServerTimeouts timeouts);
     }
 
     ServerConnection(RequestHandler handler, Clock clock) {
         mHandler = handler;
         mClock = clock;
-        mPhaseMillis = clock.millis();
+        mPhaseStartMillis = clock.millis();
     }
 
-    /** Returns the codec that stands before this handler. */
+    /** Returns the codec, placed before this handler. */
     ServerCodec codec() {
         return mCodec;
     }
@@ -102,7 +100,7 @@
     }
 
     void onWritable(Runnable listener) {
-        mWritable = listener;
+        mWritableListener = listener;
     }
 
     void closeAfterResponse() {
@@ -117,43 +115,43 @@
 
     private void onBytes() {
         if (mPhase == Phase.IDLE) {
-            enter(Phase.HEAD);
+            enterPhase(Phase.HEAD);
         } else if (mPhase == Phase.BODY) {
-            mPhaseMillis = mClock.millis();
+            mPhaseStartMillis = mClock.millis();
         }
     }
 
-    private void enter(Phase phase) {
+    private void enterPhase(Phase phase) {
         mPhase = phase;
-        mPhaseMillis = mClock.millis();
+        mPhaseStartMillis = mClock.millis();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject part = (HttpObject) message;
-        if (mDrops) {
+        if (mDiscardsInput) {
             ReferenceCountUtil.release(part);
             return;
         }
-        boolean ofNextRequest = mCall != null && mCall.isBodyComplete();
-        if (!ofNextRequest) {
-            take(part);
+        boolean belongsToNextRequest = mCall != null && mCall.isBodyComplete();
+        if (!belongsToNextRequest) {
+            process(part);
             return;
         }
-        mHeld.add(part);
-        if (mHeld.size() >= MOST_HELD) {
+        mPipelined.add(part);
+        if (mPipelined.size() >= MAX_PIPELINED_PARTS) {
             mChannel.config().setAutoRead(false);
         }
     }
 
-    private void take(HttpObject part) {
+    private void process(HttpObject part) {
         try {
             if (part.decoderResult().isFailure()) {
-                refuseMalformed(part.decoderResult().cause());
+                rejectMalformed(part.decoderResult().cause());
                 return;
             }
             if (part instanceof HttpRequest head) {
-                begin(head);
+                startCall(head);
             }
             if (part instanceof HttpContent content) {
                 onContent(content);
@@ -163,16 +161,16 @@
         }
     }
 
-    private void begin(HttpRequest head) {
+    private void startCall(HttpRequest head) {
         mWriter.onRequest(head);
-        Optional<HttpResponseStatus> refusal = RequestRule.firstRejection(head);
-        if (refusal.isPresent()) {
-            refuse(refusal.get());
+        Optional<HttpResponseStatus> rejection = RequestRule.firstRejection(head);
+        if (rejection.isPresent()) {
+            reject(rejection.get());
             return;
         }
-        mAsksToContinue = HttpUtil.is100ContinueExpected(head);
+        mExpectsContinue = HttpUtil.is100ContinueExpected(head);
         mCall = new ServerCall(this, head);
-        enter(Phase.BODY);
+        enterPhase(Phase.BODY);
         mHandler.onRequest(mCall);
     }
 
@@ -184,30 +182,30 @@
         if (!(content instanceof LastHttpContent)) {
             return;
         }
-        enter(Phase.ANSWER);
+        enterPhase(Phase.RESPONSE);
         ServerCall call = mCall;
         call.onBodyEnd();
         if (mCall == call && call.isResponseStarted() && !mWriting) {
-            endCall();
+            finishCall();
         }
     }
 
-    /** Returns the length that a request tells for its body; -1 if it tells none. */
+    /** Returns the Content-Length of a request; -1 if there is none. */
     long contentLength(HttpRequest head) {
         return HttpUtil.getContentLength(head, -1L);
     }
 
-    /** Lets a client go on that waits for leave to send its body. */
+    /** Sends {@code 100 Continue} if the client waits for it before it sends its body. */
     void sendContinueIfExpected() {
-        if (mAsksToContinue) {
-            mAsksToContinue = false;
+        if (mExpectsContinue) {
+            mExpectsContinue = false;
             mWriter.writeContinue();
         }
     }
 
-    /** Guards against bytes that can't be told from a next request: nothing after them is read. */
-    private void refuseMalformed(Throwable cause) {
-        mDrops = true;
+    /** Rejects a malformed request and discards all later bytes, whose framing is unknown. */
+    private void rejectMalformed(Throwable cause) {
+        mDiscardsInput = true;
         if (mCall != null && mCall.isResponseStarted()) {
             close();
             return;
@@ -218,46 +216,46 @@
         } else if (cause instanceof TooLongHttpHeaderException) {
             status = HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
-        refuse(status);
+        reject(status);
     }
 
-    /** Answers in place of the handler, and closes. */
-    private void refuse(HttpResponseStatus status) {
+    /** Sends a response instead of the handler's and closes the connection. */
+    private void reject(HttpResponseStatus status) {
         ServerCall call = mCall;
         mCall = null;
-        mDrops = true;
+        mDiscardsInput = true;
         if (call != null) {
-            tellDelivered(call, false);
+            notifyDelivered(call, false);
             call.onClientDisconnected();
         }
         mWriter.writeLast(status).addListener(ChannelFutureListener.CLOSE);
     }
 
-    void write(ServerResponse answer) {
-        beginWriting();
-        mWriter.write(answer).addListener((ChannelFuture done) -> onWritten(done.isSuccess()));
+    void write(ServerResponse response) {
+        startWriting();
+        mWriter.write(response).addListener((ChannelFuture done) -> onWritten(done.isSuccess()));
     }
 
     void writeHead(HttpResponseStatus status, HttpHeaders headers, long length) {
-        beginWriting();
+        startWriting();
         mWriter.writeHead(status, headers, length);
     }
 
-    void writeChunk(ByteBuf piece) {
-        mWriter.writeChunk(piece);
+    void writeChunk(ByteBuf chunk) {
+        mWriter.writeChunk(chunk);
     }
 
     void writeEnd(HttpHeaders trailers) {
         mWriter.writeEnd(trailers).addListener((ChannelFuture done) -> onWritten(done.isSuccess()));
     }
 
-    private void beginWriting() {
-        if (mAsksToContinue) {
-            // Whether its body comes now is the client's choice, so what follows can't be told.
+    private void startWriting() {
+        if (mExpectsContinue) {
+            // The client may or may not send its body now, so the next request can't be framed.
             mWriter.closeAfterResponse();
         }
         mWriting = true;
-        mBegunMillis = mClock.millis();
+        mResponseStartMillis = mClock.millis();
     }
 
     private void onWritten(boolean whole) {
@@ -266,89 +264,91 @@
         }
         mCall.notifyDelivered(
                 new ServerCall.Delivery(
-                        whole, mWriter.bodyBytes(), mClock.millis() - mBegunMillis));
+                        whole, mWriter.bodyBytes(), mClock.millis() - mResponseStartMillis));
         mWriting = false;
         if (!whole) {
             close();
         } else if (mCall.isBodyComplete()) {
-            endCall();
-        } else if (mAsksToContinue) {
-            // The body was never asked for and won't come.
-            mDrops = true;
+            finishCall();
+        } else if (mExpectsContinue) {
+            // No 100 Continue was sent, so the body isn't expected.
+            mDiscardsInput = true;
             close();
         }
     }
 
-    /** The answer is written and the request read to its end: goes on with the next one. */
-    private void endCall() {
+    /** Continues with the next request once the request is read and its response written. */
+    private void finishCall() {
         mCall = null;
-        if (mWriter.closes()) {
-            mDrops = true;
+        if (mWriter.closesAfterResponse()) {
+            mDiscardsInput = true;
             close();
             return;
         }
-        mWritable = () -> {};
-        enter(Phase.IDLE);
-        while (!mHeld.isEmpty() && (mCall == null || !mCall.isBodyComplete()) && !mDrops) {
-            take(mHeld.poll());
+        mWritableListener = () -> {};
+        enterPhase(Phase.IDLE);
+        while (!mPipelined.isEmpty()
+                && (mCall == null || !mCall.isBodyComplete())
+                && !mDiscardsInput) {
+            process(mPipelined.poll());
         }
-        if (mHeld.size() < MOST_HELD) {
+        if (mPipelined.size() < MAX_PIPELINED_PARTS) {
             mChannel.config().setAutoRead(true);
         }
     }
 
-    /** Closes a connection whose client takes longer than allowed. */
-    void closeIfTimedOut(ServerTimeouts limits) {
-        if (mClock.millis() - mPhaseMillis <= mPhase.mostMillis(limits)) {
+    /** Closes the connection if the client exceeds the timeout of the current phase. */
+    void closeIfTimedOut(ServerTimeouts timeouts) {
+        if (mClock.millis() - mPhaseStartMillis <= mPhase.maxMillis(timeouts)) {
             return;
         }
-        boolean midway = mPhase == Phase.HEAD || (mCall != null && !mCall.isResponseStarted());
-        if (midway) {
-            // True: a request is handed on only once it is whole.
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+        boolean incomplete = mPhase == Phase.HEAD || (mCall != null && !mCall.isResponseStarted());
+        if (incomplete) {
+            // 408 is safe: the request is incomplete, so it has not been processed.
+            reject(HttpResponseStatus.REQUEST_TIMEOUT);
         } else {
             close();
         }
     }
 
     /**
-     * Closes the connection.
+     * Closes the connection, with a reset if a response is being written.
      *
-     * <p>Guards against an answer without a length, as old clients get it, that is broken off: it
-     * ends with its connection, so after an ordinary close it looks whole.
+     * <p>An HTTP/1.0 response without a length ends with its connection, so after a graceful close
+     * a truncated one would look complete.
      */
     void close() {
-        CloseMode end = mWriting ? CloseMode.ABORTIVE : CloseMode.GRACEFUL;
-        end.close(mChannel);
+        CloseMode mode = mWriting ? CloseMode.ABORTIVE : CloseMode.GRACEFUL;
+        mode.close(mChannel);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (context.channel().isWritable()) {
-            mWritable.run();
+            mWritableListener.run();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        mHeld.forEach(ReferenceCountUtil::release);
-        mHeld.clear();
-        mDrops = true;
+        mPipelined.forEach(ReferenceCountUtil::release);
+        mPipelined.clear();
+        mDiscardsInput = true;
         ServerCall call = mCall;
         mCall = null;
         if (call == null) {
             return;
         }
-        tellDelivered(call, false);
+        notifyDelivered(call, false);
         call.onClientDisconnected();
     }
 
-    private void tellDelivered(ServerCall call, boolean whole) {
-        long millis = whole ? mClock.millis() - mBegunMillis : 0;
+    private void notifyDelivered(ServerCall call, boolean whole) {
+        long millis = whole ? mClock.millis() - mResponseStartMillis : 0;
         call.notifyDelivered(new ServerCall.Delivery(whole, mWriter.bodyBytes(), millis));
     }
 
-    /** A reset by the client, mostly; what it leaves undone is ended by the close. */
+    /** Closes the connection, usually after a reset by the client. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
         close();
--- a/http/src/main/java/org/dahliapass/http/ServerResponse.java
+++ b/http/src/main/java/org/dahliapass/http/ServerResponse.java
@@ -10,30 +10,30 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole answer to a request.
+ * A complete response to a request.
  *
- * @param status its status
- * @param headers its headers, without framing: the connection adds the length
- * @param body its body, on the heap, so that it needs no release
- * @param trailers the headers after a body in chunks, mostly none
+ * @param status the response status
+ * @param headers the headers, without framing headers, which the connection adds
+ * @param body the body, in a heap buffer that needs no release
+ * @param trailers the trailer fields of a chunked body; usually empty
  */
 public record ServerResponse(
         HttpResponseStatus status, HttpHeaders headers, ByteBuf body, HttpHeaders trailers) {
     private static final String JSON = "application/json";
     private static final String TEXT = "text/plain; charset=utf-8";
 
-    /** Returns an answer without a body. */
+    /** Returns a response without a body. */
     public static ServerResponse of(HttpResponseStatus status) {
         return new ServerResponse(
                 status, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER, EmptyHttpHeaders.INSTANCE);
     }
 
-    /** Returns an answer with a JSON document. */
+    /** Returns a response with a JSON body. */
     public static ServerResponse json(HttpResponseStatus status, String document) {
         return of(status, JSON, document.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns an answer with a text. */
+    /** Returns a response with a plain-text body, encoded as UTF-8. */
     public static ServerResponse text(HttpResponseStatus status, byte[] text) {
         return of(status, TEXT, text);
     }
--- a/http/src/main/java/org/dahliapass/http/ServerTimeouts.java
+++ b/http/src/main/java/org/dahliapass/http/ServerTimeouts.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * How long a client may take.
+ * The timeouts of a client's connection.
  *
- * @param head from the first byte of a request's head to its end
- * @param body without a further byte of a request's body
- * @param idle without any request on an open connection
+ * @param head the time limit from the first to the last byte of a request head
+ * @param body the time limit between two reads of a request body
+ * @param idle how long an open connection may have no request
  */
 public record ServerTimeouts(Duration head, Duration body, Duration idle) {}
--- a/http/src/main/java/org/dahliapass/http/package-info.java
+++ b/http/src/main/java/org/dahliapass/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * HTTP/1.1 on one event loop, over Netty's codecs: servers, clients, and no policy.
+ * An HTTP/1.1 server and client on a single event loop, based on Netty's codecs.
  *
- * <p>Everything of a connection runs on its event loop. What a request means, where it goes and
- * when it is refused is decided by those who use this package.
+ * <p>All code of a connection runs on its event loop. Routing, authorization and other policies are
+ * left to the users of this package.
  */
 package org.dahliapass.http;
--- a/http/src/test/java/org/dahliapass/http/AbortedRequestTest.java
+++ b/http/src/test/java/org/dahliapass/http/AbortedRequestTest.java
@@ -27,13 +27,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests of how a connection ends whose request was given up, at a server that reads only then.
+ * Tests that aborting a request resets its connection, at a server that reads only afterwards.
  *
- * <p>A reset drops what the kernel still holds; how much a server on the same machine gets before
- * it, is a race, so only the reset itself is looked for.
+ * <p>How many bytes the server receives before the reset depends on timing, so only the reset is
+ * asserted.
  */
 public final class AbortedRequestTest {
-    /** Much more than the server takes without reading, and what a client's kernel holds. */
+    /** More than the kernel buffers of both sides hold. */
     private static final int BODY_BYTES = 200_000;
 
     private static final int SERVER_BUFFER_BYTES = 4_096;
@@ -64,29 +64,28 @@
     }
 
     /**
-     * A target ran a request 10.7 s after its caller's time was over. The link to the target was
-     * cut for a while; the offer was given up and its connection closed in the ordinary way, so the
-     * kernel kept what was written and delivered it once the link was back.
+     * After a graceful close, the kernel delivers the aborted request once a broken network link
+     * recovers, long after the caller's deadline.
      */
     @Test
-    public void requestThatWasGivenUpDoesNotReachTheServerLater() throws IOException {
+    public void abortedRequestIsNotDeliveredLater() throws IOException {
         CompletableFuture<ClientCall> sent = new CompletableFuture<>();
         mClient.loop().execute(() -> sent.complete(send()));
         try (Socket connection = mServer.accept()) {
             int first = connection.getInputStream().read();
-            assertTrue(first > 0, "The request is on its way.");
+            assertTrue(first > 0, "no byte of the request arrived");
             CompletableFuture.runAsync(() -> sent.join().abort(), mClient.loop()).join();
             assertThrows(IOException.class, () -> readToEnd(connection.getInputStream()));
         }
     }
 
-    /** The same when the client stops as a whole. */
+    /** Stopping the client must reset its connections, too. */
     @Test
-    public void requestOfAClientThatStopsDoesNotReachTheServerLater() throws IOException {
+    public void requestIsNotDeliveredAfterTheClientStops() throws IOException {
         mClient.loop().execute(this::send);
         try (Socket connection = mServer.accept()) {
             int first = connection.getInputStream().read();
-            assertTrue(first > 0, "The request is on its way.");
+            assertTrue(first > 0, "no byte of the request arrived");
             mClient.stop().join();
             assertThrows(IOException.class, () -> readToEnd(connection.getInputStream()));
         }
@@ -99,25 +98,25 @@
                 "/lock",
                 new DefaultHttpHeaders().set("host", "a"),
                 Unpooled.wrappedBuffer(new byte[BODY_BYTES]),
-                new Silent());
+                new NoOpListener());
     }
 
-    /** Reads up to the end of a connection. */
+    /** Reads until the end of the stream. */
     private static void readToEnd(InputStream input) throws IOException {
-        byte[] piece = new byte[SERVER_BUFFER_BYTES];
-        int read = input.read(piece);
+        byte[] buffer = new byte[SERVER_BUFFER_BYTES];
+        int read = input.read(buffer);
         while (read >= 0) {
-            read = input.read(piece);
+            read = input.read(buffer);
         }
     }
 
-    /** Takes no answer. */
-    private static final class Silent implements ResponseListener {
+    /** Ignores the response. */
+    private static final class NoOpListener implements ResponseListener {
         @Override
         public void onHead(HttpResponse head) {}
 
         @Override
-        public void onData(ByteBuf piece) {}
+        public void onData(ByteBuf buffer) {}
 
         @Override
         public void onEnd(HttpHeaders trailers) {}
--- a/http/src/test/java/org/dahliapass/http/AbortedResponseTest.java
+++ b/http/src/test/java/org/dahliapass/http/AbortedResponseTest.java
@@ -22,9 +22,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what a client sees of an answer that was begun and broken off. */
+/** Tests that a client can recognize an aborted response. */
 public final class AbortedResponseTest {
-    private static final ServerTimeouts LIMITS =
+    private static final ServerTimeouts TIMEOUTS =
             new ServerTimeouts(
                     Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
@@ -36,45 +36,44 @@
         mServer.stop().join();
     }
 
-    /** What breaks the answer off. */
-    private enum Break {
-        /** The target of the request broke off. */
-        CUT {
+    /** What aborts the response. */
+    private enum AbortCause {
+        /** The handler aborts the call. */
+        CALL_ABORTED {
             @Override
-            void end(ServerCall call, HttpServer server) {
+            void abort(ServerCall call, HttpServer server) {
                 call.abort();
             }
         },
-        /** The server stops as a whole. */
-        STOP {
+        /** The server stops. */
+        SERVER_STOPPED {
             @Override
-            void end(ServerCall call, HttpServer server) {
+            void abort(ServerCall call, HttpServer server) {
                 CompletableFuture<Void> unused = server.stop();
             }
         };
 
-        abstract void end(ServerCall call, HttpServer server);
+        abstract void abort(ServerCall call, HttpServer server);
     }
 
     @DataProvider
-    public Object[][] breaks() {
-        return new Object[][] {{Break.CUT}, {Break.STOP}};
+    public Object[][] abortCauses() {
+        return new Object[][] {{AbortCause.CALL_ABORTED}, {AbortCause.SERVER_STOPPED}};
     }
 
     /**
-     * An extract looks whole and lacks its end. An old client gets an answer of unknown length up
-     * to the close of its connection, and an answer that was broken off was closed in the ordinary
-     * way, too. A reset tells them apart.
+     * An HTTP/1.0 response of unknown length ends with its connection. After a graceful close, an
+     * aborted response looks complete.
      */
-    @Test(dataProvider = "breaks")
-    public void answerThatIsBrokenOffEndsWithAReset(Break how) throws IOException {
+    @Test(dataProvider = "abortCauses")
+    public void abortedResponseEndsWithAReset(AbortCause cause) throws IOException {
         Endpoint address = freeAddress();
         mServer =
                 new HttpServer(
                         mLoops,
-                        call -> beginAndBreak(call, how),
+                        call -> startAndAbort(call, cause),
                         new ManualClock(Instant.ofEpochSecond(1_000)),
-                        () -> LIMITS);
+                        () -> TIMEOUTS);
         mServer.listen(address).join();
         try (Socket client = new Socket(address.host(), address.port())) {
             byte[] request =
@@ -84,20 +83,20 @@
         }
     }
 
-    private void beginAndBreak(ServerCall call, Break how) {
+    private void startAndAbort(ServerCall call, AbortCause cause) {
         call.readBody(
                 0,
                 body -> {
                     call.startResponse(HttpResponseStatus.OK, EmptyHttpHeaders.INSTANCE, -1);
                     call.write(Unpooled.wrappedBuffer(new byte[] {1, 2, 3}));
-                    Future<?> unused = call.loop().submit(() -> how.end(call, mServer));
+                    Future<?> unused = call.loop().submit(() -> cause.abort(call, mServer));
                 },
                 () -> {});
     }
 
     private static void readToEnd(InputStream input) throws IOException {
         while (input.read() >= 0) {
-            // Only how it ends is of interest.
+            // The content doesn't matter.
         }
     }
 
--- a/http/src/test/java/org/dahliapass/http/ClientConnectionTest.java
+++ b/http/src/test/java/org/dahliapass/http/ClientConnectionTest.java
@@ -19,115 +19,117 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ClientConnection}; the test is the server. */
+/** Tests of {@link ClientConnection}; the test acts as the server. */
 public final class ClientConnectionTest {
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
-    private List<ClientConnection> mFree;
-    private List<String> mSeen;
+    private List<ClientConnection> mIdle;
+    private List<String> mEvents;
     private ClientConnection mConnection;
     private EmbeddedChannel mChannel;
     private ClientCall mCall;
 
     @BeforeMethod
     public void send() {
-        mFree = new ArrayList<>();
-        mSeen = new ArrayList<>();
-        mConnection = new ClientConnection(mFree::add);
-        mChannel = new EmbeddedChannel(mConnection.guard(), mConnection.codec(), mConnection);
+        mIdle = new ArrayList<>();
+        mEvents = new ArrayList<>();
+        mConnection = new ClientConnection(mIdle::add);
+        mChannel = new EmbeddedChannel(mConnection.idleGuard(), mConnection.codec(), mConnection);
         mCall =
                 new ClientCall(
                         HttpMethod.GET,
                         "/",
                         new DefaultHttpHeaders().set("host", "a"),
                         Unpooled.EMPTY_BUFFER,
-                        new Noting());
+                        new RecordingListener());
         mConnection.send(mCall);
     }
 
-    private final class Noting implements ResponseListener {
+    private final class RecordingListener implements ResponseListener {
         @Override
         public void onHead(HttpResponse head) {
-            mSeen.add("head " + head.status().code());
+            mEvents.add("head " + head.status().code());
         }
 
         @Override
-        public void onData(ByteBuf piece) {
-            mSeen.add(piece.toString(StandardCharsets.UTF_8));
+        public void onData(ByteBuf chunk) {
+            mEvents.add(chunk.toString(StandardCharsets.UTF_8));
         }
 
         @Override
         public void onEnd(HttpHeaders trailers) {
-            mSeen.add("end");
+            mEvents.add("end");
         }
 
         @Override
         public void onFailure(Throwable failure) {
-            mSeen.add("failed");
+            mEvents.add("failed");
         }
     }
 
     @Test
-    public void connectionIsFreeAfterAWholeAnswer() {
-        answer(ANSWER);
-        assertEquals(mSeen, List.of("head 200", "hi", "end"));
-        assertEquals(mFree, List.of(mConnection));
+    public void connectionIsIdleAfterACompleteResponse() {
+        receive(RESPONSE);
+        assertEquals(mEvents, List.of("head 200", "hi", "end"));
+        assertEquals(mIdle, List.of(mConnection));
     }
 
-    /** The next request would get this second answer for its own. */
+    /** The second response must not be attributed to the next request. */
     @Test
-    public void connectionWithMoreBehindTheAnswerIsClosed() {
-        answer(ANSWER + ANSWER);
-        assertEquals(mSeen, List.of("head 200", "hi", "end"));
-        assertEquals(mFree, List.of());
+    public void connectionWithBytesAfterTheResponseIsClosed() {
+        receive(RESPONSE + RESPONSE);
+        assertEquals(mEvents, List.of("head 200", "hi", "end"));
+        assertEquals(mIdle, List.of());
         assertFalse(mChannel.isActive());
     }
 
-    /** The same when the second answer comes once the connection is idle. */
+    /** The second response arrives when the connection is idle. */
     @Test
-    public void idleConnectionThatIsSentAnythingIsClosed() {
-        answer(ANSWER);
-        answer("x");
+    public void idleConnectionIsClosedOnUnexpectedBytes() {
+        receive(RESPONSE);
+        receive("x");
         assertFalse(mChannel.isActive());
     }
 
     @Test
-    public void connectionThatTheServerClosesIsNotKept() {
-        answer(ANSWER.replace("Content", "Connection: close\r\nContent"));
-        assertEquals(mFree, List.of());
+    public void connectionIsNotReusedAfterConnectionClose() {
+        receive(RESPONSE.replace("Content", "Connection: close\r\nContent"));
+        assertEquals(mIdle, List.of());
     }
 
     @Test
-    public void informationalHeadsAreLeftOut() {
-        answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ANSWER);
-        assertEquals(mSeen, List.of("head 200", "hi", "end"));
+    public void informationalResponsesAreSkipped() {
+        receive(
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+                        + RESPONSE);
+        assertEquals(mEvents, List.of("head 200", "hi", "end"));
     }
 
     @Test
-    public void answerWithoutALengthEndsWithItsConnection() {
-        answer("HTTP/1.1 200 OK\r\n\r\nhi");
+    public void responseWithoutLengthEndsWhenTheConnectionCloses() {
+        receive("HTTP/1.1 200 OK\r\n\r\nhi");
         mChannel.close().syncUninterruptibly();
-        assertEquals(mSeen, List.of("head 200", "hi", "end"));
+        assertEquals(mEvents, List.of("head 200", "hi", "end"));
     }
 
-    /** An extract would look whole and lack its end: a reset is no end. */
+    /** A truncated response must not look complete. */
     @Test
-    public void answerWithoutALengthThatIsResetFails() {
-        answer("HTTP/1.1 200 OK\r\n\r\nhi");
+    public void responseWithoutLengthFailsOnReset() {
+        receive("HTTP/1.1 200 OK\r\n\r\nhi");
         mChannel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
-        assertEquals(mSeen, List.of("head 200", "hi", "failed"));
+        assertEquals(mEvents, List.of("head 200", "hi", "failed"));
     }
 
     @Test
-    public void answerThatEndsEarlyFails() {
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi");
+    public void truncatedResponseFails() {
+        receive("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi");
         mChannel.close().syncUninterruptibly();
-        assertEquals(mSeen, List.of("head 200", "hi", "failed"));
+        assertEquals(mEvents, List.of("head 200", "hi", "failed"));
     }
 
-    /** Answers whose end can be told in two ways, or in none. */
+    /** Responses whose end is ambiguous or unknown. */
     @DataProvider
-    public Object[][] unframed() {
+    public Object[][] ambiguouslyFramed() {
         return new Object[][] {
             {"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"},
             {"Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi"},
@@ -137,39 +139,39 @@
         };
     }
 
-    /** Such an answer must not pass for a success, nor its rest for the next answer. */
-    @Test(dataProvider = "unframed")
-    public void answerWhoseEndCannotBeToldFails(String headersAndBody) {
-        answer("HTTP/1.1 200 OK\r\n" + headersAndBody);
-        assertEquals(mSeen, List.of("failed"));
-        assertEquals(mFree, List.of());
+    /** Neither the response nor the bytes after it may be accepted. */
+    @Test(dataProvider = "ambiguouslyFramed")
+    public void responseWithAmbiguousFramingFails(String headersAndBody) {
+        receive("HTTP/1.1 200 OK\r\n" + headersAndBody);
+        assertEquals(mEvents, List.of("failed"));
+        assertEquals(mIdle, List.of());
         assertFalse(mChannel.isActive());
     }
 
     @Test
-    public void bytesThatAreNoAnswerFail() {
-        answer("\u0001\u0002 nonsense\r\n\r\n");
-        assertEquals(mSeen, List.of("failed"));
+    public void malformedResponseFails() {
+        receive("\u0001\u0002 nonsense\r\n\r\n");
+        assertEquals(mEvents, List.of("failed"));
         assertFalse(mChannel.isActive());
     }
 
     @Test
-    public void abortedCallIsToldNothingAndItsConnectionCloses() {
+    public void abortedCallClosesItsConnectionWithoutCallbacks() {
         mCall.abort();
-        assertEquals(mSeen, List.of());
+        assertEquals(mEvents, List.of());
         assertFalse(mChannel.isActive());
     }
 
-    /** A request must not cross the close of a server that told how long it keeps connections. */
+    /** A request must not race with the server's close after its advertised idle timeout. */
     @Test
-    public void connectionIsStaleAfterHalfOfWhatTheServerKeepsIt() {
-        answer(ANSWER.replace("Content", "Keep-Alive: timeout=4\r\nContent"));
+    public void connectionIsStaleAfterHalfOfTheServersKeepAliveTimeout() {
+        receive(RESPONSE.replace("Content", "Keep-Alive: timeout=4\r\nContent"));
         mConnection.setIdleSince(1_000);
         assertFalse(mConnection.isStale(2_900, 10_000));
         assertTrue(mConnection.isStale(3_000, 10_000));
     }
 
-    private void answer(String bytes) {
+    private void receive(String bytes) {
         mChannel.writeInbound(Unpooled.wrappedBuffer(bytes.getBytes(StandardCharsets.ISO_8859_1)));
     }
 }
--- a/http/src/test/java/org/dahliapass/http/HopByHopHeadersTest.java
+++ b/http/src/test/java/org/dahliapass/http/HopByHopHeadersTest.java
@@ -15,7 +15,7 @@
 /** Tests of {@link HopByHopHeaders} and {@link RequestTarget}. */
 public final class HopByHopHeadersTest {
     @Test
-    public void headersOfTheConnectionAndThoseItNamesAreTakenOut() {
+    public void hopByHopAndNominatedHeadersAreRemoved() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .add("Connection", "close, X-Mine")
@@ -29,9 +29,9 @@
         assertEquals(headers.entries().toString(), "[X-Stays=3]");
     }
 
-    /** A caller must not have its request passed on without its host or its length. */
+    /** A caller must not be able to remove the host or length of the forwarded request. */
     @Test
-    public void headersOfTheMessageStayWhateverConnectionNames() {
+    public void hostAndContentLengthAreNeverRemoved() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .add("Connection", "Host, Content-Length")
@@ -41,9 +41,9 @@
         assertEquals(headers.entries().toString(), "[Host=a, Content-Length=2]");
     }
 
-    /** A caller must not have the id of its request taken out, by which at most once is told. */
+    /** A caller must not be able to remove the request id that at-most-once execution needs. */
     @Test
-    public void keptHeadersStayWhateverConnectionNames() {
+    public void keptHeadersAreNotRemovedWhenNominated() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .add("Connection", "X-Id, X-Other")
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void targetIsReadFromThePathOrFromAWholeAddress() {
+    public void targetIsParsedInOriginAndAbsoluteForm() {
         assertEquals(target("/a/b?c=/d"), new RequestTarget("h", "/a/b?c=/d"));
         assertEquals(target("http://other:80/a?b"), new RequestTarget("other:80", "/a?b"));
         assertEquals(target("http://other"), new RequestTarget("other", "/"));
--- a/http/src/test/java/org/dahliapass/http/HttpClientListeningTest.java
+++ b/http/src/test/java/org/dahliapass/http/HttpClientListeningTest.java
@@ -34,22 +34,22 @@
     }
 
     @Test
-    public void portOfAProcessThatLivesIsListening() throws IOException {
+    public void openPortIsListening() throws IOException {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            assertEquals(listens(server.getLocalPort()), true);
+            assertEquals(isListening(server.getLocalPort()), true);
         }
     }
 
     @Test
-    public void portOfAProcessThatEndedIsNotListening() throws IOException {
+    public void closedPortIsNotListening() throws IOException {
         int port;
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = server.getLocalPort();
         }
-        assertEquals(listens(port), false);
+        assertEquals(isListening(port), false);
     }
 
-    private boolean listens(int port) {
+    private boolean isListening(int port) {
         return mClient.isListening(new Endpoint("127.0.0.1", port)).join();
     }
 }
--- a/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
+++ b/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
@@ -20,48 +20,49 @@
     private static final String HOST = "Host: a.example\n";
 
     @Test
-    public void answerHasItsLengthAndTheConnectionStays() {
-        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("hi")));
+    public void responseHasContentLengthAndConnectionIsKeptAlive() {
+        ServerFixture server =
+                new ServerFixture(call -> call.respond(ServerFixture.response("hi")));
         server.send("GET /a HTTP/1.1\n" + HOST + "\n");
-        String answer = server.received();
-        assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n"), answer);
-        assertTrue(answer.contains("content-length: 2\r\n"), answer);
-        assertTrue(answer.endsWith("\r\n\r\nhi"), answer);
+        String response = server.received();
+        assertTrue(response.startsWith("HTTP/1.1 200 OK\r\n"), response);
+        assertTrue(response.contains("content-length: 2\r\n"), response);
+        assertTrue(response.endsWith("\r\n\r\nhi"), response);
         assertTrue(server.mChannel.isActive());
     }
 
-    /** A caller would get another one's listing if the second answer overtook the first. */
+    /** An overtaking response would be attributed to the wrong request. */
     @Test
-    public void pipelinedRequestsAreAnsweredOneAfterAnother() {
+    public void pipelinedRequestsAreHandledInOrder() {
         ServerFixture server = new ServerFixture();
         server.send("GET /1 HTTP/1.1\n" + HOST + "\nGET /2 HTTP/1.1\n" + HOST + "\n");
         assertEquals(server.mCalls.size(), 1);
-        server.mCalls.get(0).respond(ServerFixture.answer("one"));
+        server.mCalls.get(0).respond(ServerFixture.response("one"));
         assertEquals(server.mCalls.size(), 2);
         assertEquals(server.mCalls.get(1).head().uri(), "/2");
-        server.mCalls.get(1).respond(ServerFixture.answer("two"));
-        String answers = server.received();
-        assertTrue(answers.indexOf("one") < answers.indexOf("two"), answers);
+        server.mCalls.get(1).respond(ServerFixture.response("two"));
+        String responses = server.received();
+        assertTrue(responses.indexOf("one") < responses.indexOf("two"), responses);
     }
 
-    /** A client that sends requests and reads nothing must not fill the memory. */
+    /** A client that sends requests without reading responses must not exhaust memory. */
     @Test
-    public void noMoreIsReadWhileManyPipelinedRequestsWait() {
+    public void readingPausesWhileTooManyPipelinedRequestsWait() {
         ServerFixture server = new ServerFixture();
         for (int number = 0; number < 100; number++) {
             server.send("GET /" + number + " HTTP/1.1\n" + HOST + "\n");
         }
         assertFalse(server.mChannel.config().isAutoRead());
         for (int number = 0; number < 100; number++) {
-            server.mCalls.get(number).respond(ServerFixture.answer("x"));
+            server.mCalls.get(number).respond(ServerFixture.response("x"));
         }
         assertTrue(server.mChannel.config().isAutoRead());
         assertEquals(server.mCalls.size(), 100);
     }
 
-    /** Sizes of chunks that some clients send: filled up with zeros, in capitals, extended. */
+    /** Chunk sizes may have leading zeros, upper-case digits and extensions. */
     @Test
-    public void sizesOfChunksMayBeWrittenInSeveralWays() {
+    public void chunkSizesAreParsedInAllAllowedForms() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server =
                 new ServerFixture(
@@ -81,7 +82,7 @@
     }
 
     @Test
-    public void bodyInChunksIsCollected() {
+    public void chunkedBodyIsCollected() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server = bodyReader(bodies, 10);
         server.send("POST /a HTTP/1.1\n" + HOST + "Transfer-Encoding: chunked\n\n3\nabc\n");
@@ -91,7 +92,7 @@
     }
 
     @Test
-    public void bodyOverTheLimitIsToldBeforeItComes() {
+    public void bodyOverTheLimitIsRejectedByItsContentLength() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server = bodyReader(bodies, 10);
         server.send("POST /a HTTP/1.1\n" + HOST + "Content-Length: 11\n\n");
@@ -99,7 +100,7 @@
     }
 
     @Test
-    public void chunksOverTheLimitAreToldAndDropped() {
+    public void chunkedBodyOverTheLimitIsRejectedAndDiscarded() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server = bodyReader(bodies, 4);
         server.send("POST /a HTTP/1.1\n" + HOST + "Transfer-Encoding: chunked\n\n5\nabcde\n");
@@ -108,20 +109,20 @@
         assertEquals(bodies, List.of("too large"));
     }
 
-    /** A part of a refused body must not be taken for the next request. */
+    /** The rest of a body must not be processed as the next request. */
     @Test
-    public void bodyOfARequestThatWasAnsweredEarlyIsDropped() {
+    public void bodyIsDiscardedAfterAnEarlyResponse() {
         ServerFixture server =
-                new ServerFixture(call -> call.respond(ServerFixture.answer(call.head().uri())));
+                new ServerFixture(call -> call.respond(ServerFixture.response(call.head().uri())));
         server.send("POST /1 HTTP/1.1\n" + HOST + "Content-Length: 25\n\n");
         assertEquals(server.mCalls.size(), 1);
-        server.sendRaw("GET /inner HTTP/1.1\r\n\r\nxx");
+        server.sendBytes("GET /inner HTTP/1.1\r\n\r\nxx");
         server.send("GET /2 HTTP/1.1\n" + HOST + "\n");
         assertEquals(server.mCalls.size(), 2);
         assertEquals(server.mCalls.get(1).head().uri(), "/2");
     }
 
-    /** Requests that two readers may take for different ones, with the status that refuses them. */
+    /** Malformed requests that implementations may interpret differently. */
     @DataProvider
     public Object[][] malformed() {
         String length = "Content-Length: 4\r\n";
@@ -144,184 +145,189 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedRequestIsRefusedAndNothingBehindItIsRead(String bytes) {
+    public void malformedRequestIsRejectedAndLaterBytesAreDiscarded(String bytes) {
         ServerFixture server = new ServerFixture();
-        server.sendRaw(bytes);
-        server.sendRaw("GET /inner HTTP/1.1\r\nHost: a\r\n\r\n");
-        String answer = server.received();
-        assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
-        assertTrue(answer.contains("connection: close"), answer);
+        server.sendBytes(bytes);
+        server.sendBytes("GET /inner HTTP/1.1\r\nHost: a\r\n\r\n");
+        String response = server.received();
+        assertTrue(response.startsWith("HTTP/1.1 400 "), response);
+        assertTrue(response.contains("connection: close"), response);
         assertFalse(server.mChannel.isActive());
         assertTrue(
                 server.mCalls.stream().noneMatch(call -> call.head().uri().equals("/inner")),
-                "the request behind was taken");
+                "the later request was handled");
     }
 
-    /** Requests whose end or meaning can be told in two ways: section, status, request. */
+    /** Requests with an ambiguous end or meaning: section, status, request. */
     @DataProvider
     public Object[][] ambiguous() {
         String post = "POST /outer HTTP/1.1\n" + HOST;
         return new Object[][] {
-            {"RFC 9112, 6.1: an unknown coding", 501, post + "Transfer-Encoding: gzip\n\n"},
-            {"RFC 9112, 6.1: no coding", 501, post + "Transfer-Encoding: identity\n\n"},
-            {"RFC 9112, 6.3: not the last", 501, post + "Transfer-Encoding: chunked, gzip\n\n"},
-            {"RFC 9112, 6.3: not alone", 501, post + "Transfer-Encoding: gzip, chunked\n\n"},
-            {"RFC 9112, 7: quoted", 501, post + "Transfer-Encoding: \"chunked\"\n\n0\n\n"},
+            {"RFC 9112, 6.1: unknown coding", 501, post + "Transfer-Encoding: gzip\n\n"},
+            {"RFC 9112, 6.1: identity coding", 501, post + "Transfer-Encoding: identity\n\n"},
+            {"RFC 9112, 6.3: chunked not last", 501, post + "Transfer-Encoding: chunked, gzip\n\n"},
             {
-                "RFC 9112, 6.1: twice",
+                "RFC 9112, 6.3: chunked not alone",
+                501,
+                post + "Transfer-Encoding: gzip, chunked\n\n"
+            },
+            {"RFC 9112, 7: quoted coding", 501, post + "Transfer-Encoding: \"chunked\"\n\n0\n\n"},
+            {
+                "RFC 9112, 6.1: chunked twice",
                 501,
                 post + "Transfer-Encoding: chunked\nTransfer-Encoding: chunked\n\n0\n\n"
             },
             {
-                "RFC 9112, 6.1: beside a length",
+                "RFC 9112, 6.1: coding and length",
                 501,
                 post + "Transfer-Encoding: gzip\nContent-Length: 2\n\nok"
             },
             {
-                "RFC 9112, 6.1: by an old client",
+                "RFC 9112, 6.1: coding in HTTP/1.0",
                 400,
                 "POST / HTTP/1.0\n" + HOST + "Transfer-Encoding: chunked\n\n0\n\n"
             },
-            {"RFC 9112, 5.2: a fold", 400, post + "X-A: b\n Content-Length: 9\n\n"},
-            {"RFC 9112, 5.2: a fold by a tab", 400, post + "X-A: b\n\tc\n\n"},
-            {"RFC 9112, 5.2: before all headers", 400, "GET / HTTP/1.1\n X-A: b\n" + HOST + "\n"},
-            {"RFC 9112, 2.2: before the line", 400, " GET / HTTP/1.1\n" + HOST + "\n"},
-            {"RFC 9112, 3: two blanks", 400, "GET  / HTTP/1.1\n" + HOST + "\n"},
-            {"RFC 9112, 3: two blanks", 400, "GET /  HTTP/1.1\n" + HOST + "\n"},
-            {"RFC 9112, 3: a tab", 400, "GET\t/ HTTP/1.1\n" + HOST + "\n"},
+            {"RFC 9112, 5.2: folded line", 400, post + "X-A: b\n Content-Length: 9\n\n"},
+            {"RFC 9112, 5.2: line folded with a tab", 400, post + "X-A: b\n\tc\n\n"},
+            {"RFC 9112, 5.2: folded first line", 400, "GET / HTTP/1.1\n X-A: b\n" + HOST + "\n"},
+            {"RFC 9112, 2.2: space before line", 400, " GET / HTTP/1.1\n" + HOST + "\n"},
+            {"RFC 9112, 3: two spaces", 400, "GET  / HTTP/1.1\n" + HOST + "\n"},
+            {"RFC 9112, 3: two spaces", 400, "GET /  HTTP/1.1\n" + HOST + "\n"},
+            {"RFC 9112, 3: tab", 400, "GET\t/ HTTP/1.1\n" + HOST + "\n"},
             {"RFC 9112, 2.3: version", 505, "GET / HTTP/2.0\n" + HOST + "\n"},
             {"RFC 9112, 2.3: version", 505, "GET / HTTP/1.2\n" + HOST + "\n"},
-            {"RFC 9110, 7.2: a host with a blank", 400, "GET / HTTP/1.1\nHost: a b\n\n"},
-            {"RFC 9110, 7.2: an empty host", 400, "GET / HTTP/1.1\nHost:\n\n"},
+            {"RFC 9110, 7.2: host with a space", 400, "GET / HTTP/1.1\nHost: a b\n\n"},
+            {"RFC 9110, 7.2: empty host", 400, "GET / HTTP/1.1\nHost:\n\n"},
         };
     }
 
-    /** Nothing runs that no caller asked for: the bytes behind such a request belong to nobody. */
+    /** Prevents request smuggling: the bytes after such a request must not be processed. */
     @Test(dataProvider = "ambiguous")
-    public void ambiguousRequestIsRefusedAndNothingBehindItIsRead(
+    public void ambiguousRequestIsRejectedAndLaterBytesAreDiscarded(
             String section, int status, String request) {
         ServerFixture server = new ServerFixture();
         server.send(request);
         server.send("GET /inner HTTP/1.1\n" + HOST + "\n");
-        String answer = server.received();
-        assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), section + ": " + answer);
+        String response = server.received();
+        assertTrue(response.startsWith("HTTP/1.1 " + status + " "), section + ": " + response);
         assertFalse(server.mChannel.isActive(), section);
         assertEquals(server.mCalls.size(), 0, section);
     }
 
-    /** The same however the network cuts the bytes, and behind a request that was served. */
+    /** The result must not depend on segmentation or on an earlier valid request. */
     @Test(dataProvider = "ambiguous")
-    public void ambiguousRequestBehindAnotherOneIsRefused(
+    public void ambiguousRequestIsRejectedAfterAValidOneInAnySegmentation(
             String section, int status, String request) {
         ServerFixture server =
                 new ServerFixture(call -> call.respond(ServerResponse.of(HttpResponseStatus.OK)));
         server.send("\nPOST /first HTTP/1.1\n" + HOST + "Content-Length: 2\n\n x");
-        for (int place = 0; place < request.length(); place++) {
-            server.send(request.substring(place, place + 1));
+        for (int index = 0; index < request.length(); index++) {
+            server.send(request.substring(index, index + 1));
         }
-        String answer = server.received();
-        assertTrue(answer.contains("HTTP/1.1 " + status + " "), section + ": " + answer);
+        String response = server.received();
+        assertTrue(response.contains("HTTP/1.1 " + status + " "), section + ": " + response);
         assertFalse(server.mChannel.isActive(), section);
         assertEquals(server.mCalls.size(), 1, section);
     }
 
     @Test
-    public void headOverTheLimitIsRefused() {
+    public void headOverTheLimitIsRejected() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "X: " + "x".repeat(70_000) + "\n\n");
         assertTrue(server.received().startsWith("HTTP/1.1 431 "));
     }
 
     @Test
-    public void lineOverTheLimitIsRefused() {
+    public void requestLineOverTheLimitIsRejected() {
         ServerFixture server = new ServerFixture();
         server.send("GET /" + "x".repeat(70_000) + " HTTP/1.1\n" + HOST + "\n");
         assertTrue(server.received().startsWith("HTTP/1.1 414 "));
     }
 
     @Test
-    public void clientThatAsksMayGoOnOnceItsBodyIsWanted() {
+    public void continueIsSentOnceTheBodyIsRead() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server = bodyReader(bodies, 10);
         server.send("POST / HTTP/1.1\n" + HOST + "Content-Length: 2\nExpect: 100-continue\n\n");
         assertEquals(server.received(), "HTTP/1.1 100 Continue\r\n\r\n");
-        server.sendRaw("ab");
+        server.sendBytes("ab");
         assertEquals(bodies, List.of("ab"));
     }
 
-    /** The client may or may not send its body now, so what comes can't be told apart. */
+    /** The client may or may not send its body now, so the next request can't be framed. */
     @Test
-    public void clientThatAsksAndIsRefusedGetsItsAnswerAndTheConnectionCloses() {
-        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("no")));
+    public void connectionClosesIfTheResponsePrecedesContinue() {
+        ServerFixture server =
+                new ServerFixture(call -> call.respond(ServerFixture.response("no")));
         server.send("POST / HTTP/1.1\n" + HOST + "Content-Length: 2\nExpect: 100-continue\n\n");
-        String answer = server.received();
-        assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        assertTrue(answer.contains("connection: close"), answer);
+        String response = server.received();
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+        assertTrue(response.contains("connection: close"), response);
         assertFalse(server.mChannel.isActive());
     }
 
     @Test
-    public void slowHeadEndsWithARefusal() {
+    public void slowHeadTimesOut() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n");
-        server.pass(Duration.ofMillis(2_900));
+        server.advanceTime(Duration.ofMillis(2_900));
         assertTrue(server.mChannel.isActive());
         server.send("Host: a\n");
-        server.pass(Duration.ofMillis(200));
+        server.advanceTime(Duration.ofMillis(200));
         assertTrue(server.received().startsWith("HTTP/1.1 408 "));
         assertFalse(server.mChannel.isActive());
     }
 
     @Test
-    public void bodyThatStallsEndsWithARefusalAndOneThatGoesOnDoesNot() {
+    public void stalledBodyTimesOutAndProgressRestartsTheTimeout() {
         List<String> bodies = new ArrayList<>();
         ServerFixture server = bodyReader(bodies, 10);
         server.send("POST / HTTP/1.1\n" + HOST + "Content-Length: 3\n\na");
-        server.pass(Duration.ofMillis(4_900));
-        server.sendRaw("b");
-        server.pass(Duration.ofMillis(4_900));
+        server.advanceTime(Duration.ofMillis(4_900));
+        server.sendBytes("b");
+        server.advanceTime(Duration.ofMillis(4_900));
         assertTrue(server.mChannel.isActive());
-        server.pass(Duration.ofMillis(200));
+        server.advanceTime(Duration.ofMillis(200));
         assertTrue(server.received().startsWith("HTTP/1.1 408 "));
         assertEquals(bodies, List.of());
     }
 
     @Test
-    public void idleConnectionIsClosedWithoutAnAnswer() {
-        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("x")));
+    public void idleConnectionIsClosedWithoutAResponse() {
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.response("x")));
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         server.received();
-        server.pass(Duration.ofMillis(14_900));
+        server.advanceTime(Duration.ofMillis(14_900));
         assertTrue(server.mChannel.isActive());
-        server.pass(Duration.ofMillis(200));
+        server.advanceTime(Duration.ofMillis(200));
         assertEquals(server.received(), "");
         assertFalse(server.mChannel.isActive());
     }
 
-    /** An answer may take as long as its route allows; no limit on clients may end it. */
+    /** Client timeouts must not apply while the request is handled. */
     @Test
-    public void requestThatIsAtWorkIsNotEnded() {
+    public void requestBeingHandledDoesNotTimeOut() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
-        server.pass(Duration.ofMinutes(10));
+        server.advanceTime(Duration.ofMinutes(10));
         assertTrue(server.mChannel.isActive());
     }
 
     @Test
-    public void answerToHeadTellsItsLengthAndHasNoBody() {
+    public void headResponseHasContentLengthAndNoBody() {
         ServerFixture server = new ServerFixture();
         server.send("HEAD / HTTP/1.1\n" + HOST + "\n");
-        ServerResponse answer = ServerFixture.answer("");
-        answer.headers().set("content-length", 77);
-        server.mCalls.get(0).respond(answer);
+        ServerResponse response = ServerFixture.response("");
+        response.headers().set("content-length", 77);
+        server.mCalls.get(0).respond(response);
         String text = server.received();
         assertTrue(text.contains("content-length: 77\r\n"), text);
         assertTrue(text.endsWith("\r\n\r\n"), text);
     }
 
     @Test
-    public void oldClientsConnectionClosesUnlessItAsksOtherwise() {
-        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.answer("x")));
+    public void http10ConnectionClosesUnlessKeepAliveIsRequested() {
+        ServerFixture server = new ServerFixture(call -> call.respond(ServerFixture.response("x")));
         server.send("GET / HTTP/1.0\nConnection: keep-alive\n\n");
         assertTrue(server.received().contains("connection: keep-alive"));
         assertTrue(server.mChannel.isActive());
@@ -330,46 +336,46 @@
         assertFalse(server.mChannel.isActive());
     }
 
-    /** Work would go on for a client that has left. */
+    /** Without the report, the handler keeps working for a disconnected client. */
     @Test
-    public void clientThatLeavesIsToldOfOnce() {
+    public void disconnectIsReportedOnce() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
-        List<String> told = new ArrayList<>();
-        server.mCalls.get(0).onDisconnect(() -> told.add("gone"));
-        server.mCalls.get(0).onDelivered(delivery -> told.add("whole " + delivery.whole()));
+        List<String> events = new ArrayList<>();
+        server.mCalls.get(0).onDisconnect(() -> events.add("disconnected"));
+        server.mCalls.get(0).onDelivered(delivery -> events.add("whole " + delivery.whole()));
         server.mChannel.close().syncUninterruptibly();
-        assertEquals(told, List.of("whole false", "gone"));
+        assertEquals(events, List.of("whole false", "disconnected"));
     }
 
-    /** The request waited for something else meanwhile, and would be sent on for nobody. */
+    /** A request that waited meanwhile must not be forwarded for a disconnected client. */
     @Test
-    public void whoAsksAfterTheClientLeftIsToldAtOnce() {
+    public void disconnectListenerAddedLateRunsImmediately() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         server.mChannel.close().syncUninterruptibly();
-        List<String> told = new ArrayList<>();
-        server.mCalls.get(0).onDisconnect(() -> told.add("gone"));
-        assertEquals(told, List.of("gone"));
+        List<String> events = new ArrayList<>();
+        server.mCalls.get(0).onDisconnect(() -> events.add("disconnected"));
+        assertEquals(events, List.of("disconnected"));
     }
 
     @Test
-    public void streamedAnswerOfUnknownLengthComesInChunks() {
+    public void streamedResponseOfUnknownLengthIsChunked() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         ServerCall call = server.mCalls.get(0);
         call.startResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), -1);
         call.write(Unpooled.copiedBuffer("abc", StandardCharsets.UTF_8));
         call.endResponse(EmptyHttpHeaders.INSTANCE);
-        String answer = server.received();
-        assertTrue(answer.contains("transfer-encoding: chunked"), answer);
-        assertTrue(answer.endsWith("3\r\nabc\r\n0\r\n\r\n"), answer);
+        String response = server.received();
+        assertTrue(response.contains("transfer-encoding: chunked"), response);
+        assertTrue(response.endsWith("3\r\nabc\r\n0\r\n\r\n"), response);
         assertTrue(server.mChannel.isActive());
     }
 
-    /** Half an extract must not look like a whole one. */
+    /** A truncated response must not look complete. */
     @Test
-    public void streamedAnswerThatIsCutHasNoEnd() {
+    public void abortedStreamedResponseHasNoFinalChunk() {
         ServerFixture server = new ServerFixture();
         server.send("GET / HTTP/1.1\n" + HOST + "\n");
         ServerCall call = server.mCalls.get(0);
@@ -380,11 +386,11 @@
         assertFalse(server.mChannel.isActive());
     }
 
-    private static ServerFixture bodyReader(List<String> bodies, int most) {
+    private static ServerFixture bodyReader(List<String> bodies, int maxBytes) {
         return new ServerFixture(
                 call ->
                         call.readBody(
-                                most,
+                                maxBytes,
                                 body -> bodies.add(body.toString(StandardCharsets.UTF_8)),
                                 () -> bodies.add("too large")));
     }
--- a/http/src/test/java/org/dahliapass/http/ServerFixture.java
+++ b/http/src/test/java/org/dahliapass/http/ServerFixture.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.dahliapass.kernel.ManualClock;
 
-/** One connection of a server without a network; the test is its client and its handler. */
+/** A server connection without a network; the test acts as its client and handler. */
 final class ServerFixture {
-    static final ServerTimeouts LIMITS =
+    static final ServerTimeouts TIMEOUTS =
             new ServerTimeouts(
                     Duration.ofSeconds(3), Duration.ofSeconds(5), Duration.ofSeconds(15));
 
@@ -21,12 +21,12 @@
     final ServerConnection mConnection;
     final EmbeddedChannel mChannel;
 
-    /** Notes each request; the test answers it. */
+    /** Records each request; the test responds to it. */
     ServerFixture() {
         this(call -> {});
     }
 
-    /** Notes each request and hands it on. */
+    /** Records each request and passes it to a handler. */
     ServerFixture(RequestHandler handler) {
         mConnection =
                 new ServerConnection(
@@ -38,20 +38,20 @@
         mChannel = new EmbeddedChannel(mConnection.codec(), mConnection);
     }
 
-    /** Sends what a client sends, a line end for each line feed. */
+    /** Sends text from the client, with each line feed replaced by CR LF. */
     void send(String text) {
-        sendRaw(text.replace("\n", "\r\n"));
+        sendBytes(text.replace("\n", "\r\n"));
     }
 
-    /** Sends bytes as they are; after the connection's close they reach nobody. */
-    void sendRaw(String bytes) {
+    /** Sends bytes from the client unchanged; does nothing if the connection is closed. */
+    void sendBytes(String bytes) {
         if (!mChannel.isActive()) {
             return;
         }
         mChannel.writeInbound(Unpooled.wrappedBuffer(bytes.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Returns what the client got since the last call. */
+    /** Returns what the client has received since the last call. */
     String received() {
         StringBuilder text = new StringBuilder();
         ByteBuf bytes = mChannel.readOutbound();
@@ -63,13 +63,13 @@
         return text.toString();
     }
 
-    /** Lets time pass and has the connection looked at. */
-    void pass(Duration time) {
+    /** Advances the clock and checks the connection's timeouts. */
+    void advanceTime(Duration time) {
         mClock.advance(time);
-        mConnection.closeIfTimedOut(LIMITS);
+        mConnection.closeIfTimedOut(TIMEOUTS);
     }
 
-    static ServerResponse answer(String text) {
+    static ServerResponse response(String text) {
         return ServerResponse.text(
                 io.netty.handler.codec.http.HttpResponseStatus.OK,
                 text.getBytes(StandardCharsets.UTF_8));
--- a/http/src/test/java/org/dahliapass/http/ServerFuzzTest.java
+++ b/http/src/test/java/org/dahliapass/http/ServerFuzzTest.java
@@ -9,13 +9,13 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** A seeded fuzz of what clients send: spoiled requests, cut into pieces in any place. */
+/** A seeded fuzz test with mutated requests in random segments. */
 public final class ServerFuzzTest {
     private static final int CASES = 3_000;
-    private static final int MOST_BODY = 64;
+    private static final int MAX_BODY_BYTES = 64;
     private static final long SEED = 20_250_117;
 
-    private static final List<String> GOOD =
+    private static final List<String> VALID_REQUESTS =
             List.of(
                     "GET /a?b=c HTTP/1.1\r\nHost: a\r\n\r\n",
                     "POST /lock HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello",
@@ -23,7 +23,7 @@
                     "PUT /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
                             + "Content-Length: 2\r\n\r\nok");
 
-    private static final List<String> ODD =
+    private static final List<String> FRAGMENTS =
             List.of(
                     "\r\n",
                     "\n",
@@ -41,34 +41,33 @@
                     "ffffffffffffffff");
 
     /**
-     * A request that runs must not depend on how the network cut its bytes: a reader that goes
-     * wrong at a seam lets a client smuggle one request inside another. Also, nothing is read
-     * behind a refusal, and no body over the limit is handed on.
+     * A parser that depends on segmentation allows request smuggling. Also checks that no body over
+     * the limit reaches the handler.
      */
     @Test
-    public void sameRequestsAreTakenWhereverTheBytesAreCut() {
+    public void requestsDoNotDependOnSegmentation() {
         SplittableRandom seeds = new SplittableRandom(SEED);
         for (int number = 0; number < CASES; number++) {
             long seed = seeds.nextLong();
-            String bytes = spoiled(new SplittableRandom(seed));
-            List<String> whole = taken(List.of(bytes));
-            List<String> cut = taken(pieces(bytes, new SplittableRandom(seed)));
-            assertEquals(cut, whole, "seed " + seed + ": " + bytes);
+            String bytes = mutatedRequests(new SplittableRandom(seed));
+            List<String> whole = requests(List.of(bytes));
+            List<String> segmented = requests(segments(bytes, new SplittableRandom(seed)));
+            assertEquals(segmented, whole, "seed " + seed + ": " + bytes);
         }
     }
 
     /**
-     * Another reader of the same bytes must not find other requests in them: what one takes for a
-     * body the other would run.
+     * Another parser must not find other requests in the same bytes, or one processes as a request
+     * what the other one reads as a body.
      */
     @Test
-    public void requestsAreThoseThatAStrictReaderFinds() {
+    public void requestsMatchTheStrictParser() {
         SplittableRandom seeds = new SplittableRandom(SEED);
         for (int number = 0; number < CASES; number++) {
             long seed = seeds.nextLong();
-            String bytes = spoiled(new SplittableRandom(seed));
-            List<String> strict = StrictRequestParser.read(bytes, MOST_BODY);
-            assertEquals(taken(List.of(bytes)), strict, "seed " + seed + ": " + bytes);
+            String bytes = mutatedRequests(new SplittableRandom(seed));
+            List<String> expected = StrictRequestParser.parse(bytes, MAX_BODY_BYTES);
+            assertEquals(requests(List.of(bytes)), expected, "seed " + seed + ": " + bytes);
         }
     }
 
@@ -76,62 +75,62 @@
         return "POST /chunks HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + body;
     }
 
-    private static List<String> taken(List<String> pieces) {
-        List<String> taken = new ArrayList<>();
+    private static List<String> requests(List<String> segments) {
+        List<String> requests = new ArrayList<>();
         ServerFixture server =
                 new ServerFixture(
                         call ->
                                 call.readBody(
-                                        MOST_BODY,
+                                        MAX_BODY_BYTES,
                                         body -> {
-                                            assertTrue(body.readableBytes() <= MOST_BODY);
-                                            taken.add(
+                                            assertTrue(body.readableBytes() <= MAX_BODY_BYTES);
+                                            requests.add(
                                                     call.head().method()
                                                             + " "
                                                             + call.head().uri()
                                                             + " "
                                                             + body.toString(
                                                                     StandardCharsets.ISO_8859_1));
-                                            call.respond(ServerFixture.answer("x"));
+                                            call.respond(ServerFixture.response("x"));
                                         },
                                         () -> {
-                                            taken.add("too large");
+                                            requests.add("too large");
                                             call.closeAfterResponse();
-                                            call.respond(ServerFixture.answer("x"));
+                                            call.respond(ServerFixture.response("x"));
                                         }));
-        for (String piece : pieces) {
-            server.sendRaw(piece);
+        for (String segment : segments) {
+            server.sendBytes(segment);
         }
         server.received();
         server.mChannel.finishAndReleaseAll();
-        return taken;
+        return requests;
     }
 
-    private static String spoiled(SplittableRandom random) {
+    private static String mutatedRequests(SplittableRandom random) {
         StringBuilder bytes = new StringBuilder();
         for (int number = random.nextInt(1, 4); number > 0; number--) {
-            bytes.append(GOOD.get(random.nextInt(GOOD.size())));
+            bytes.append(VALID_REQUESTS.get(random.nextInt(VALID_REQUESTS.size())));
         }
         for (int number = random.nextInt(4); number > 0; number--) {
-            int place = random.nextInt(bytes.length());
+            int index = random.nextInt(bytes.length());
             switch (random.nextInt(4)) {
-                case 0 -> bytes.insert(place, ODD.get(random.nextInt(ODD.size())));
-                case 1 -> bytes.setCharAt(place, (char) random.nextInt(256));
-                case 2 -> bytes.delete(place, Math.min(bytes.length(), place + 3));
-                default -> bytes.insert(place, bytes.substring(0, random.nextInt(place + 1)));
+                case 0 -> bytes.insert(index, FRAGMENTS.get(random.nextInt(FRAGMENTS.size())));
+                case 1 -> bytes.setCharAt(index, (char) random.nextInt(256));
+                case 2 -> bytes.delete(index, Math.min(bytes.length(), index + 3));
+                default -> bytes.insert(index, bytes.substring(0, random.nextInt(index + 1)));
             }
         }
         return bytes.toString();
     }
 
-    private static List<String> pieces(String bytes, SplittableRandom random) {
-        List<String> pieces = new ArrayList<>();
+    private static List<String> segments(String bytes, SplittableRandom random) {
+        List<String> segments = new ArrayList<>();
         int from = 0;
         while (from < bytes.length()) {
             int to = Math.min(bytes.length(), from + random.nextInt(1, 12));
-            pieces.add(bytes.substring(from, to));
+            segments.add(bytes.substring(from, to));
             from = to;
         }
-        return pieces;
+        return segments;
     }
 }
--- a/http/src/test/java/org/dahliapass/http/StrictRequestParser.java
+++ b/http/src/test/java/org/dahliapass/http/StrictRequestParser.java
@@ -8,8 +8,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads requests by the grammar of RFC 9112 alone, whole and at once, and takes none behind
- * anything that the grammar doesn't have: what the server is compared with.
+ * A reference parser that accepts only the grammar of RFC 9112 and stops at the first violation.
+ *
+ * <p>It parses the complete input at once.
  */
 final class StrictRequestParser {
     private static final String LINE_END = "\r\n";
@@ -26,68 +27,66 @@
     private static final Pattern CHUNK_SIZE = Pattern.compile("([0-9A-Fa-f]{1,8})(;.*)?");
 
     private final String mBytes;
-    private final int mMostBody;
-    private final List<String> mTaken = new ArrayList<>();
-    private int mPlace;
+    private final int mMaxBodyBytes;
+    private final List<String> mRequests = new ArrayList<>();
+    private int mPosition;
 
     /** One header line. */
     private record Header(String name, String value) {}
 
-    private StrictRequestParser(String bytes, int mostBody) {
+    private StrictRequestParser(String bytes, int maxBodyBytes) {
         mBytes = bytes;
-        mMostBody = mostBody;
+        mMaxBodyBytes = maxBodyBytes;
     }
 
-    /** Ends the reading: what comes can't be told, or hasn't come in full. */
+    /** Thrown when the input is malformed or ends early. */
     private static final class EndException extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /**
-     * Returns the requests, each with its method, target and body; a body over the limit ends them.
-     */
-    static List<String> read(String bytes, int mostBody) {
-        StrictRequestParser reader = new StrictRequestParser(bytes, mostBody);
+    /** Returns the method, target and body of each request, up to a body over the limit. */
+    static List<String> parse(String bytes, int maxBodyBytes) {
+        StrictRequestParser parser = new StrictRequestParser(bytes, maxBodyBytes);
         try {
-            boolean goesOn = true;
-            while (goesOn) {
-                goesOn = reader.readRequest();
+            boolean more = true;
+            while (more) {
+                more = parser.readRequest();
             }
         } catch (EndException end) {
-            // Nothing behind this place belongs to anybody.
-            return reader.mTaken;
+            // Later bytes are not parsed.
+            return parser.mRequests;
         }
-        return reader.mTaken;
+        return parser.mRequests;
     }
 
     private boolean readRequest() {
-        while (mBytes.startsWith(LINE_END, mPlace)) {
-            mPlace += LINE_END.length();
+        while (mBytes.startsWith(LINE_END, mPosition)) {
+            mPosition += LINE_END.length();
         }
         Matcher line = REQUEST_LINE.matcher(readLine());
         expect(line.matches());
         List<Header> headers = readHeaders();
-        boolean current = line.group(3).equals("1");
-        checkHost(headers, current);
-        Optional<String> body = readBody(headers, current);
-        mTaken.add(
+        boolean isHttp11 = line.group(3).equals("1");
+        checkHost(headers, isHttp11);
+        Optional<String> body = readBody(headers, isHttp11);
+        mRequests.add(
                 body.isPresent()
                         ? line.group(1) + " " + line.group(2) + " " + body.get()
                         : "too large");
-        return current && body.isPresent();
+        return isHttp11 && body.isPresent();
     }
 
-    private static void expect(boolean proper) {
-        if (!proper) {
+    private static void expect(boolean valid) {
+        if (!valid) {
             throw new EndException();
         }
     }
 
     private String readLine() {
-        int end = mBytes.indexOf('\n', mPlace);
-        expect(end > mPlace && mBytes.charAt(end - 1) == '\r');
-        String line = mBytes.substring(mPlace, end - 1);
-        mPlace = end + 1;
+        int end = mBytes.indexOf('\n', mPosition);
+        expect(end > mPosition && mBytes.charAt(end - 1) == '\r');
+        String line = mBytes.substring(mPosition, end - 1);
+        mPosition = end + 1;
         return line;
     }
 
@@ -110,18 +109,18 @@
                 .toList();
     }
 
-    private static void checkHost(List<Header> headers, boolean current) {
+    private static void checkHost(List<Header> headers, boolean isHttp11) {
         List<String> hosts = values(headers, "host");
-        expect(hosts.size() == 1 || (hosts.isEmpty() && !current));
+        expect(hosts.size() == 1 || (hosts.isEmpty() && !isHttp11));
         expect(hosts.stream().allMatch(host -> HOST.matcher(host).matches()));
     }
 
     /** Returns the body; empty if it is over the limit. */
-    private Optional<String> readBody(List<Header> headers, boolean current) {
+    private Optional<String> readBody(List<Header> headers, boolean isHttp11) {
         List<String> codings = values(headers, "transfer-encoding");
         List<String> lengths = values(headers, "content-length");
         if (!codings.isEmpty()) {
-            expect(current && lengths.isEmpty() && codings.size() == 1);
+            expect(isHttp11 && lengths.isEmpty() && codings.size() == 1);
             expect(codings.get(0).equalsIgnoreCase("chunked"));
             return readChunks();
         }
@@ -130,20 +129,20 @@
         }
         expect(lengths.size() == 1 && LENGTH.matcher(lengths.get(0)).matches());
         long length = Long.parseLong(lengths.get(0));
-        return length > mMostBody ? Optional.empty() : Optional.of(readBytes((int) length));
+        return length > mMaxBodyBytes ? Optional.empty() : Optional.of(readBytes((int) length));
     }
 
     private String readBytes(int count) {
-        expect(mPlace + count <= mBytes.length());
-        mPlace += count;
-        return mBytes.substring(mPlace - count, mPlace);
+        expect(mPosition + count <= mBytes.length());
+        mPosition += count;
+        return mBytes.substring(mPosition - count, mPosition);
     }
 
     private Optional<String> readChunks() {
         StringBuilder body = new StringBuilder();
         int size = readChunkSize();
         while (size > 0) {
-            if (body.length() + Math.min(size, mBytes.length() - mPlace) > mMostBody) {
+            if (body.length() + Math.min(size, mBytes.length() - mPosition) > mMaxBodyBytes) {
                 return Optional.empty();
             }
             body.append(readBytes(size));
