--- a/kernel/src/main/java/org/dahliapass/kernel/ComponentLog.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ComponentLog.java
@@ -2,7 +2,7 @@
 
 import org.tinylog.Logger;
 
-/** Writes log lines with the fixed prefix of one part, so that a reader can filter by part. */
+/** A log whose lines start with the name of a component. */
 public final class ComponentLog {
     private final String mPrefix;
 
@@ -10,28 +10,28 @@
         mPrefix = prefix;
     }
 
-    /** Returns the log of a part; its lines begin with the part's name and a colon. */
-    public static ComponentLog of(String part) {
-        return new ComponentLog(part + ": ");
+    /** Returns the log of a component; its lines start with the component's name and a colon. */
+    public static ComponentLog of(String component) {
+        return new ComponentLog(component + ": ");
     }
 
-    /** Logs what is of use only while looking for a fault. */
-    public void debug(String sentence) {
-        Logger.debug(mPrefix + sentence);
+    /** Logs a message for debugging. */
+    public void debug(String message) {
+        Logger.debug(mPrefix + message);
     }
 
-    /** Logs what an operator may want to know. */
-    public void info(String sentence) {
-        Logger.info(mPrefix + sentence);
+    /** Logs a message that may interest an operator. */
+    public void info(String message) {
+        Logger.info(mPrefix + message);
     }
 
-    /** Logs what an operator should look at. */
-    public void warn(String sentence) {
-        Logger.warn(mPrefix + sentence);
+    /** Logs a message that an operator should investigate. */
+    public void warn(String message) {
+        Logger.warn(mPrefix + message);
     }
 
-    /** Logs a fault of this program, with its stack. */
-    public void error(String sentence, Throwable failure) {
-        Logger.error(failure, mPrefix + sentence);
+    /** Logs a defect of this program, with its stack trace. */
+    public void error(String message, Throwable failure) {
+        Logger.error(failure, mPrefix + message);
     }
 }
--- a/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ControlLoop.java
@@ -13,19 +13,20 @@
 import java.util.function.Supplier;
 
 /**
- * The one thread that owns all control state of a process.
+ * The event loop whose single thread owns all control state of a process.
  *
- * <p>Traffic threads post events here and read published snapshots; they never touch the state.
+ * <p>Traffic threads post events to it and read published snapshots; they never access the state
+ * directly.
  */
 public final class ControlLoop implements KernelService, Executor {
-    /** The name under which the kernel holds the control loop. */
+    /** The name under which the control loop is registered in the kernel. */
     public static final String NAME = "control-loop";
 
     private static final ComponentLog LOG = ComponentLog.of("control");
 
     private final Clock mClock;
     private final ScheduledThreadPoolExecutor mExecutor;
-    private final Queue<Future<?>> mTimers = new ConcurrentLinkedQueue<>();
+    private final Queue<Future<?>> mPeriodicTasks = new ConcurrentLinkedQueue<>();
 
     /** Creates the loop; its thread starts with the first event. */
     public ControlLoop(Clock clock) {
@@ -45,56 +46,57 @@
         return mClock.millis();
     }
 
-    /** Runs an event on the control thread, in the order of posting. */
+    /**
+     * Runs an event on the control thread, in submission order; dropped if the loop has stopped.
+     */
     @Override
     public void execute(Runnable event) {
         try {
-            mExecutor.execute(() -> runLogged(event));
-        } catch (RejectedExecutionException expected) {
+            mExecutor.execute(() -> runAndLogFailure(event));
+        } catch (RejectedExecutionException stopped) {
             LOG.debug("Event dropped: the loop has stopped.");
         }
     }
 
     /**
-     * Runs a question on the control thread and completes with its answer.
+     * Runs a supplier on the control thread and completes with its result.
      *
-     * @return fails with the question's own failure, or with a {@link OperationException} if the
+     * @return fails with the supplier's exception, or with an {@link OperationException} if the
      *     loop has stopped
      */
-    public <T> CompletableFuture<T> submit(Supplier<T> question) {
+    public <T> CompletableFuture<T> submit(Supplier<T> supplier) {
         try {
-            return CompletableFuture.supplyAsync(question, mExecutor);
-        } catch (RejectedExecutionException expected) {
+            return CompletableFuture.supplyAsync(supplier, mExecutor);
+        } catch (RejectedExecutionException stopped) {
             return CompletableFuture.failedFuture(
                     new OperationException(
-                            "ask", "control loop", "The loop has stopped. Ask another VM."));
+                            "submit", "control loop", "The loop has stopped. Try another VM."));
         }
     }
 
-    /** Runs an event on the control thread every period, first after one period. */
+    /** Runs an event on the control thread periodically, with a fixed delay between runs. */
     public void scheduleWithFixedDelay(Duration period, Runnable event) {
         try {
-            mTimers.add(
+            mPeriodicTasks.add(
                     mExecutor.scheduleWithFixedDelay(
-                            () -> runLogged(event),
+                            () -> runAndLogFailure(event),
                             period.toMillis(),
                             period.toMillis(),
                             TimeUnit.MILLISECONDS));
-        } catch (RejectedExecutionException expected) {
+        } catch (RejectedExecutionException stopped) {
             LOG.debug("Periodic event dropped: the loop has stopped.");
         }
     }
 
     /**
-     * Ends all periodic events, before the services that they use are stopped.
+     * Cancels all periodic events.
      *
-     * <p>Guards against a period that comes while its service is stopping, which would show as
-     * errors in the last lines of a log that is otherwise clean.
+     * <p>Called before services stop, so that no periodic event uses a stopping service.
      */
     public CompletableFuture<Void> cancelTimers() {
         return submit(
                 () -> {
-                    mTimers.forEach(timer -> timer.cancel(false));
+                    mPeriodicTasks.forEach(task -> task.cancel(false));
                     return null;
                 });
     }
@@ -104,8 +106,8 @@
         try {
             Future<?> unused =
                     mExecutor.schedule(
-                            () -> runLogged(event), delay.toMillis(), TimeUnit.MILLISECONDS);
-        } catch (RejectedExecutionException expected) {
+                            () -> runAndLogFailure(event), delay.toMillis(), TimeUnit.MILLISECONDS);
+        } catch (RejectedExecutionException stopped) {
             LOG.debug("Delayed event dropped: the loop has stopped.");
         }
     }
@@ -117,10 +119,11 @@
     }
 
     /**
-     * Guards against an event that throws: a scheduled event would silently never run again, which
-     * would show as a VM that probes and gossips no more. Logged, and the loop goes on.
+     * Runs an event and logs an exception.
+     *
+     * <p>The executor silently cancels a periodic task that throws.
      */
-    private static void runLogged(Runnable event) {
+    private static void runAndLogFailure(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException failure) {
--- a/kernel/src/main/java/org/dahliapass/kernel/ExitCode.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ExitCode.java
@@ -1,16 +1,16 @@
 package org.dahliapass.kernel;
 
-/** The exit codes that all binaries share. */
+/** The exit codes of all programs. */
 public enum ExitCode {
-    /** All was done. */
+    /** Success. */
     OK(0),
-    /** The work itself failed; the message tells where. */
+    /** The operation failed; the message names the operation and the peer. */
     FAILED(1),
-    /** The command line or a settings file is wrong; nothing was started. */
+    /** The command line or a settings file is invalid; nothing was started. */
     USAGE(2),
-    /** Another operator's change came first; the draft is kept. */
+    /** Another operator's change was accepted first; the draft is kept. */
     CONFLICT(3),
-    /** The outcome can't be told now; ask again as the message says. */
+    /** The outcome is unknown; the message says how to query it. */
     UNKNOWN(4);
 
     private final int mCode;
@@ -19,7 +19,7 @@
         mCode = code;
     }
 
-    /** Returns the number that the operating system is given. */
+    /** Returns the process exit status. */
     public int code() {
         return mCode;
     }
--- a/kernel/src/main/java/org/dahliapass/kernel/Futures.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Futures.java
@@ -4,17 +4,16 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.BiConsumer;
 
-/** Ends chains of futures whose last step nobody waits for. */
+/** Utilities for {@link CompletableFuture}s. */
 public final class Futures {
     private static final ComponentLog LOG = ComponentLog.of("futures");
 
     private Futures() {}
 
     /**
-     * Runs a callback when a future is done, with its value or its failure.
+     * Runs a callback when a future completes, with its value or its failure.
      *
-     * <p>Guards against a callback that throws: nobody holds the future of its end, so the failure
-     * would vanish, which shows as a request that hangs. It is logged here.
+     * <p>An exception of the callback is logged, since no caller sees the resulting future.
      */
     public static <T> void whenDone(
             CompletableFuture<T> future, BiConsumer<? super T, ? super Throwable> callback) {
@@ -23,14 +22,14 @@
                         (value, failure) -> {
                             try {
                                 callback.accept(value, failure);
-                            } catch (RuntimeException fault) {
-                                LOG.error("A callback failed.", fault);
-                                throw fault;
+                            } catch (RuntimeException exception) {
+                                LOG.error("A completion callback failed.", exception);
+                                throw exception;
                             }
                         });
     }
 
-    /** Returns what made a future fail, without what the chain of futures put around it. */
+    /** Returns the failure without any wrapping {@link CompletionException}s. */
     public static Throwable unwrap(Throwable failure) {
         Throwable cause = failure;
         while (cause instanceof CompletionException && cause.getCause() != null) {
--- a/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/IniFile.java
@@ -12,10 +12,9 @@
 import org.ini4j.Profile;
 
 /**
- * A settings file in INI, whose problems are collected and reported all at once.
+ * A settings file in INI format that collects all its problems and reports them together.
  *
- * <p>Sections and keys that nobody asked for are problems too: {@link #throwIfInvalid()} reports
- * them.
+ * <p>{@link #throwIfInvalid()} also reports sections and keys that were never requested.
  */
 public final class IniFile {
     private final String mName;
@@ -29,7 +28,7 @@
     /**
      * Reads a file.
      *
-     * @throws SettingsException if it can't be read or isn't INI
+     * @throws SettingsException if the file can't be read or isn't valid INI
      */
     public static IniFile read(Path path) {
         try {
@@ -38,15 +37,15 @@
             throw new SettingsException(
                     List.of(
                             new SettingsProblem(
-                                    path.toString(), "", "", "no readable file", "INI text")));
+                                    path.toString(), "", "", "an unreadable file", "INI text")));
         }
     }
 
     /**
-     * Reads a text.
+     * Parses a text. A duplicate section or key is reported as a problem.
      *
-     * @param name what problems call the file
-     * @throws SettingsException if it isn't INI or names a section or key twice
+     * @param name the file name used in problems
+     * @throws SettingsException if the text isn't valid INI
      */
     public static IniFile parse(String name, String text) {
         IniFile file = new IniFile(name);
@@ -75,7 +74,7 @@
         mSections.add(new IniSection(this, sectionName, sections.get(0)));
     }
 
-    /** Returns the section of this name; a missing one is a problem and reads as empty. */
+    /** Returns the section of this name; a missing one is reported and treated as empty. */
     public IniSection section(String name) {
         Optional<IniSection> found = optionalSection(name);
         if (found.isPresent()) {
@@ -85,32 +84,32 @@
         return new IniSection(this, name, null);
     }
 
-    /** Returns the section of this name if the file has it. */
+    /** Returns the section of this name, if it exists. */
     public Optional<IniSection> optionalSection(String name) {
         Optional<IniSection> found =
                 mSections.stream().filter(section -> section.name().equals(name)).findFirst();
-        found.ifPresent(IniSection::use);
+        found.ifPresent(IniSection::markRequested);
         return found;
     }
 
-    /** Returns the section of this name; a missing one reads as empty and is no problem. */
+    /** Returns the section of this name; a missing one is treated as empty and not reported. */
     public IniSection sectionOrEmpty(String name) {
         return optionalSection(name).orElseGet(() -> new IniSection(this, name, null));
     }
 
-    /** Returns, in file order, the sections whose names begin with this word and a space. */
+    /** Returns, in file order, the sections whose names start with this word and a space. */
     public List<IniSection> sectionsWithPrefix(String word) {
         List<IniSection> found =
                 mSections.stream()
                         .filter(section -> section.name().startsWith(word + " "))
                         .toList();
-        found.forEach(IniSection::use);
+        found.forEach(IniSection::markRequested);
         return found;
     }
 
-    /** Adds a problem. */
-    public void report(String section, String key, String met, String allowed) {
-        mProblems.add(new SettingsProblem(mName, section, key, met, allowed));
+    /** Reports a problem. */
+    public void report(String section, String key, String actual, String expected) {
+        mProblems.add(new SettingsProblem(mName, section, key, actual, expected));
     }
 
     boolean isValid(String section) {
@@ -118,9 +117,9 @@
     }
 
     /**
-     * Ends the reading.
+     * Validates the file after all settings have been read.
      *
-     * @throws SettingsException with all problems, unknown sections and keys included
+     * @throws SettingsException with all problems, including unknown sections and keys
      */
     public void throwIfInvalid() {
         for (IniSection section : mSections) {
--- a/kernel/src/main/java/org/dahliapass/kernel/JsonObject.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/JsonObject.java
@@ -10,47 +10,46 @@
 import java.util.Map;
 
 /**
- * A JSON object that is put together field by field and written as a text.
+ * A JSON object that is built field by field.
  *
- * <p>Written by the streaming generator: binding objects to JSON by reflection would load some 400
- * classes more into each process, a tenth of the time of its start.
+ * <p>Uses the streaming generator, since data binding loads many classes at startup.
  */
 public final class JsonObject {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private final Map<String, Object> mFields = new LinkedHashMap<>();
 
-    /** Adds a text; a missing one is written as null. */
+    /** Adds a string; null is written as JSON null. */
     public JsonObject put(String name, String value) {
         mFields.put(name, value);
         return this;
     }
 
-    /** Adds a whole number. */
+    /** Adds an integer. */
     public JsonObject put(String name, long value) {
         mFields.put(name, value);
         return this;
     }
 
-    /** Adds a number. */
+    /** Adds a floating-point number. */
     public JsonObject put(String name, double value) {
         mFields.put(name, value);
         return this;
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean. */
     public JsonObject put(String name, boolean value) {
         mFields.put(name, value);
         return this;
     }
 
-    /** Adds a list of texts and of objects. */
+    /** Adds an array of strings and {@link JsonObject}s. */
     public JsonObject putList(String name, List<?> values) {
         mFields.put(name, List.copyOf(values));
         return this;
     }
 
-    /** Returns the object as JSON without line ends. */
+    /** Returns the object as JSON on a single line. */
     @Override
     public String toString() {
         StringWriter text = new StringWriter();
--- a/kernel/src/main/java/org/dahliapass/kernel/Kernel.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Kernel.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Holds the services of one process by name, starts them in the order of registration and stops
- * them in the reverse order.
+ * A registry of a process's services that starts them in registration order and stops them in
+ * reverse order.
  *
- * <p>Registration ends before {@link #start()}; look-ups are safe from any thread after it.
+ * <p>Register all services before {@link #start()}; afterwards, lookups are thread-safe.
  */
 public final class Kernel {
     private static final ComponentLog LOG = ComponentLog.of("kernel");
@@ -20,22 +20,24 @@
     private final List<String> mStarted = new ArrayList<>();
 
     /**
-     * Adds a service under a name.
+     * Registers a service under a name.
      *
-     * @throws IllegalStateException if the name is taken; register each service once
+     * @throws IllegalStateException if the name is already registered
      */
     public Kernel register(String name, KernelService service) {
         if (mServices.putIfAbsent(name, service) != null) {
             throw new IllegalStateException(
-                    "A service named '" + name + "' exists. Register each service once.");
+                    "A service named '"
+                            + name
+                            + "' is already registered. Register each service once.");
         }
         return this;
     }
 
     /**
-     * Finds a service by name.
+     * Returns the service of a name.
      *
-     * @throws IllegalStateException if there is none of that name and type
+     * @throws IllegalStateException if there is no service of that name and type
      */
     public <T> T find(String name, Class<T> type) {
         KernelService service = mServices.get(name);
@@ -51,9 +53,9 @@
     }
 
     /**
-     * Starts all services one after another.
+     * Starts all services, one after another.
      *
-     * @return fails with the first failure; the services started until then are stopped again
+     * @return fails with the first failure, after the services started so far have stopped
      */
     public CompletableFuture<Void> start() {
         CompletableFuture<Void> chain = CompletableFuture.completedFuture(null);
@@ -64,7 +66,7 @@
                 .thenCompose(failure -> failure == null ? done() : stopAfter(failure));
     }
 
-    /** Stops the started services in reverse order; a failure is logged and does not stop it. */
+    /** Stops the started services in reverse order; failures are logged and ignored. */
     public CompletableFuture<Void> stop() {
         List<String> names;
         synchronized (mStarted) {
@@ -90,9 +92,10 @@
     }
 
     /**
-     * Guards against a service that throws instead of returning a failed future: the services below
-     * it would never be stopped, which would show as requests cut off when the process exits. A
-     * throw inside {@code thenCompose} becomes a failed future like any other.
+     * Stops a service and logs a failure.
+     *
+     * <p>Calls the service inside {@code thenCompose}, which turns an exception into a failed
+     * future, so that the remaining services still stop.
      */
     private CompletableFuture<Void> stopOne(String name) {
         return done().thenCompose(ignored -> mServices.get(name).stop())
--- a/kernel/src/main/java/org/dahliapass/kernel/KernelService.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/KernelService.java
@@ -2,24 +2,25 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A part of a process, which the {@link Kernel} starts, stops and finds by name. */
+/** A component of a process that the {@link Kernel} starts, stops and looks up by name. */
 public interface KernelService {
 
     /**
-     * Starts this service. Services that were registered earlier are running by then. Does nothing
-     * unless overridden.
+     * Starts this service, after all services that were registered earlier. Does nothing by
+     * default.
      *
-     * @param kernel where other services are found by name
-     * @return completes when the service may be used; fails with a {@link OperationException}
+     * @param kernel the kernel for looking up other services
+     * @return completes when the service is ready; fails with an {@link OperationException}
      */
     default CompletableFuture<Void> start(Kernel kernel) {
         return CompletableFuture.completedFuture(null);
     }
 
     /**
-     * Stops this service gracefully: what is in flight ends first. Does nothing unless overridden.
+     * Stops this service gracefully, after its work in flight has finished. Does nothing by
+     * default.
      *
-     * @return completes when nothing of this service runs any more
+     * @return completes when the service has stopped
      */
     default CompletableFuture<Void> stop() {
         return CompletableFuture.completedFuture(null);
--- a/kernel/src/main/java/org/dahliapass/kernel/ManualClock.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/ManualClock.java
@@ -6,18 +6,18 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** A clock that stands still until it is advanced; tests and experiments inject it. */
+/** A clock that changes only when it is advanced, for tests and simulations. Thread-safe. */
 public final class ManualClock extends Clock {
     private volatile Instant mNow;
 
-    /** Creates a clock that stands at the given time. */
+    /** Creates a clock set to the given time. */
     public ManualClock(Instant start) {
         mNow = start;
     }
 
-    /** Moves the clock forward. */
-    public synchronized void advance(Duration step) {
-        mNow = mNow.plus(step);
+    /** Advances the clock. */
+    public synchronized void advance(Duration duration) {
+        mNow = mNow.plus(duration);
     }
 
     @Override
--- a/kernel/src/main/java/org/dahliapass/kernel/MonotonicClock.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/MonotonicClock.java
@@ -7,11 +7,9 @@
 import java.time.ZoneOffset;
 
 /**
- * A clock that starts at the wall time and then follows the runtime's monotonic time.
+ * A clock that starts at the wall-clock time and advances with {@link System#nanoTime()}.
  *
- * <p>Guards against a wall clock that is set back or forth while the process runs, which would show
- * as leases and timeouts that end at once or never. It holds because only differences of {@link
- * System#nanoTime()} are added to the time read at the start.
+ * <p>Leases and timeouts stay correct when the wall clock is adjusted while the process runs.
  */
 public final class MonotonicClock extends Clock {
     private final Instant mStart = Instant.now();
--- a/kernel/src/main/java/org/dahliapass/kernel/OperationException.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/OperationException.java
@@ -1,36 +1,36 @@
 package org.dahliapass.kernel;
 
-/** A failure that tells at which step and at which peer it arose. */
+/** Thrown when an operation with a peer fails; its message names both. */
 public class OperationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final String mStep;
+    private final String mOperation;
     private final String mPeer;
 
     /**
-     * Creates a failure.
+     * Creates an exception.
      *
-     * @param step what was being done, for instance "read head"
-     * @param peer whom it was done with: an address or a name, "self" if nobody else
-     * @param message what is wrong and how to mend it
+     * @param operation the operation that failed, for instance "read head"
+     * @param peer the address or name of the peer; "self" if the operation is local
+     * @param message the reason and, if possible, a remedy
      */
-    public OperationException(String step, String peer, String message) {
-        this(step, peer, message, null);
+    public OperationException(String operation, String peer, String message) {
+        this(operation, peer, message, null);
     }
 
-    /** Creates a failure with the failure that led to it. */
-    public OperationException(String step, String peer, String message, Throwable cause) {
-        super(step + " at " + peer + ": " + message, cause);
-        mStep = step;
+    /** Creates an exception with a cause. */
+    public OperationException(String operation, String peer, String message, Throwable cause) {
+        super(operation + " at " + peer + ": " + message, cause);
+        mOperation = operation;
         mPeer = peer;
     }
 
-    /** Returns what was being done. */
+    /** Returns the operation that failed. */
     public String operation() {
-        return mStep;
+        return mOperation;
     }
 
-    /** Returns whom it was done with. */
+    /** Returns the address or name of the peer. */
     public String peer() {
         return mPeer;
     }
--- a/kernel/src/main/java/org/dahliapass/kernel/PeriodicTask.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/PeriodicTask.java
@@ -6,22 +6,22 @@
 import java.util.function.Supplier;
 
 /**
- * A task on the control thread that comes again only while it has something to do.
+ * A task on the control thread that repeats only while it has work.
  *
- * <p>A VM without work then sleeps: each run of a timer wakes a thread, and most VMs of a large
- * fleet have no work most of the time.
+ * <p>Avoids timer wake-ups on idle VMs, which are the majority in a large fleet.
  */
 public final class PeriodicTask {
     private final ControlLoop mLoop;
     private final Duration mDelay;
     private final Supplier<Optional<Duration>> mTask;
-    private final AtomicBoolean mPlanned = new AtomicBoolean();
+    private final AtomicBoolean mScheduled = new AtomicBoolean();
 
     /**
-     * Creates a task that sleeps.
+     * Creates an idle task.
      *
-     * @param delay from waking the task to its run
-     * @param task does one round and returns when the next one is due; empty to sleep again
+     * @param loop the loop on which the task runs
+     * @param delay the delay from {@link #wake()} to the run
+     * @param task runs once and returns the delay until its next run; empty to become idle
      */
     public PeriodicTask(ControlLoop loop, Duration delay, Supplier<Optional<Duration>> task) {
         mLoop = loop;
@@ -29,20 +29,20 @@
         mTask = task;
     }
 
-    /** Plans a run unless one is planned; any thread may call this, also during a run. */
+    /** Schedules a run unless one is scheduled. Thread-safe; may also be called during a run. */
     public void wake() {
-        plan(mDelay);
+        schedule(mDelay);
     }
 
-    private void plan(Duration delay) {
-        if (mPlanned.compareAndSet(false, true)) {
+    private void schedule(Duration delay) {
+        if (mScheduled.compareAndSet(false, true)) {
             mLoop.schedule(delay, this::run);
         }
     }
 
     private void run() {
-        // Before the round: what wakes the task during the round must not be lost.
-        mPlanned.set(false);
-        mTask.get().ifPresent(this::plan);
+        // Reset first, so that a wake-up during the run is not lost.
+        mScheduled.set(false);
+        mTask.get().ifPresent(this::schedule);
     }
 }
--- a/kernel/src/main/java/org/dahliapass/kernel/Program.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/Program.java
@@ -8,8 +8,8 @@
 import joptsimple.OptionSet;
 
 /**
- * A binary's command line: {@code --help}, {@code --version}, the program's own options, and exit
- * codes that mean the same everywhere.
+ * A command-line program with the options {@code --help} and {@code --version} and common exit
+ * codes.
  */
 public abstract class Program {
     /** The release that {@code --version} prints. */
@@ -18,21 +18,21 @@
     private final String mName;
     private final String mPurpose;
 
-    /** Creates the program with the name of its launcher and a sentence that says what it does. */
+    /** Creates the program with the name of its launcher and a one-sentence description. */
     protected Program(String name, String purpose) {
         mName = name;
         mPurpose = purpose;
     }
 
-    /** Declares the program's own options. */
+    /** Declares the options specific to this program. */
     protected abstract void declareOptions(OptionParser parser);
 
     /**
-     * Does the work.
+     * Runs the program.
      *
-     * @return the exit code; the process ends with it once this returns
-     * @throws SettingsException if a settings file is wrong: printed, exit code 2
-     * @throws OperationException if the work failed: printed, exit code 1
+     * @return the exit code of the process
+     * @throws SettingsException if a settings file is invalid; printed, exit code 2
+     * @throws OperationException if an operation failed; printed, exit code 1
      */
     protected abstract ExitCode run(OptionSet options) throws InterruptedException;
 
--- a/kernel/src/main/java/org/dahliapass/kernel/SettingsProblem.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/SettingsProblem.java
@@ -1,18 +1,18 @@
 package org.dahliapass.kernel;
 
 /**
- * One thing that is wrong in a settings file.
+ * A problem in a settings file.
  *
- * @param file the file's name as the user gave it
- * @param section the section's name, empty for the whole file
- * @param key the key's name, empty for the whole section
- * @param actual what was found, for instance "'fast'" or "nothing"
- * @param expected what may stand there
+ * @param file the file name as given by the user
+ * @param section the section's name; empty if the problem concerns the whole file
+ * @param key the key; empty if the problem concerns the whole section
+ * @param actual the value or state found, for instance "'fast'" or "nothing"
+ * @param expected the description of valid values
  */
 public record SettingsProblem(
         String file, String section, String key, String actual, String expected) {
 
-    /** Returns the problem as one line that says what is wrong and how to mend it. */
+    /** Returns the problem and the valid values on one line. */
     public String describe() {
         StringBuilder line = new StringBuilder(file);
         if (!section.isEmpty()) {
--- a/kernel/src/main/java/org/dahliapass/kernel/package-info.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** The micro-kernel: services that find each other by name, time, settings, errors, logs. */
+/** The microkernel: service lifecycle and lookup, time, settings, exceptions and logs. */
 package org.dahliapass.kernel;
--- a/kernel/src/test/java/org/dahliapass/kernel/ControlLoopTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/ControlLoopTest.java
@@ -18,7 +18,7 @@
 
 /** Tests {@link ControlLoop}. */
 public final class ControlLoopTest {
-    private static final int BOUND_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private ControlLoop mLoop;
 
@@ -33,58 +33,56 @@
     }
 
     @Test
-    public void executeKeepsTheOrderOfPosting() throws Exception {
-        List<Integer> seen = new ArrayList<>();
+    public void executeRunsEventsInOrder() throws Exception {
+        List<Integer> order = new ArrayList<>();
         for (int event = 0; event < 100; event++) {
             int number = event;
-            mLoop.execute(() -> seen.add(number));
+            mLoop.execute(() -> order.add(number));
         }
 
         List<Integer> copy =
-                mLoop.submit(() -> List.copyOf(seen)).get(BOUND_SECONDS, TimeUnit.SECONDS);
+                mLoop.submit(() -> List.copyOf(order)).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
         assertEquals(copy.size(), 100);
         assertEquals(copy, copy.stream().sorted().toList());
     }
 
     @Test
-    public void nowComesFromTheInjectedClock() {
+    public void nowMillisUsesTheInjectedClock() {
         assertEquals(mLoop.nowMillis(), 7);
     }
 
-    // A VM looks alive but probes and gossips no more. One event threw; the executor then dropped
-    // the periodic event for good, without a word. The loop must log it and run the next round.
+    // The executor silently cancels a periodic task that throws; probes and gossip would stop.
     @Test
-    public void periodicEventThatThrowsRunsAgain() throws Exception {
-        CountDownLatch rounds = new CountDownLatch(3);
+    public void periodicEventRunsAgainAfterItThrows() throws Exception {
+        CountDownLatch runs = new CountDownLatch(3);
         mLoop.scheduleWithFixedDelay(
                 Duration.ofMillis(1),
                 () -> {
-                    rounds.countDown();
-                    throw new IllegalStateException("The first round fails, as all do.");
+                    runs.countDown();
+                    throw new IllegalStateException("thrown by every run");
                 });
 
-        assertTrue(rounds.await(BOUND_SECONDS, TimeUnit.SECONDS));
+        assertTrue(runs.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    public void askGivesTheQuestionsFailureToTheAsker() {
+    public void submitFailsWithTheSuppliersException() {
         ExecutionException failure =
                 expectThrows(ExecutionException.class, () -> mLoop.submit(this::fail).get());
 
-        assertEquals(failure.getCause().getMessage(), "no answer");
+        assertEquals(failure.getCause().getMessage(), "no result");
     }
 
-    // A VM drains while a traffic thread still posts. What comes after the stop is dropped or
-    // answered with a failed future; nothing may be thrown into the traffic thread.
+    // A traffic thread may still post events while the VM drains; it must not see an exception.
     @Test
-    public void stoppedLoopDropsEventsAndFailsQuestions() {
+    public void stoppedLoopDropsEventsAndFailsSubmissions() {
         mLoop.stop().join();
 
         List<String> ran = new CopyOnWriteArrayList<>();
         mLoop.execute(() -> ran.add("execute"));
-        mLoop.schedule(Duration.ZERO, () -> ran.add("after"));
-        mLoop.scheduleWithFixedDelay(Duration.ofMillis(1), () -> ran.add("every"));
+        mLoop.schedule(Duration.ZERO, () -> ran.add("schedule"));
+        mLoop.scheduleWithFixedDelay(Duration.ofMillis(1), () -> ran.add("scheduleWithFixedDelay"));
         ExecutionException failure =
                 expectThrows(ExecutionException.class, () -> mLoop.submit(() -> 1).get());
         assertEquals(failure.getCause().getClass(), OperationException.class);
@@ -92,6 +90,6 @@
     }
 
     private Integer fail() {
-        throw new IllegalStateException("no answer");
+        throw new IllegalStateException("no result");
     }
 }
--- a/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniFileTest.java
@@ -12,7 +12,7 @@
 /** Tests {@link IniFile}. */
 public final class IniFileTest {
     @Test
-    public void checkPassesWhenAllWasAskedFor() {
+    public void fileWithOnlyRequestedKeysIsValid() {
         IniFile file = IniFile.parse("vm.ini", "; a comment\n[vm]\nname = a1\n");
 
         assertEquals(file.section("vm").text("name"), "a1");
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void checkReportsUnknownSectionsAndKeysWithWhatIsAllowed() {
+    public void unknownSectionsAndKeysAreReportedWithTheExpectedKeys() {
         IniFile file = IniFile.parse("vm.ini", "[vm]\nname = a1\nnmae = a2\n[vn]\nname = a3\n");
         String unused = file.section("vm").text("name");
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    public void sectionThatIsMissingIsOneProblemHoweverManyKeysAreAsked() {
+    public void missingSectionIsOneProblemRegardlessOfRequestedKeys() {
         IniFile file = IniFile.parse("vm.ini", "");
         long unused = file.section("vm").number("port", 1, 9) + file.section("vm").size("s", 0, 1);
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void optionalSectionThatIsMissingIsNoProblem() {
+    public void missingOptionalSectionIsValid() {
         IniFile file = IniFile.parse("vm.ini", "");
 
         assertFalse(file.optionalSection("vm").isPresent());
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void parseReportsASectionThatStandsTwice() {
+    public void duplicateSectionIsReported() {
         IniFile file = IniFile.parse("vm.ini", "[vm]\na = 1\n[vm]\na = 2\n");
         String unused = file.section("vm").text("a");
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void sectionsOfKeepsTheFilesOrder() {
+    public void sectionsWithPrefixKeepsTheFilesOrder() {
         IniFile file = IniFile.parse("t.ini", "[kind b]\n[service x]\n[kind a]\n[kinds c]\n");
 
         List<String> names =
@@ -68,12 +68,12 @@
     }
 
     @Test
-    public void parseRefusesWhatIsNoIni() {
+    public void parseRejectsTextThatIsNotIni() {
         expectThrows(SettingsException.class, () -> IniFile.parse("vm.ini", "name\n"));
     }
 
     @Test
-    public void readNamesTheFileThatIsMissing() {
+    public void readReportsTheMissingFile() {
         SettingsException failure =
                 expectThrows(SettingsException.class, () -> IniFile.read(Path.of("no-such.ini")));
 
--- a/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
@@ -16,12 +16,12 @@
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final Duration HOUR = Duration.ofHours(1);
 
-    private enum Pace {
+    private enum Speed {
         SLOW,
         VERY_FAST
     }
 
-    /** Gives a getter, a text that it takes, what it makes of it, and texts that it refuses. */
+    /** Getter, accepted text, its parsed value, and rejected texts. */
     @DataProvider
     public Object[][] getters() {
         return new Object[][] {
@@ -33,9 +33,9 @@
             row(s -> s.size("k", 1, 1 << 20), "64KB", 65_536L, List.of("0B", "2MB", "64", "9kb")),
             row(s -> s.yesNo("k"), "yes", true, List.of("true", "YES", "1")),
             row(
-                    s -> s.enumValue("k", Pace.class),
+                    s -> s.enumValue("k", Speed.class),
                     "very-fast",
-                    Pace.VERY_FAST,
+                    Speed.VERY_FAST,
                     List.of("VERY_FAST")),
             row(s -> s.list("k"), "a, b,,c", List.of("a", "b", "c"), List.of("")),
         };
@@ -44,18 +44,24 @@
     private static final List<String> DURATIONS = List.of("999ms", "2h", "5", "5 m", "-5s", "1d");
 
     private static Object[] row(
-            Function<IniSection, Object> getter, String taken, Object value, List<String> refused) {
-        return new Object[] {getter, taken, value, refused};
+            Function<IniSection, Object> getter,
+            String accepted,
+            Object value,
+            List<String> rejected) {
+        return new Object[] {getter, accepted, value, rejected};
     }
 
     @Test(dataProvider = "getters")
-    public void getterTakesAndRefuses(
-            Function<IniSection, Object> getter, String taken, Object value, List<String> refused) {
-        IniFile sound = IniFile.parse("f.ini", "[s]\nk = " + taken + "\n");
-        assertEquals(getter.apply(sound.section("s")), value);
-        sound.throwIfInvalid();
-
-        for (String text : refused) {
+    public void getterAcceptsAndRejects(
+            Function<IniSection, Object> getter,
+            String accepted,
+            Object value,
+            List<String> rejected) {
+        IniFile valid = IniFile.parse("f.ini", "[s]\nk = " + accepted + "\n");
+        assertEquals(getter.apply(valid.section("s")), value);
+        valid.throwIfInvalid();
+
+        for (String text : rejected) {
             IniFile wrong = IniFile.parse("f.ini", "[s]\nk = " + text + "\n");
             Object unused = getter.apply(wrong.section("s"));
 
@@ -69,7 +75,7 @@
     }
 
     @Test
-    public void getterWithAFallbackTakesAMissingKeyButNoWrongOne() {
+    public void getterWithFallbackAcceptsAMissingKeyButNoInvalidValue() {
         IniFile file = IniFile.parse("f.ini", "[s]\nwrong = 9\n");
         IniSection section = file.section("s");
 
@@ -81,7 +87,7 @@
     }
 
     @Test
-    public void keyThatStandsTwiceIsAProblem() {
+    public void duplicateKeyIsReported() {
         IniFile file = IniFile.parse("f.ini", "[s]\nk = 1\nk = 2\n");
         long unused = file.section("s").number("k", 1, 5);
 
--- a/kernel/src/test/java/org/dahliapass/kernel/KernelTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/KernelTest.java
@@ -24,8 +24,9 @@
     }
 
     @Test
-    public void startGoesInTheOrderOfRegistration() {
-        mKernel.register("first", sound("first")).register("second", sound("second"));
+    public void startFollowsTheOrderOfRegistration() {
+        mKernel.register("first", workingService("first"))
+                .register("second", workingService("second"));
 
         mKernel.start().join();
 
@@ -33,8 +34,9 @@
     }
 
     @Test
-    public void stopGoesInTheReverseOrderAndOnce() {
-        mKernel.register("first", sound("first")).register("second", sound("second"));
+    public void stopFollowsTheReverseOrderAndRunsOnce() {
+        mKernel.register("first", workingService("first"))
+                .register("second", workingService("second"));
         mKernel.start().join();
         mEvents.clear();
 
@@ -44,16 +46,14 @@
         assertEquals(mEvents, List.of("stop second", "stop first"));
     }
 
-    // A VM is started while its port is taken. The control state already runs, then the server
-    // can't bind. Without a way back the process would linger half started: what was started must
-    // stop again, what comes later must not start, and the reason must reach the operator.
+    // A VM whose port is in use must not remain partly started; the operator must see the cause.
     @Test
-    public void startThatFailsStopsWhatWasStartedAndTellsWhy() {
-        OperationException reason = new OperationException("bind", "self", "The port is taken.");
+    public void failedStartStopsStartedServicesAndReportsTheCause() {
+        OperationException reason = new OperationException("bind", "self", "The port is in use.");
         CompletableFuture<Void> broken = CompletableFuture.failedFuture(reason);
-        mKernel.register("first", sound("first"))
-                .register("broken", new Scripted("broken", () -> broken, Acts::done))
-                .register("third", sound("third"));
+        mKernel.register("first", workingService("first"))
+                .register("broken", new ScriptedService("broken", () -> broken, Actions::done))
+                .register("third", workingService("third"));
 
         ExecutionException failure =
                 expectThrows(ExecutionException.class, () -> mKernel.start().get());
@@ -62,13 +62,12 @@
         assertEquals(mEvents, List.of("start first", "start broken", "stop first"));
     }
 
-    // An operator stops a VM. One service throws instead of returning a failed future. The services
-    // below it must be stopped all the same, or requests in flight there are cut off by the exit.
+    // If the remaining services were not stopped, the exit would abort their requests in flight.
     @Test
-    public void stopGoesOnAfterAServiceThatThrows() {
-        mKernel.register("first", sound("first"))
-                .register("broken", new Scripted("broken", Acts::done, Acts::fail))
-                .register("third", sound("third"));
+    public void stopContinuesAfterAServiceThrows() {
+        mKernel.register("first", workingService("first"))
+                .register("broken", new ScriptedService("broken", Actions::done, Actions::fail))
+                .register("third", workingService("third"));
         mKernel.start().join();
         mEvents.clear();
 
@@ -78,18 +77,18 @@
     }
 
     @Test
-    public void findGivesTheServiceOfThatName() {
-        KernelService service = sound("first");
+    public void findReturnsTheServiceOfThatName() {
+        KernelService service = workingService("first");
         mKernel.register("first", service);
 
-        assertSame(mKernel.find("first", Scripted.class), service);
+        assertSame(mKernel.find("first", ScriptedService.class), service);
     }
 
     @Test
-    public void findRefusesAnUnknownNameAndAnotherType() {
-        mKernel.register("first", sound("first"));
+    public void findRejectsAnUnknownNameAndAnotherType() {
+        mKernel.register("first", workingService("first"));
 
-        expectThrows(IllegalStateException.class, () -> mKernel.find("two", Scripted.class));
+        expectThrows(IllegalStateException.class, () -> mKernel.find("two", ScriptedService.class));
         IllegalStateException failure =
                 expectThrows(
                         IllegalStateException.class,
@@ -98,22 +97,24 @@
     }
 
     @Test
-    public void registerRefusesASecondServiceOfAName() {
-        mKernel.register("first", sound("first"));
+    public void registerRejectsADuplicateName() {
+        mKernel.register("first", workingService("first"));
 
-        expectThrows(IllegalStateException.class, () -> mKernel.register("first", sound("first")));
+        expectThrows(
+                IllegalStateException.class,
+                () -> mKernel.register("first", workingService("first")));
     }
 
-    private KernelService sound(String name) {
-        return new Scripted(name, Acts::done, Acts::done);
+    private KernelService workingService(String name) {
+        return new ScriptedService(name, Actions::done, Actions::done);
     }
 
-    /** What a scripted service does when it is started or stopped. */
-    private interface Act {
+    /** The action of a scripted service when it is started or stopped. */
+    private interface Action {
         CompletableFuture<Void> run();
     }
 
-    private static final class Acts {
+    private static final class Actions {
         static CompletableFuture<Void> done() {
             return CompletableFuture.completedFuture(null);
         }
@@ -123,12 +124,12 @@
         }
     }
 
-    private final class Scripted implements KernelService {
+    private final class ScriptedService implements KernelService {
         private final String mName;
-        private final Act mStart;
-        private final Act mStop;
+        private final Action mStart;
+        private final Action mStop;
 
-        Scripted(String name, Act start, Act stop) {
+        ScriptedService(String name, Action start, Action stop) {
             mName = name;
             mStart = start;
             mStop = stop;
--- a/kernel/src/test/java/org/dahliapass/kernel/MonotonicClockTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/MonotonicClockTest.java
@@ -12,7 +12,7 @@
     private static final int READINGS = 100_000;
 
     @Test
-    public void instantNeverGoesBack() {
+    public void instantNeverDecreases() {
         MonotonicClock clock = new MonotonicClock();
         Instant last = clock.instant();
         for (int reading = 0; reading < READINGS; reading++) {
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void manualClockMovesOnlyWhenAdvanced() {
+    public void manualClockChangesOnlyWhenAdvanced() {
         ManualClock clock = new ManualClock(Instant.EPOCH);
         assertEquals(clock.millis(), 0);
 
--- a/kernel/src/test/java/org/dahliapass/kernel/PeriodicTaskTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/PeriodicTaskTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void taskComesAgainUntilItHasNothingToDo() throws InterruptedException {
+    public void taskRunsUntilItReturnsNoDelay() throws InterruptedException {
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch done = new CountDownLatch(1);
         PeriodicTask task =
@@ -48,23 +48,23 @@
         assertEquals((int) mLoop.submit(runs::get).join(), 3);
     }
 
-    /** News that comes while the task finds nothing to do must not wait for the next news. */
+    /** A wake-up during the last run must not be lost. */
     @Test
-    public void taskThatIsWokenDuringItsLastRoundComesAgain() throws InterruptedException {
-        CountDownLatch rounds = new CountDownLatch(2);
+    public void taskWokenDuringItsRunRunsAgain() throws InterruptedException {
+        CountDownLatch runs = new CountDownLatch(2);
         PeriodicTask[] task = new PeriodicTask[1];
         task[0] =
                 new PeriodicTask(
                         mLoop,
                         SOON,
                         () -> {
-                            if (rounds.getCount() == 2) {
+                            if (runs.getCount() == 2) {
                                 task[0].wake();
                             }
-                            rounds.countDown();
+                            runs.countDown();
                             return Optional.empty();
                         });
         task[0].wake();
-        rounds.await();
+        runs.await();
     }
 }
--- a/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/ProgramTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void helpPrintsPurposeAndOptionsAndRunsNothing() {
+    public void helpPrintsPurposeAndOptionsWithoutRunning() {
         assertEquals(run("--help"), ExitCode.OK);
         assertTrue(mOutput.toString(StandardCharsets.UTF_8).contains("Tests things."));
         assertTrue(mOutput.toString(StandardCharsets.UTF_8).contains("--depth"));
@@ -36,20 +36,20 @@
     }
 
     @Test
-    public void versionPrintsNameAndVersion() {
+    public void versionPrintsNameAndVersionWithoutRunning() {
         assertEquals(run("--version"), ExitCode.OK);
         assertEquals(mOutput.toString(StandardCharsets.UTF_8).trim(), "tester " + Program.VERSION);
         assertEquals(mRan, false);
     }
 
     @Test
-    public void soundOptionsRun() {
+    public void validOptionsRun() {
         assertEquals(run("--depth", "3"), ExitCode.OK);
         assertEquals(mRan, true);
     }
 
     @Test
-    public void unknownOptionIsAUsageErrorAndRunsNothing() {
+    public void unknownOptionIsAUsageError() {
         assertEquals(run("--dept-h", "3"), ExitCode.USAGE);
         assertTrue(mErrors.toString(StandardCharsets.UTF_8).contains("dept-h"));
         assertEquals(mRan, false);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void wrongSettingsAreAUsageError() {
+    public void invalidSettingsAreAUsageError() {
         mFailure =
                 new SettingsException(
                         List.of(new SettingsProblem("f.ini", "s", "k", "'x'", "a y")));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void failedWorkTellsStepAndPeer() {
+    public void failurePrintsOperationAndPeer() {
         mFailure = new OperationException("read head", "10.0.0.1:80", "No answer. Is it up?");
 
         assertEquals(run(), ExitCode.FAILED);
@@ -81,15 +81,15 @@
     }
 
     private ExitCode run(String... arguments) {
-        return new Tester()
+        return new TestProgram()
                 .main(
                         arguments,
                         new PrintStream(mOutput, true, StandardCharsets.UTF_8),
                         new PrintStream(mErrors, true, StandardCharsets.UTF_8));
     }
 
-    private final class Tester extends Program {
-        Tester() {
+    private final class TestProgram extends Program {
+        TestProgram() {
             super("tester", "Tests things.");
         }
 
