--- a/wire/src/main/java/org/dahliapass/wire/Addresses.java
+++ b/wire/src/main/java/org/dahliapass/wire/Addresses.java
@@ -7,17 +7,17 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
-/** Translates addresses by IP number, without asking a name service. */
+/** Converts between endpoints and socket addresses without DNS lookups. */
 final class Addresses {
     private Addresses() {}
 
     static InetSocketAddress toSocketAddress(Endpoint endpoint) {
-        byte[] number = NetUtil.createByteArrayFromIpAddressString(endpoint.host());
-        if (number == null) {
+        byte[] bytes = NetUtil.createByteArrayFromIpAddressString(endpoint.host());
+        if (bytes == null) {
             throw notAnAddress(endpoint, null);
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(number), endpoint.port());
+            return new InetSocketAddress(InetAddress.getByAddress(bytes), endpoint.port());
         } catch (UnknownHostException failure) {
             throw notAnAddress(endpoint, failure);
         }
@@ -29,9 +29,9 @@
 
     private static OperationException notAnAddress(Endpoint endpoint, Throwable cause) {
         return new OperationException(
-                "read address",
+                "parse address",
                 endpoint.toString(),
-                "The host isn't an IP number. Peers are named by IP number.",
+                "The host isn't an IP address; peers are addressed by IP address.",
                 cause);
     }
 }
--- a/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
+++ b/wire/src/main/java/org/dahliapass/wire/DatagramReceiver.java
@@ -10,21 +10,21 @@
 import org.dahliapass.wire.message.Gossip;
 import org.dahliapass.wire.message.ReplyStatus;
 
-/** Reads incoming datagrams, checks them and hands them on. */
+/** Decodes and validates incoming datagrams and passes them to the gossip handler. */
 final class DatagramReceiver extends SimpleChannelInboundHandler<DatagramPacket> {
     private static final ComponentLog LOG = ComponentLog.of("wire");
 
-    private final PeerMessageValidator mGuard;
+    private final PeerMessageValidator mValidator;
     private final GossipHandler mHandler;
     private final LinkFilter mFilter;
     private final TrafficCounters mCounters;
 
     DatagramReceiver(
-            PeerMessageValidator guard,
+            PeerMessageValidator validator,
             GossipHandler handler,
             LinkFilter filter,
             TrafficCounters counters) {
-        mGuard = guard;
+        mValidator = validator;
         mHandler = handler;
         mFilter = filter;
         mCounters = counters;
@@ -39,20 +39,20 @@
         }
         Gossip gossip = Gossip.parseFrom(ByteBufUtil.getBytes(packet.content()));
         mCounters.count(TrafficKind.of(gossip), Direction.IN, packet.content().readableBytes());
-        ReplyStatus status = mGuard.validate(gossip);
+        ReplyStatus status = mValidator.validate(gossip);
         if (status != ReplyStatus.OK) {
-            mCounters.countRefused(status);
+            mCounters.countRejected(status);
             return;
         }
         mHandler.onGossip(from, gossip);
     }
 
-    /** Keeps the socket open whatever arrives or can't be sent: it concerns only itself. */
+    /** Keeps the socket open, since a failure concerns a single datagram. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof InvalidProtocolBufferException) {
             mCounters.countMalformed();
         }
-        LOG.debug("A datagram failed: " + cause.getMessage());
+        LOG.debug("Processing a datagram failed: " + cause.getMessage());
     }
 }
--- a/wire/src/main/java/org/dahliapass/wire/Direction.java
+++ b/wire/src/main/java/org/dahliapass/wire/Direction.java
@@ -1,6 +1,6 @@
 package org.dahliapass.wire;
 
-/** Which way a message goes, seen from this process. */
+/** The direction of a message, as seen from this process. */
 public enum Direction {
     /** From a peer to this process. */
     IN,
--- a/wire/src/main/java/org/dahliapass/wire/LinkFilter.java
+++ b/wire/src/main/java/org/dahliapass/wire/LinkFilter.java
@@ -3,17 +3,17 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Decides which messages pass; tests cut links one way by it.
+ * A filter for messages, with which tests simulate one-way network partitions.
  *
- * <p>A datagram is asked about by the peer's address for peers, in both directions. A request and
- * its reply are asked about at the requester: the request as {@link Direction#OUT}, the reply as
- * {@link Direction#IN}.
+ * <p>Datagrams are filtered by the peer's address, in both directions. Requests and replies are
+ * filtered at the requester: the request as {@link Direction#OUT}, the reply as {@link
+ * Direction#IN}.
  */
 @FunctionalInterface
 public interface LinkFilter {
-    /** Lets everything pass. */
+    /** Allows all messages. */
     LinkFilter ALLOW_ALL = (peer, direction) -> true;
 
-    /** Returns whether a message passes; one that doesn't is lost without a sign. */
+    /** Returns whether a message is allowed; otherwise it is dropped silently. */
     boolean allows(Endpoint peer, Direction direction);
 }
--- a/wire/src/main/java/org/dahliapass/wire/MessageFraming.java
+++ b/wire/src/main/java/org/dahliapass/wire/MessageFraming.java
@@ -7,17 +7,20 @@
 import io.netty.handler.codec.protobuf.ProtobufDecoder;
 import io.netty.handler.codec.protobuf.ProtobufEncoder;
 
-/** Cuts a TCP stream into messages: four bytes of length, then the message. */
+/** The framing of messages in a TCP stream: a four-byte length, then the message. */
 final class MessageFraming {
-    /** A larger message closes the connection; a whole member list or template is smaller. */
+    /**
+     * The maximum message size, above that of any member list or template. A larger message closes
+     * the connection.
+     */
     static final int MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
     private MessageFraming() {}
 
-    /** Adds the codec for a stream whose incoming messages are of the prototype's type. */
-    static void addTo(ChannelPipeline pipeline, MessageLite prototype) {
+    /** Adds the codec for a stream whose incoming messages have the prototype's type. */
+    static void addCodec(ChannelPipeline pipeline, MessageLite prototype) {
         pipeline.addLast(
                 new LengthFieldBasedFrameDecoder(
                         MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
--- a/wire/src/main/java/org/dahliapass/wire/PeerConnection.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerConnection.java
@@ -17,11 +17,11 @@
 import org.dahliapass.wire.message.PeerRequest;
 import org.dahliapass.wire.message.ReplyStatus;
 
-/** The requester's end of one connection: pairs replies with requests by their id. */
+/** The client side of a connection to a peer; matches replies to requests by request id. */
 final class PeerConnection extends SimpleChannelInboundHandler<PeerReply> {
-    private static final int MOST_SILENT_TIMEOUTS = 3;
+    private static final int MAX_CONSECUTIVE_TIMEOUTS = 3;
 
-    /** A request that waits for its reply. */
+    /** A request that awaits its reply. */
     private record Pending(
             TrafficKind kind, CompletableFuture<PeerReply> reply, Future<?> timeout) {}
 
@@ -30,7 +30,7 @@
     private final TrafficCounters mCounters;
     private final Map<Long, Pending> mPending = new HashMap<>();
     private final Consumer<PeerConnection> mOnClosed;
-    private int mSilentTimeouts;
+    private int mConsecutiveTimeouts;
 
     PeerConnection(
             Endpoint peer,
@@ -47,7 +47,7 @@
         return mPeer;
     }
 
-    /** Sends a request; called on the channel's own thread. */
+    /** Sends a request; must be called on the channel's event loop. */
     void send(
             Channel channel,
             PeerRequest request,
@@ -55,7 +55,7 @@
             CompletableFuture<PeerReply> reply) {
         TrafficKind kind = TrafficKind.of(request);
         if (!channel.isActive()) {
-            reply.completeExceptionally(failure(kind, "The connection was closed. Try again."));
+            reply.completeExceptionally(failure(kind, "The connection is closed. Try again."));
             return;
         }
         if (!channel.isWritable()) {
@@ -63,13 +63,13 @@
             return;
         }
         long id = request.getRequestId();
-        Future<?> timer =
+        Future<?> timeoutTask =
                 channel.eventLoop()
                         .schedule(
                                 () -> onTimeout(channel, id),
                                 timeout.toMillis(),
                                 TimeUnit.MILLISECONDS);
-        mPending.put(id, new Pending(kind, reply, timer));
+        mPending.put(id, new Pending(kind, reply, timeoutTask));
         if (!mFilter.allows(mPeer, Direction.OUT)) {
             return;
         }
@@ -82,7 +82,7 @@
         if (!mFilter.allows(mPeer, Direction.IN)) {
             return;
         }
-        mSilentTimeouts = 0;
+        mConsecutiveTimeouts = 0;
         mCounters.count(TrafficKind.REPLY, Direction.IN, reply.getSerializedSize());
         Pending pending = mPending.remove(reply.getRequestId());
         if (pending == null) {
@@ -96,7 +96,7 @@
         pending.reply()
                 .completeExceptionally(
                         new RefusedException(
-                                step(pending.kind()),
+                                operation(pending.kind()),
                                 mPeer.toString(),
                                 reply.getStatus(),
                                 reply.getDetail()));
@@ -127,27 +127,29 @@
     }
 
     /**
-     * Guards against a connection whose other end vanished without a word: every request on it
-     * would time out while the peer is reachable again. After a few timeouts in a row without any
-     * reply it is closed, and the next request opens a new one.
+     * Fails a request and closes the connection after several consecutive timeouts.
+     *
+     * <p>If the peer vanishes without closing the connection, all requests on it time out even
+     * after the peer is reachable again.
      */
     private void onTimeout(Channel channel, long id) {
         Pending pending = mPending.remove(id);
         if (pending == null) {
             return;
         }
-        pending.reply().completeExceptionally(failure(pending.kind(), "No reply in time."));
-        mSilentTimeouts++;
-        if (mSilentTimeouts >= MOST_SILENT_TIMEOUTS) {
+        pending.reply()
+                .completeExceptionally(failure(pending.kind(), "No reply within the timeout."));
+        mConsecutiveTimeouts++;
+        if (mConsecutiveTimeouts >= MAX_CONSECUTIVE_TIMEOUTS) {
             Future<?> unused = channel.close();
         }
     }
 
     private OperationException failure(TrafficKind kind, String message) {
-        return new OperationException(step(kind), mPeer.toString(), message);
+        return new OperationException(operation(kind), mPeer.toString(), message);
     }
 
-    private static String step(TrafficKind kind) {
+    private static String operation(TrafficKind kind) {
         return "request " + kind;
     }
 }
--- a/wire/src/main/java/org/dahliapass/wire/PeerConnectionPool.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerConnectionPool.java
@@ -18,15 +18,15 @@
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
 
-/** Keeps one connection to each peer that this process sends requests to. */
+/** A pool with one connection to each peer that this process sends requests to. */
 final class PeerConnectionPool {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int IDLE_SECONDS = 60;
 
-    /** A connection that is open or being opened. */
-    private record Link(PeerConnection connection, ChannelFuture connected) {}
+    /** A connection that is open or opening. */
+    private record PooledConnection(PeerConnection connection, ChannelFuture connectFuture) {}
 
-    private final Map<Endpoint, Link> mLinks = new ConcurrentHashMap<>();
+    private final Map<Endpoint, PooledConnection> mConnections = new ConcurrentHashMap<>();
     private final EventLoopGroup mGroup;
     private final LinkFilter mFilter;
     private final TrafficCounters mCounters;
@@ -40,8 +40,9 @@
     CompletableFuture<PeerReply> request(Endpoint peer, PeerRequest request, Duration timeout) {
         CompletableFuture<PeerReply> reply = new CompletableFuture<>();
         try {
-            Link link = mLinks.computeIfAbsent(peer, this::open);
-            link.connected().addListener(done -> onConnected(peer, link, request, timeout, reply));
+            PooledConnection pooled = mConnections.computeIfAbsent(peer, this::open);
+            pooled.connectFuture()
+                    .addListener(done -> onConnected(peer, pooled, request, timeout, reply));
         } catch (OperationException failure) {
             reply.completeExceptionally(failure);
         }
@@ -49,37 +50,37 @@
     }
 
     void close() {
-        for (Link link : mLinks.values()) {
-            ChannelFuture unused = link.connected().channel().close();
+        for (PooledConnection pooled : mConnections.values()) {
+            ChannelFuture unused = pooled.connectFuture().channel().close();
         }
     }
 
     private void onConnected(
             Endpoint peer,
-            Link link,
+            PooledConnection pooled,
             PeerRequest request,
             Duration timeout,
             CompletableFuture<PeerReply> reply) {
-        if (!link.connected().isSuccess()) {
-            mLinks.remove(peer, link);
+        if (!pooled.connectFuture().isSuccess()) {
+            mConnections.remove(peer, pooled);
             reply.completeExceptionally(
                     new OperationException(
                             "connect",
                             peer.toString(),
-                            "The peer can't be reached. Check that it runs.",
-                            link.connected().cause()));
+                            "The peer can't be reached. Check that it is running.",
+                            pooled.connectFuture().cause()));
             return;
         }
-        link.connection().send(link.connected().channel(), request, timeout, reply);
+        pooled.connection().send(pooled.connectFuture().channel(), request, timeout, reply);
     }
 
-    private void forget(PeerConnection closed) {
-        mLinks.computeIfPresent(
-                closed.peer(), (peer, link) -> link.connection() == closed ? null : link);
+    private void remove(PeerConnection closed) {
+        mConnections.computeIfPresent(
+                closed.peer(), (peer, pooled) -> pooled.connection() == closed ? null : pooled);
     }
 
-    private Link open(Endpoint peer) {
-        PeerConnection connection = new PeerConnection(peer, mFilter, mCounters, this::forget);
+    private PooledConnection open(Endpoint peer) {
+        PeerConnection connection = new PeerConnection(peer, mFilter, mCounters, this::remove);
         Bootstrap bootstrap =
                 new Bootstrap()
                         .group(mGroup)
@@ -91,13 +92,13 @@
                                     @Override
                                     protected void initChannel(Channel channel) {
                                         ChannelPipeline pipeline = channel.pipeline();
-                                        MessageFraming.addTo(
+                                        MessageFraming.addCodec(
                                                 pipeline, PeerReply.getDefaultInstance());
                                         pipeline.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS));
                                         pipeline.addLast(connection);
                                     }
                                 });
-        ChannelFuture connected = bootstrap.connect(Addresses.toSocketAddress(peer));
-        return new Link(connection, connected);
+        ChannelFuture connectFuture = bootstrap.connect(Addresses.toSocketAddress(peer));
+        return new PooledConnection(connection, connectFuture);
     }
 }
--- a/wire/src/main/java/org/dahliapass/wire/PeerMessageValidator.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerMessageValidator.java
@@ -10,39 +10,42 @@
 import org.dahliapass.wire.message.ReplyStatus;
 
 /**
- * Refuses strangers: only members of this fleet speak.
+ * Rejects messages from outside the fleet and messages for an earlier process at this address.
  *
- * <p>Three checks, in this order. The fleet's name must be this one's, or the message is of another
- * fleet that was given a wrong or reused address. The incarnation that the sender means must be
- * this process's, or it was meant for a process that ran here before; only a join and a datagram
- * with the sender's own news may leave it open. The sender must be a member; a join and a datagram
- * with the sender's own news may come from a VM that isn't one yet. A refused datagram is dropped;
- * a refused request is answered by its reason. Each is counted.
+ * <p>Checks, in this order:
  *
- * <p>This keeps misdirected and outdated messages out. It doesn't prove who sent a message: whoever
- * can reach the port and knows the fleet's name can claim to be a VM.
+ * <ul>
+ *   <li>The fleet name must match; an address may be misconfigured or reused by another fleet.
+ *   <li>The recipient incarnation must be that of this process. It may be 0 in a join and in a
+ *       datagram that announces its sender.
+ *   <li>The sender must be a member, except in a join and in a datagram that announces its sender.
+ * </ul>
+ *
+ * <p>The caller drops a rejected datagram, replies to a rejected request with the status, and
+ * counts both. This is no authentication: any process that reaches the port and knows the fleet
+ * name can claim to be a VM.
  */
 final class PeerMessageValidator {
     private final String mFleet;
     private final VmIdentity mSelf;
-    private final Predicate<VmIdentity> mMembers;
+    private final Predicate<VmIdentity> mMembershipCheck;
 
-    PeerMessageValidator(String fleet, VmIdentity self, Predicate<VmIdentity> members) {
+    PeerMessageValidator(String fleet, VmIdentity self, Predicate<VmIdentity> membershipCheck) {
         mFleet = fleet;
         mSelf = self;
-        mMembers = members;
+        mMembershipCheck = membershipCheck;
     }
 
-    /** Returns OK or why the datagram is refused. */
+    /** Returns OK, or the reason why the datagram is rejected. */
     ReplyStatus validate(Gossip gossip) {
         return validate(
                 gossip.getFleet(),
                 gossip.getRecipientIncarnation(),
                 gossip.getSender(),
-                carriesOwnNews(gossip));
+                announcesSender(gossip));
     }
 
-    /** Returns OK or why the request is refused. */
+    /** Returns OK, or the reason why the request is rejected. */
     ReplyStatus validate(PeerRequest request) {
         return validate(
                 request.getFleet(),
@@ -52,19 +55,21 @@
     }
 
     private ReplyStatus validate(
-            String fleet, long recipientIncarnation, Identity sender, boolean introduces) {
+            String fleet, long recipientIncarnation, Identity sender, boolean announcesSender) {
         if (!fleet.equals(mFleet)) {
             return ReplyStatus.WRONG_FLEET;
         }
-        boolean open = introduces && recipientIncarnation == 0;
-        if (!open && recipientIncarnation != mSelf.incarnation()) {
+        boolean anyIncarnation = announcesSender && recipientIncarnation == 0;
+        if (!anyIncarnation && recipientIncarnation != mSelf.incarnation()) {
             return ReplyStatus.WRONG_INCARNATION;
         }
         VmIdentity identity = new VmIdentity(sender.getName(), sender.getIncarnation());
-        return introduces || mMembers.test(identity) ? ReplyStatus.OK : ReplyStatus.NOT_A_MEMBER;
+        return announcesSender || mMembershipCheck.test(identity)
+                ? ReplyStatus.OK
+                : ReplyStatus.NOT_A_MEMBER;
     }
 
-    private static boolean carriesOwnNews(Gossip gossip) {
+    private static boolean announcesSender(Gossip gossip) {
         for (MemberUpdate update : gossip.getMembersList()) {
             if (update.getIdentity().equals(gossip.getSender())) {
                 return update.getStatus() == MemberStatus.ALIVE
--- a/wire/src/main/java/org/dahliapass/wire/PeerRequestServer.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerRequestServer.java
@@ -16,10 +16,10 @@
 import org.dahliapass.wire.message.PeerRequest;
 import org.dahliapass.wire.message.ReplyStatus;
 
-/** The answering end of all connections: checks each request and writes its reply. */
+/** The server side of all connections; validates each request and writes its reply. */
 @Sharable
 final class PeerRequestServer extends SimpleChannelInboundHandler<PeerRequest> {
-    private final PeerMessageValidator mGuard;
+    private final PeerMessageValidator mValidator;
     private final RequestHandler mHandler;
     private final TrafficCounters mCounters;
     private final Set<Channel> mChannels = ConcurrentHashMap.newKeySet();
@@ -28,16 +28,16 @@
     private volatile boolean mStopping;
 
     PeerRequestServer(
-            PeerMessageValidator guard, RequestHandler handler, TrafficCounters counters) {
-        mGuard = guard;
+            PeerMessageValidator validator, RequestHandler handler, TrafficCounters counters) {
+        mValidator = validator;
         mHandler = handler;
         mCounters = counters;
     }
 
     /**
-     * Answers what is in flight, refuses what comes after, then closes the connections.
+     * Completes the requests in flight, rejects new ones, then closes the connections.
      *
-     * @return completes when the last answer has been written
+     * @return completes when the last reply has been written
      */
     CompletableFuture<Void> drain() {
         mStopping = true;
@@ -61,27 +61,27 @@
     protected void channelRead0(ChannelHandlerContext context, PeerRequest request) {
         TrafficKind kind = TrafficKind.of(request);
         mCounters.count(kind, Direction.IN, request.getSerializedSize());
-        ReplyStatus status = mGuard.validate(request);
+        ReplyStatus status = mValidator.validate(request);
         if (status == ReplyStatus.OK && kind == TrafficKind.UNKNOWN) {
             status = ReplyStatus.UNKNOWN_REQUEST;
         }
         if (status != ReplyStatus.OK) {
-            mCounters.countRefused(status);
-            write(context, request, refusal(status, "Refused: see the status."));
+            mCounters.countRejected(status);
+            write(context, request, rejection(status, "Refused: see the status."));
             return;
         }
         mInFlight.incrementAndGet();
         if (mStopping) {
-            write(context, request, refusal(ReplyStatus.FAILED, "The VM stops. Ask another."));
-            finish();
+            write(context, request, rejection(ReplyStatus.FAILED, "The VM stops. Ask another."));
+            finishRequest();
             return;
         }
         CompletableFuture<Void> unused =
                 handle(request)
                         .handle(
                                 (body, failure) -> {
-                                    write(context, request, finished(body, failure));
-                                    finish();
+                                    write(context, request, toReply(body, failure));
+                                    finishRequest();
                                     return null;
                                 });
     }
@@ -92,15 +92,15 @@
         ChannelFuture unused = context.close();
     }
 
-    private void finish() {
+    private void finishRequest() {
         if (mInFlight.decrementAndGet() == 0 && mStopping) {
             mDrained.complete(null);
         }
     }
 
     /**
-     * Guards against a handler that throws instead of failing its future: the requester would wait
-     * for its timeout, and a stop for an answer that never comes.
+     * Calls the handler and converts an exception into a failed future; otherwise the requester
+     * would time out and {@link #drain()} would never complete.
      */
     private CompletableFuture<PeerReply> handle(PeerRequest request) {
         try {
@@ -111,21 +111,20 @@
     }
 
     private void write(ChannelHandlerContext context, PeerRequest request, PeerReply reply) {
-        PeerReply stamped =
+        PeerReply complete =
                 reply.toBuilder()
                         .setVersion(PeerTransport.VERSION)
                         .setRequestId(request.getRequestId())
                         .build();
-        mCounters.count(TrafficKind.REPLY, Direction.OUT, stamped.getSerializedSize());
-        ChannelFuture unused = context.writeAndFlush(stamped, context.voidPromise());
+        mCounters.count(TrafficKind.REPLY, Direction.OUT, complete.getSerializedSize());
+        ChannelFuture unused = context.writeAndFlush(complete, context.voidPromise());
     }
 
     /**
      * Closes the connections; completes when all are closed.
      *
-     * <p>Guards against an event loop that is shut down with answers still queued: it closes its
-     * channels before it writes, which shows as a request cut off by a planned stop. A close is
-     * queued behind the answers, so once it has ended they are written.
+     * <p>A close is queued after pending replies, so they are written first. A shutdown of the
+     * event loop would discard them.
      */
     private CompletableFuture<Void> closeAll() {
         List<CompletableFuture<Void>> closes = new ArrayList<>();
@@ -137,13 +136,13 @@
         return CompletableFuture.allOf(closes.toArray(CompletableFuture<?>[]::new));
     }
 
-    private static PeerReply finished(PeerReply body, Throwable failure) {
+    private static PeerReply toReply(PeerReply body, Throwable failure) {
         return failure == null
                 ? body.toBuilder().setStatus(ReplyStatus.OK).build()
-                : refusal(ReplyStatus.FAILED, failure.getMessage());
+                : rejection(ReplyStatus.FAILED, failure.getMessage());
     }
 
-    private static PeerReply refusal(ReplyStatus status, String detail) {
+    private static PeerReply rejection(ReplyStatus status, String detail) {
         String text = detail == null ? "" : detail;
         return PeerReply.newBuilder().setStatus(status).setDetail(text).build();
     }
--- a/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
@@ -31,28 +31,28 @@
 import org.dahliapass.wire.message.PeerRequest;
 
 /**
- * Sends and receives the messages between VMs: datagrams by UDP and requests by TCP, on one port
- * number.
+ * Sends and receives the messages between VMs: datagrams over UDP and requests over TCP, on the
+ * same port number.
  *
- * <p>Set the handlers and the member check before the start. Only members speak: a message of
- * another fleet, for another incarnation, or of a sender that the member check doesn't know is
- * refused and counted in {@link TrafficCounters#refused}; only a join and a datagram with the
- * sender's own news may come from a VM that isn't a member yet.
+ * <p>Set the handlers and the membership check before the start. A message from another fleet, for
+ * another incarnation or from a VM that isn't a member is rejected and counted in {@link
+ * TrafficCounters#refused}. Only a join and a datagram that announces its sender are accepted from
+ * a VM that isn't a member yet.
  */
 public final class PeerTransport implements KernelService {
-    /** The name under which the kernel holds the transport. */
+    /** The name under which the transport is registered in the kernel. */
     public static final String NAME = "peer-transport";
 
-    /** The version of the messages that this release writes. */
+    /** The version of the messages that this release sends. */
     public static final int VERSION = 1;
 
-    /** A larger datagram isn't sent, since networks may drop its fragments. */
+    /** The maximum datagram size; networks may drop fragments of larger ones. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final ComponentLog LOG = ComponentLog.of("wire");
     private static final int THREADS = 2;
-    private static final int BIND_TRIES = 16;
-    private static final long STOP_SECONDS = 2;
+    private static final int MAX_BIND_ATTEMPTS = 16;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     private final PeerTransportSettings mSettings;
     private final LinkFilter mFilter;
@@ -62,14 +62,14 @@
     private GossipHandler mGossipHandler = (from, gossip) -> {};
     private RequestHandler mRequestHandler =
             request -> CompletableFuture.failedFuture(new IllegalStateException("No handler set."));
-    private Predicate<VmIdentity> mMembers = identity -> false;
+    private Predicate<VmIdentity> mMembershipCheck = identity -> false;
     private EventLoopGroup mGroup;
     private PeerConnectionPool mConnections;
     private PeerRequestServer mServer;
-    private Channel mTcp;
-    private volatile Channel mUdp;
+    private Channel mTcpChannel;
+    private volatile Channel mUdpChannel;
 
-    /** Creates the transport; {@link LinkFilter#ALLOW_ALL} lets everything pass. */
+    /** Creates the transport. */
     public PeerTransport(PeerTransportSettings settings, LinkFilter filter) {
         mSettings = settings;
         mFilter = filter;
@@ -80,47 +80,47 @@
                         .build();
     }
 
-    /** Sets who takes datagrams. */
+    /** Sets the handler of incoming datagrams. */
     public void setGossipHandler(GossipHandler handler) {
         mGossipHandler = handler;
     }
 
-    /** Sets who answers requests. */
+    /** Sets the handler of incoming requests. */
     public void setRequestHandler(RequestHandler handler) {
         mRequestHandler = handler;
     }
 
-    /** Sets how to tell whether a VM is a member; asked on traffic threads. */
-    public void setMembershipCheck(Predicate<VmIdentity> members) {
-        mMembers = members;
+    /** Sets the predicate that returns whether a VM is a member; called on traffic threads. */
+    public void setMembershipCheck(Predicate<VmIdentity> membershipCheck) {
+        mMembershipCheck = membershipCheck;
     }
 
-    /** Returns what was sent, received and refused. */
+    /** Returns the counters of sent, received and rejected messages. */
     public TrafficCounters counters() {
         return mCounters;
     }
 
-    /** Returns where this process listens; valid once started. */
+    /** Returns the endpoint address this process listens; valid once started. */
     public Endpoint endpoint() {
-        return Addresses.toEndpoint((InetSocketAddress) mUdp.localAddress());
+        return Addresses.toEndpoint((InetSocketAddress) mUdpChannel.localAddress());
     }
 
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         mGroup = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
-        PeerMessageValidator guard =
-                new PeerMessageValidator(mSettings.fleet(), mSettings.self(), mMembers);
-        mServer = new PeerRequestServer(guard, mRequestHandler, mCounters);
+        PeerMessageValidator validator =
+                new PeerMessageValidator(mSettings.fleet(), mSettings.self(), mMembershipCheck);
+        mServer = new PeerRequestServer(validator, mRequestHandler, mCounters);
         mConnections = new PeerConnectionPool(mGroup, mFilter, mCounters);
-        return bind(guard, BIND_TRIES)
+        return bind(validator, MAX_BIND_ATTEMPTS)
                 .handle((ignored, failure) -> failure)
-                .thenCompose(failure -> failure == null ? done() : shutDownAfter(failure));
+                .thenCompose(failure -> failure == null ? completed() : shutDownAfter(failure));
     }
 
     @Override
     public CompletableFuture<Void> stop() {
-        ChannelFuture unusedTcp = mTcp.close();
-        ChannelFuture unusedUdp = mUdp.close();
+        ChannelFuture unusedTcp = mTcpChannel.close();
+        ChannelFuture unusedUdp = mUdpChannel.close();
         return mServer.drain()
                 .thenCompose(
                         ignored -> {
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Sends a datagram; loss shows no sign. The transport fills in version, fleet and sender. One
-     * of more than {@link #MAX_DATAGRAM_BYTES} is dropped and counted.
+     * Sends a datagram without confirmation; the transport sets its version, fleet and sender. A
+     * datagram larger than {@link #MAX_DATAGRAM_BYTES} is dropped and counted.
      */
     public void sendDatagram(Endpoint to, Gossip gossip) {
         byte[] bytes =
@@ -143,7 +143,7 @@
                         .toByteArray();
         if (bytes.length > MAX_DATAGRAM_BYTES) {
             mCounters.countOversized();
-            LOG.warn("A datagram of " + bytes.length + " bytes was dropped. Carry less news.");
+            LOG.warn("A datagram of " + bytes.length + " bytes was dropped: it is too large.");
             return;
         }
         if (!mFilter.allows(to, Direction.OUT)) {
@@ -152,38 +152,38 @@
         InetSocketAddress address = Addresses.toSocketAddress(to);
         mCounters.count(TrafficKind.of(gossip), Direction.OUT, bytes.length);
         ChannelFuture unused =
-                mUdp.writeAndFlush(
+                mUdpChannel.writeAndFlush(
                         new DatagramPacket(Unpooled.wrappedBuffer(bytes), address),
-                        mUdp.voidPromise());
+                        mUdpChannel.voidPromise());
     }
 
     /**
-     * Sends a request over the one connection to that peer, which is opened if need be. The
-     * transport fills in version, fleet, sender and request id.
+     * Sends a request over the connection to the peer, which is opened if necessary. The transport
+     * sets the version, fleet, sender and request id.
      *
-     * @return the reply of status OK; fails with a {@link RefusedException} that tells another
-     *     status, or with a {@link OperationException} if there is no reply in time
+     * @return the reply with status OK; fails with a {@link RefusedException} for any other status,
+     *     or with an {@link OperationException} if there is no reply within the timeout
      */
     public CompletableFuture<PeerReply> request(
             Endpoint to, PeerRequest request, Duration timeout) {
-        PeerRequest stamped =
+        PeerRequest complete =
                 request.toBuilder()
                         .setVersion(VERSION)
                         .setFleet(mSettings.fleet())
                         .setSender(mSelf)
                         .setRequestId(mRequestId.incrementAndGet())
                         .build();
-        return mConnections.request(to, stamped, timeout);
+        return mConnections.request(to, complete, timeout);
     }
 
-    private CompletableFuture<Void> bind(PeerMessageValidator guard, int triesLeft) {
+    private CompletableFuture<Void> bind(PeerMessageValidator validator, int attemptsLeft) {
         CompletableFuture<Void> bound = new CompletableFuture<>();
         ChannelFuture unused =
                 bindTcp()
                         .addListener(
                                 (ChannelFuture tcp) -> {
                                     if (tcp.isSuccess()) {
-                                        bindUdp(guard, tcp.channel(), triesLeft, bound);
+                                        bindUdp(validator, tcp.channel(), attemptsLeft, bound);
                                     } else {
                                         fail(bound, "bind TCP", tcp.cause());
                                     }
@@ -192,12 +192,16 @@
     }
 
     /**
-     * Guards against a free TCP port whose UDP twin is taken, which would show as a VM that fails
-     * to start now and then: with port 0, another port is tried.
+     * Binds UDP to the port bound for TCP; if it is in use and the configured port is 0, retries
+     * with another port.
      */
     private void bindUdp(
-            PeerMessageValidator guard, Channel tcp, int triesLeft, CompletableFuture<Void> bound) {
-        DatagramReceiver receiver = new DatagramReceiver(guard, mGossipHandler, mFilter, mCounters);
+            PeerMessageValidator validator,
+            Channel tcp,
+            int attemptsLeft,
+            CompletableFuture<Void> bound) {
+        DatagramReceiver receiver =
+                new DatagramReceiver(validator, mGossipHandler, mFilter, mCounters);
         int port = ((InetSocketAddress) tcp.localAddress()).getPort();
         ChannelFuture unused =
                 new Bootstrap()
@@ -208,14 +212,14 @@
                         .addListener(
                                 (ChannelFuture udp) -> {
                                     if (udp.isSuccess()) {
-                                        mTcp = tcp;
-                                        mUdp = udp.channel();
+                                        mTcpChannel = tcp;
+                                        mUdpChannel = udp.channel();
                                         bound.complete(null);
                                         return;
                                     }
                                     ChannelFuture unusedTcp = tcp.close();
-                                    if (mSettings.port() == 0 && triesLeft > 1) {
-                                        forward(bind(guard, triesLeft - 1), bound);
+                                    if (mSettings.port() == 0 && attemptsLeft > 1) {
+                                        forward(bind(validator, attemptsLeft - 1), bound);
                                     } else {
                                         fail(bound, "bind UDP", udp.cause());
                                     }
@@ -230,7 +234,7 @@
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                MessageFraming.addTo(
+                                MessageFraming.addCodec(
                                         channel.pipeline(), PeerRequest.getDefaultInstance());
                                 channel.pipeline().addLast(mServer);
                             }
@@ -239,10 +243,10 @@
     }
 
     private void fail(CompletableFuture<Void> bound, String step, Throwable cause) {
-        String where = mSettings.host() + ":" + mSettings.port();
+        String address = mSettings.host() + ":" + mSettings.port();
         bound.completeExceptionally(
                 new OperationException(
-                        step, where, "The port can't be taken. Choose another.", cause));
+                        step, address, "The port can't be bound. Choose another.", cause));
     }
 
     private static void forward(CompletableFuture<Void> from, CompletableFuture<Void> to) {
@@ -257,7 +261,7 @@
                         });
     }
 
-    private static CompletableFuture<Void> done() {
+    private static CompletableFuture<Void> completed() {
         return CompletableFuture.completedFuture(null);
     }
 
@@ -268,7 +272,7 @@
     private CompletableFuture<Void> shutDown() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         Future<?> unused =
-                mGroup.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS)
+                mGroup.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                         .addListener(done -> stopped.complete(null));
         return stopped;
     }
--- a/wire/src/main/java/org/dahliapass/wire/RequestHandler.java
+++ b/wire/src/main/java/org/dahliapass/wire/RequestHandler.java
@@ -4,14 +4,14 @@
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
 
-/** Answers incoming requests, on a traffic thread; it must not block. */
+/** Handles incoming requests. Called on a traffic thread; must not block. */
 @FunctionalInterface
 public interface RequestHandler {
     /**
-     * Answers a request that the guard let pass.
+     * Handles a validated request.
      *
-     * @return the reply with its body; the transport fills in version, request id and status. A
-     *     failure is answered by the status FAILED.
+     * @return the reply with its body; the transport sets the version, request id and status. On
+     *     failure, it replies with status FAILED.
      */
     CompletableFuture<PeerReply> onRequest(PeerRequest request);
 }
--- a/wire/src/main/java/org/dahliapass/wire/TrafficCounters.java
+++ b/wire/src/main/java/org/dahliapass/wire/TrafficCounters.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.dahliapass.wire.message.ReplyStatus;
 
-/** Counts messages and bytes by kind and direction, and what was refused; safe for any thread. */
+/** Counters of messages and bytes by kind and direction, and of rejected messages. Thread-safe. */
 public final class TrafficCounters {
     private final Map<Direction, Map<TrafficKind, LongAdder>> mMessages = byDirection();
     private final Map<Direction, Map<TrafficKind, LongAdder>> mBytes = byDirection();
@@ -19,27 +19,27 @@
         }
     }
 
-    /** Returns how many messages of a kind went that way; filtered ones don't count. */
+    /** Returns the number of messages of a kind in a direction, without filtered ones. */
     public long messages(TrafficKind kind, Direction direction) {
         return mMessages.get(direction).get(kind).sum();
     }
 
-    /** Returns how many bytes of payload of a kind went that way. */
+    /** Returns the number of payload bytes of a kind in a direction. */
     public long bytes(TrafficKind kind, Direction direction) {
         return mBytes.get(direction).get(kind).sum();
     }
 
-    /** Returns how many incoming messages were refused for this reason. */
+    /** Returns the number of incoming messages rejected for this reason. */
     public long refused(ReplyStatus reason) {
         return mRefused.get(reason).sum();
     }
 
-    /** Returns how many incoming datagrams weren't messages at all. */
+    /** Returns the number of incoming messages that could not be decoded. */
     public long malformed() {
         return mMalformed.sum();
     }
 
-    /** Returns how many outgoing datagrams were dropped since they were too large. */
+    /** Returns the number of outgoing datagrams dropped because of their size. */
     public long oversized() {
         return mOversized.sum();
     }
@@ -49,7 +49,7 @@
         mBytes.get(direction).get(kind).add(bytes);
     }
 
-    void countRefused(ReplyStatus reason) {
+    void countRejected(ReplyStatus reason) {
         mRefused.get(reason).increment();
     }
 
--- a/wire/src/main/java/org/dahliapass/wire/TrafficKind.java
+++ b/wire/src/main/java/org/dahliapass/wire/TrafficKind.java
@@ -3,35 +3,35 @@
 import org.dahliapass.wire.message.Gossip;
 import org.dahliapass.wire.message.PeerRequest;
 
-/** The kinds of messages that are counted separately. */
+/** The kinds of messages in {@link TrafficCounters}. */
 public enum TrafficKind {
-    /** Asks for an answer. */
+    /** A probe that expects an ack. */
     PING,
-    /** Answers a ping. */
+    /** The reply to a ping. */
     ACK,
-    /** Asks for a ping of a third VM. */
+    /** A request to ping a third VM. */
     PING_REQUEST,
-    /** Passes on an answer. */
+    /** An ack that is forwarded to the VM that requested the ping. */
     INDIRECT_ACK,
-    /** News that wants no answer. */
+    /** Membership and configuration updates, without a reply. */
     RUMOR,
-    /** Request for the member list. */
+    /** A request for the member list. */
     JOIN,
-    /** Request for configuration changes. */
+    /** A request for configuration changes. */
     FETCH_CHANGES,
-    /** Request for the text of a template. */
+    /** A request for the text of a template. */
     FETCH_TEXT,
-    /** A home's intent to dispatch a key. */
+    /** A home's intent to dispatch the operation of a key. */
     RECORD_INTENT,
-    /** The outcome of a key. */
+    /** The outcome of the operation of a key. */
     RECORD_OUTCOME,
-    /** Question for the outcome of a key. */
+    /** A request for the outcome of the operation of a key. */
     RESOLVE_KEY,
-    /** What a VM saw of its targets. */
+    /** A VM's observations of its targets. */
     EVIDENCE_REPORT,
     /** A reply to any request. */
     REPLY,
-    /** What a newer release sends and this one doesn't know. */
+    /** A kind that only newer releases know. */
     UNKNOWN;
 
     /** Returns the kind of a datagram. */
--- a/wire/src/main/java/org/dahliapass/wire/package-info.java
+++ b/wire/src/main/java/org/dahliapass/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Carries the messages between the VMs of one fleet: datagrams by UDP, requests by TCP. */
+/** The transport of messages between the VMs of a fleet: datagrams over UDP, requests over TCP. */
 package org.dahliapass.wire;
--- a/wire/src/test/java/org/dahliapass/wire/PeerMessageValidatorTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerMessageValidatorTest.java
@@ -12,66 +12,68 @@
 import org.dahliapass.wire.message.ReplyStatus;
 import org.testng.annotations.Test;
 
-/** Checks who may speak. */
+/** Tests of {@link PeerMessageValidator}. */
 public final class PeerMessageValidatorTest {
     private static final String FLEET = "kathmandu";
     private static final VmIdentity SELF = new VmIdentity("vm-1", 7);
     private static final VmIdentity MEMBER = new VmIdentity("vm-2", 3);
-    private static final VmIdentity STRANGER = new VmIdentity("vm-3", 1);
+    private static final VmIdentity NON_MEMBER = new VmIdentity("vm-3", 1);
 
-    private final PeerMessageValidator mGuard =
+    private final PeerMessageValidator mValidator =
             new PeerMessageValidator(FLEET, SELF, MEMBER::equals);
 
     @Test
-    public void memberMaySpeak() {
-        assertEquals(mGuard.validate(gossip(MEMBER).build()), ReplyStatus.OK);
-        assertEquals(mGuard.validate(request(MEMBER).build()), ReplyStatus.OK);
+    public void memberIsAccepted() {
+        assertEquals(mValidator.validate(gossip(MEMBER).build()), ReplyStatus.OK);
+        assertEquals(mValidator.validate(request(MEMBER).build()), ReplyStatus.OK);
     }
 
     @Test
-    public void otherFleetIsRefused() {
+    public void otherFleetIsRejected() {
         assertEquals(
-                mGuard.validate(gossip(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
+                mValidator.validate(gossip(MEMBER).setFleet("suva").build()),
+                ReplyStatus.WRONG_FLEET);
         assertEquals(
-                mGuard.validate(request(MEMBER).setFleet("suva").build()), ReplyStatus.WRONG_FLEET);
+                mValidator.validate(request(MEMBER).setFleet("suva").build()),
+                ReplyStatus.WRONG_FLEET);
     }
 
     @Test
-    public void messageForFormerProcessIsRefused() {
+    public void messageForFormerIncarnationIsRejected() {
         assertEquals(
-                mGuard.validate(request(MEMBER).setRecipientIncarnation(6).build()),
+                mValidator.validate(request(MEMBER).setRecipientIncarnation(6).build()),
                 ReplyStatus.WRONG_INCARNATION);
         assertEquals(
-                mGuard.validate(request(MEMBER).setRecipientIncarnation(0).build()),
+                mValidator.validate(request(MEMBER).setRecipientIncarnation(0).build()),
                 ReplyStatus.WRONG_INCARNATION);
     }
 
     @Test
-    public void strangerIsRefused() {
-        assertEquals(mGuard.validate(gossip(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
-        assertEquals(mGuard.validate(request(STRANGER).build()), ReplyStatus.NOT_A_MEMBER);
+    public void nonMemberIsRejected() {
+        assertEquals(mValidator.validate(gossip(NON_MEMBER).build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mValidator.validate(request(NON_MEMBER).build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     @Test
-    public void memberOfOtherIncarnationIsRefused() {
+    public void memberOfOtherIncarnationIsRejected() {
         VmIdentity former = new VmIdentity(MEMBER.name(), MEMBER.incarnation() - 1);
-        assertEquals(mGuard.validate(request(former).build()), ReplyStatus.NOT_A_MEMBER);
+        assertEquals(mValidator.validate(request(former).build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     @Test
-    public void strangerMayIntroduceItself() {
-        Gossip.Builder introduction =
-                gossip(STRANGER).setRecipientIncarnation(0).addMembers(alive(STRANGER));
-        assertEquals(mGuard.validate(introduction.build()), ReplyStatus.OK);
+    public void nonMemberMayAnnounceItself() {
+        Gossip.Builder announcement =
+                gossip(NON_MEMBER).setRecipientIncarnation(0).addMembers(alive(NON_MEMBER));
+        assertEquals(mValidator.validate(announcement.build()), ReplyStatus.OK);
         PeerRequest.Builder join =
-                request(STRANGER).setRecipientIncarnation(0).setJoin(Join.getDefaultInstance());
-        assertEquals(mGuard.validate(join.build()), ReplyStatus.OK);
+                request(NON_MEMBER).setRecipientIncarnation(0).setJoin(Join.getDefaultInstance());
+        assertEquals(mValidator.validate(join.build()), ReplyStatus.OK);
     }
 
     @Test
-    public void strangerWithOthersNewsIsRefused() {
-        Gossip.Builder hearsay = gossip(STRANGER).addMembers(alive(MEMBER));
-        assertEquals(mGuard.validate(hearsay.build()), ReplyStatus.NOT_A_MEMBER);
+    public void nonMemberThatAnnouncesAnotherVmIsRejected() {
+        Gossip.Builder update = gossip(NON_MEMBER).addMembers(alive(MEMBER));
+        assertEquals(mValidator.validate(update.build()), ReplyStatus.NOT_A_MEMBER);
     }
 
     private static Gossip.Builder gossip(VmIdentity sender) {
--- a/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/dahliapass/wire/PeerTransportTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Checks two transports with each other, over loopback. */
+/** Tests two {@link PeerTransport}s over loopback. */
 public final class PeerTransportTest {
     private static final Duration LONG = Duration.ofSeconds(20);
     private static final Duration SHORT = Duration.ofMillis(50);
@@ -37,7 +37,7 @@
     private static final VmIdentity BOB = new VmIdentity("bob", 2);
 
     private final List<PeerTransport> mTransports = new ArrayList<>();
-    private final BlockingQueue<Gossip> mArrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Gossip> mReceived = new LinkedBlockingQueue<>();
 
     @AfterMethod
     public void stopAll() throws Exception {
@@ -45,7 +45,7 @@
             join(transport.stop());
         }
         mTransports.clear();
-        mArrived.clear();
+        mReceived.clear();
     }
 
     @Test
@@ -53,7 +53,7 @@
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         alice.sendDatagram(bob.endpoint(), ping(5));
-        assertEquals(mArrived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 5);
+        assertEquals(mReceived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 5);
         assertEquals(bob.counters().messages(TrafficKind.PING, Direction.IN), 1);
         assertEquals(
                 bob.counters().bytes(TrafficKind.PING, Direction.IN),
@@ -63,59 +63,59 @@
     @Test
     public void oversizedDatagramIsDroppedAndCounted() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
-        ByteString filling = ByteString.copyFrom(new byte[PeerTransport.MAX_DATAGRAM_BYTES]);
-        alice.sendDatagram(alice.endpoint(), withUnknownField(ping(1), filling));
+        ByteString payload = ByteString.copyFrom(new byte[PeerTransport.MAX_DATAGRAM_BYTES]);
+        alice.sendDatagram(alice.endpoint(), withUnknownField(ping(1), payload));
         assertEquals(alice.counters().oversized(), 1);
         assertEquals(alice.counters().messages(TrafficKind.PING, Direction.OUT), 0);
     }
 
     @Test
-    public void fieldsOfNewerReleaseAreIgnored() throws Exception {
+    public void unknownFieldsAreIgnored() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
-        Gossip newer = withUnknownField(ping(6), ByteString.copyFromUtf8("news"));
+        Gossip newer = withUnknownField(ping(6), ByteString.copyFromUtf8("new"));
         alice.sendDatagram(bob.endpoint(), newer);
-        assertEquals(mArrived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 6);
+        assertEquals(mReceived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 6);
     }
 
     @Test
-    public void repliesOutOfOrderReachTheirRequests() throws Exception {
+    public void repliesOutOfOrderAreMatchedToTheirRequests() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
-        List<CompletableFuture<PeerReply>> held = new ArrayList<>();
-        BlockingQueue<Long> asked = new LinkedBlockingQueue<>();
+        List<CompletableFuture<PeerReply>> pending = new ArrayList<>();
+        BlockingQueue<Long> requested = new LinkedBlockingQueue<>();
         PeerTransport bob =
                 start(
                         BOB,
                         0,
                         LinkFilter.ALLOW_ALL,
                         request -> {
-                            held.add(new CompletableFuture<>());
-                            asked.add(request.getFetchChanges().getSinceNumber());
-                            return held.get(held.size() - 1);
+                            pending.add(new CompletableFuture<>());
+                            requested.add(request.getFetchChanges().getSinceNumber());
+                            return pending.get(pending.size() - 1);
                         });
         CompletableFuture<PeerReply> first = alice.request(bob.endpoint(), fetch(10), LONG);
         CompletableFuture<PeerReply> second = alice.request(bob.endpoint(), fetch(20), LONG);
-        assertEquals(asked.poll(LONG.toSeconds(), TimeUnit.SECONDS), Long.valueOf(10));
-        assertEquals(asked.poll(LONG.toSeconds(), TimeUnit.SECONDS), Long.valueOf(20));
-        held.get(1).complete(head(20));
+        assertEquals(requested.poll(LONG.toSeconds(), TimeUnit.SECONDS), Long.valueOf(10));
+        assertEquals(requested.poll(LONG.toSeconds(), TimeUnit.SECONDS), Long.valueOf(20));
+        pending.get(1).complete(head(20));
         assertEquals(join(second).getFetchChanges().getThroughNumber(), 20);
-        assertFalse(first.isDone(), "The first reply was mixed up with the second.");
-        held.get(0).complete(head(10));
+        assertFalse(first.isDone(), "the second reply completed the first request");
+        pending.get(0).complete(head(10));
         assertEquals(join(first).getFetchChanges().getThroughNumber(), 10);
     }
 
     @Test
-    public void refusalTellsItsStatus() throws Exception {
+    public void rejectionReportsItsStatus() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
-        PeerRequest stale = fetch(1).toBuilder().setRecipientIncarnation(1).build();
-        Throwable failure = failure(alice.request(bob.endpoint(), stale, LONG));
+        PeerRequest misdirected = fetch(1).toBuilder().setRecipientIncarnation(1).build();
+        Throwable failure = failure(alice.request(bob.endpoint(), misdirected, LONG));
         assertEquals(((RefusedException) failure).status(), ReplyStatus.WRONG_INCARNATION);
         assertEquals(bob.counters().refused(ReplyStatus.WRONG_INCARNATION), 1);
     }
 
     @Test
-    public void requestOfNewerReleaseIsRefusedAsUnknown() throws Exception {
+    public void requestOfUnknownTypeIsRejected() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         PeerRequest unknown = fetch(1).toBuilder().clearBody().build();
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void failingHandlerIsToldToTheRequester() throws Exception {
+    public void handlerFailureIsReportedToTheRequester() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob =
                 start(
@@ -132,76 +132,73 @@
                         0,
                         LinkFilter.ALLOW_ALL,
                         request -> {
-                            throw new IllegalStateException("Broken on purpose.");
+                            throw new IllegalStateException("thrown by the test");
                         });
         Throwable failure = failure(alice.request(bob.endpoint(), fetch(1), LONG));
         assertEquals(((RefusedException) failure).status(), ReplyStatus.FAILED);
     }
 
     @Test
-    public void lostPeerIsNamedAndRestartedOneIsReachedAgain() throws Exception {
-        // A VM asks a peer that is restarted on the same address. What a user would see: answers
-        // that fail long after the peer is back. The old connection breaks; the request that meets
-        // it fails with step and peer, and a later one must open a new connection.
+    public void lostPeerIsReportedAndReachedAgainAfterRestart() throws Exception {
+        // A broken connection must be replaced, or requests keep failing after the peer restarts.
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
-        Endpoint where = bob.endpoint();
-        join(alice.request(where, fetch(1), LONG));
+        Endpoint address = bob.endpoint();
+        join(alice.request(address, fetch(1), LONG));
         join(bob.stop());
         mTransports.remove(bob);
         OperationException failure =
-                (OperationException) failure(alice.request(where, fetch(2), LONG));
-        assertEquals(failure.peer(), where.toString());
-        start(BOB, where.port(), LinkFilter.ALLOW_ALL);
+                (OperationException) failure(alice.request(address, fetch(2), LONG));
+        assertEquals(failure.peer(), address.toString());
+        start(BOB, address.port(), LinkFilter.ALLOW_ALL);
         assertEquals(
-                join(alice.request(where, fetch(3), LONG)).getFetchChanges().getThroughNumber(), 3);
+                join(alice.request(address, fetch(3), LONG)).getFetchChanges().getThroughNumber(),
+                3);
     }
 
     @Test
-    public void cutIsOneWay() throws Exception {
-        // A link loses what goes one way only. What a user would see: a VM that hears its peer and
-        // is not heard. Bob's datagrams arrive at alice; hers are lost, and so are her requests.
-        LinkFilter deafPeer = (peer, direction) -> direction == Direction.IN;
-        PeerTransport alice = start(ALICE, 0, deafPeer);
+    public void filterAppliesPerDirection() throws Exception {
+        // One-way partition: Bob's datagrams reach Alice, but her messages are lost.
+        LinkFilter inboundOnly = (peer, direction) -> direction == Direction.IN;
+        PeerTransport alice = start(ALICE, 0, inboundOnly);
         PeerTransport bob = start(BOB, 0, LinkFilter.ALLOW_ALL);
         Throwable failure = failure(alice.request(bob.endpoint(), fetch(1), SHORT));
         assertEquals(((OperationException) failure).operation(), "request FETCH_CHANGES");
         alice.sendDatagram(bob.endpoint(), ping(1));
         Gossip back = ping(9).toBuilder().setRecipientIncarnation(ALICE.incarnation()).build();
         bob.sendDatagram(alice.endpoint(), back);
-        assertEquals(mArrived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 9);
+        assertEquals(mReceived.poll(LONG.toSeconds(), TimeUnit.SECONDS).getSequence(), 9);
         assertEquals(bob.counters().messages(TrafficKind.PING, Direction.IN), 0);
         assertEquals(bob.counters().messages(TrafficKind.FETCH_CHANGES, Direction.IN), 0);
     }
 
     @Test
-    public void stopWaitsForWhatIsInFlight() throws Exception {
-        // A VM stops while it answers a peer. What a user would see: a request cut off by a planned
-        // stop. The stop begins while the handler still works; the answer must be sent first.
+    public void stopWaitsForRequestsInFlight() throws Exception {
+        // A planned stop must not abort a request that the handler is still processing.
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
-        CompletableFuture<PeerReply> work = new CompletableFuture<>();
-        CompletableFuture<Void> reached = new CompletableFuture<>();
+        CompletableFuture<PeerReply> result = new CompletableFuture<>();
+        CompletableFuture<Void> handlerCalled = new CompletableFuture<>();
         PeerTransport bob =
                 start(
                         BOB,
                         0,
                         LinkFilter.ALLOW_ALL,
                         request -> {
-                            reached.complete(null);
-                            return work;
+                            handlerCalled.complete(null);
+                            return result;
                         });
         CompletableFuture<PeerReply> reply = alice.request(bob.endpoint(), fetch(1), LONG);
-        join(reached);
+        join(handlerCalled);
         CompletableFuture<Void> stopped = bob.stop();
-        assertFalse(stopped.isDone(), "The stop didn't wait for the answer.");
-        work.complete(head(1));
+        assertFalse(stopped.isDone(), "stop did not wait for the reply");
+        result.complete(head(1));
         assertEquals(join(reply).getFetchChanges().getThroughNumber(), 1);
         join(stopped);
         mTransports.remove(bob);
     }
 
     @Test
-    public void takenPortIsReported() throws Exception {
+    public void portInUseIsReported() throws Exception {
         PeerTransport alice = start(ALICE, 0, LinkFilter.ALLOW_ALL);
         PeerTransport second =
                 new PeerTransport(
@@ -221,13 +218,13 @@
                                 head(request.getFetchChanges().getSinceNumber())));
     }
 
-    private PeerTransport start(VmIdentity self, int port, LinkFilter filter, RequestHandler answer)
-            throws Exception {
+    private PeerTransport start(
+            VmIdentity self, int port, LinkFilter filter, RequestHandler handler) throws Exception {
         PeerTransport transport =
                 new PeerTransport(new PeerTransportSettings("fleet", self, HOST, port), filter);
         transport.setMembershipCheck(identity -> identity.equals(ALICE) || identity.equals(BOB));
-        transport.setGossipHandler((from, gossip) -> mArrived.add(gossip));
-        transport.setRequestHandler(answer);
+        transport.setGossipHandler((from, gossip) -> mReceived.add(gossip));
+        transport.setRequestHandler(handler);
         join(transport.start(new Kernel()));
         mTransports.add(transport);
         return transport;
