--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationCodec.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationCodec.java
@@ -13,9 +13,9 @@
 import org.dahliapass.kernel.OperationException;
 
 /**
- * Writes the values of the configuration store as text: templates as they are, all else as JSON.
+ * A codec for the values of the configuration store: templates as plain text, all others as JSON.
  *
- * <p>Unknown JSON fields are skipped, so that releases that add fields work beside older ones.
+ * <p>Unknown JSON fields are ignored, for compatibility with newer releases.
  */
 public final class ConfigurationCodec {
     private static final ObjectMapper JSON =
@@ -23,7 +23,7 @@
 
     private ConfigurationCodec() {}
 
-    /** Returns the text that the store is given for a value. */
+    /** Returns the text that represents a value in the store. */
     public static String encode(StoreItem item) {
         if (item instanceof TemplateText text) {
             return text.text();
@@ -31,14 +31,14 @@
         try {
             return JSON.writeValueAsString(item);
         } catch (JsonProcessingException failure) {
-            throw new IllegalStateException("All values are plain records.", failure);
+            throw new IllegalStateException("The store item can't be encoded as JSON.", failure);
         }
     }
 
     /**
-     * Returns the value that a text of the store stands for.
+     * Returns the value that a text in the store represents.
      *
-     * @throws OperationException if it isn't one
+     * @throws OperationException if the text is not valid for the key's kind of value
      */
     public static StoreItem decode(StoreKey key, String text) {
         try {
@@ -52,7 +52,7 @@
             throw new OperationException(
                     "decode " + key.path(),
                     "store",
-                    "The value isn't what this release writes; restore it from a backup.",
+                    "The value isn't valid JSON of its type; restore it from a backup.",
                     failure);
         }
     }
--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
@@ -15,15 +15,15 @@
 import org.dahliapass.decisions.configuration.SwapOutcome;
 import org.dahliapass.platform.OutcomeUnknownException;
 
-/** Reads typed values of the configuration store and runs {@link StoreProtocol}s against it. */
+/** A typed client of the configuration store that runs {@link StoreProtocol}s against it. */
 public final class ConfigurationStore {
     private final StoreClient mClient;
-    private final Executor mRetryExecutor;
+    private final Executor mDelayedExecutor;
 
     /**
      * Creates the store.
      *
-     * @param retryPause how long a machine waits after a call without an answer
+     * @param retryPause the delay after a failed call or one with an unknown outcome
      */
     public ConfigurationStore(StoreClient client, Duration retryPause) {
         this(
@@ -33,75 +33,78 @@
 
     ConfigurationStore(StoreClient client, Executor retryExecutor) {
         mClient = client;
-        mRetryExecutor = retryExecutor;
+        mDelayedExecutor = retryExecutor;
     }
 
-    /** Reads a key; fails with a {@link org.dahliapass.kernel.OperationException}. */
+    /** Reads a key; fails with an {@link org.dahliapass.kernel.OperationException}. */
     public CompletableFuture<Optional<StoreItem>> read(StoreKey key) {
         return mClient.read(key.path()).thenApply(value -> decode(key, value));
     }
 
     /**
-     * Runs a machine to its end.
+     * Runs a protocol to completion.
      *
-     * @param observer is told each action before it is done
-     * @return never fails for want of an answer, the outcome then says so
+     * @param observer called with each action before it is executed
+     * @return the outcome; an unavailable store results in an outcome, not in a failure
      */
     public CompletableFuture<AcceptOutcome> run(
-            StoreProtocol machine, Consumer<StoreAction> observer) {
-        return step(machine, machine.start(), observer);
+            StoreProtocol protocol, Consumer<StoreAction> observer) {
+        return step(protocol, protocol.start(), observer);
     }
 
     private CompletableFuture<AcceptOutcome> step(
-            StoreProtocol machine, StoreAction action, Consumer<StoreAction> observer) {
+            StoreProtocol protocol, StoreAction action, Consumer<StoreAction> observer) {
         observer.accept(action);
         if (action instanceof StoreAction.Finish finish) {
             return CompletableFuture.completedFuture(finish.outcome());
         }
         CompletableFuture<StoreAction> next =
                 action instanceof StoreAction.Read read
-                        ? read(machine, read)
-                        : swap(machine, (StoreAction.Swap) action);
-        return next.thenCompose(following -> step(machine, following, observer));
+                        ? read(protocol, read)
+                        : swap(protocol, (StoreAction.Swap) action);
+        return next.thenCompose(nextAction -> step(protocol, nextAction, observer));
     }
 
-    private CompletableFuture<StoreAction> read(StoreProtocol machine, StoreAction.Read read) {
+    private CompletableFuture<StoreAction> read(StoreProtocol protocol, StoreAction.Read read) {
         return mClient.read(read.key().path())
-                .handle((value, failure) -> failure == null ? Optional.of(value) : noValue())
+                .handle((value, failure) -> failure == null ? Optional.of(value) : unavailable())
                 .thenCompose(
-                        answer ->
-                                answer.isPresent()
+                        result ->
+                                result.isPresent()
                                         ? CompletableFuture.completedFuture(
-                                                onRead(machine, read.key(), answer.get()))
-                                        : later().thenApply(ignored -> machine.onReadFailed()));
+                                                onRead(protocol, read.key(), result.get()))
+                                        : afterPause()
+                                                .thenApply(ignored -> protocol.onReadFailed()));
     }
 
-    private static Optional<Optional<StoredValue>> noValue() {
+    private static Optional<Optional<StoredValue>> unavailable() {
         return Optional.empty();
     }
 
     private static StoreAction onRead(
-            StoreProtocol machine, StoreKey key, Optional<StoredValue> value) {
+            StoreProtocol protocol, StoreKey key, Optional<StoredValue> value) {
         long index = value.map(StoredValue::index).orElse(StoreClient.ABSENT);
-        return machine.onRead(decode(key, value), index);
+        return protocol.onRead(decode(key, value), index);
     }
 
-    private CompletableFuture<StoreAction> swap(StoreProtocol machine, StoreAction.Swap swap) {
+    private CompletableFuture<StoreAction> swap(StoreProtocol protocol, StoreAction.Swap swap) {
         return mClient.compareAndSwap(
                         swap.key().path(), ConfigurationCodec.encode(swap.item()), swap.index())
-                .handle(ConfigurationStore::answer)
+                .handle(ConfigurationStore::toSwapOutcome)
                 .thenCompose(
-                        answer ->
-                                answered(answer)
-                                        ? CompletableFuture.completedFuture(machine.onSwap(answer))
-                                        : later().thenApply(ignored -> machine.onSwap(answer)));
+                        outcome ->
+                                isDefinite(outcome)
+                                        ? CompletableFuture.completedFuture(
+                                                protocol.onSwap(outcome))
+                                        : afterPause()
+                                                .thenApply(ignored -> protocol.onSwap(outcome)));
     }
 
-    private static boolean answered(SwapOutcome answer) {
-        return answer == SwapOutcome.SWAPPED || answer == SwapOutcome.CONFLICT;
+    private static boolean isDefinite(SwapOutcome outcome) {
+        return outcome == SwapOutcome.SWAPPED || outcome == SwapOutcome.CONFLICT;
     }
 
-    private static SwapOutcome answer(SwapResult result, Throwable failure) {
+    private static SwapOutcome toSwapOutcome(SwapResult result, Throwable failure) {
         if (failure == null) {
             return result == SwapResult.SWAPPED ? SwapOutcome.SWAPPED : SwapOutcome.CONFLICT;
         }
@@ -114,8 +117,8 @@
                 : SwapOutcome.NOT_WRITTEN;
     }
 
-    private CompletableFuture<Void> later() {
-        return CompletableFuture.runAsync(() -> {}, mRetryExecutor);
+    private CompletableFuture<Void> afterPause() {
+        return CompletableFuture.runAsync(() -> {}, mDelayedExecutor);
     }
 
     private static Optional<StoreItem> decode(StoreKey key, Optional<StoredValue> value) {
--- a/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/HttpVmListClient.java
@@ -12,13 +12,13 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 
-/** Speaks the service-list part of the Consul HTTP API, version 1. */
+/** A client of the service catalog API of Consul, version 1. */
 public final class HttpVmListClient implements VmListClient {
     private static final String SERVICE = "dahliapass-vm";
     private static final String LIST_PATH = "/v1/health/service/" + SERVICE;
     private static final String REGISTER_PATH = "/v1/agent/service/register";
     private static final String DEREGISTER_PATH = "/v1/agent/service/deregister/";
-    private static final String LIST_STEP = "read VM list";
+    private static final String LIST_OPERATION = "read VM list";
     private static final String LEAVING_STATUS = "warning";
     private static final String PEERS = "peers";
     private static final String CALLERS = "callers";
@@ -32,7 +32,7 @@
      * Creates a client.
      *
      * @param platform the address of the platform's VM list
-     * @param timeout how long an answer may take, on top of the wait of a blocking read
+     * @param timeout the response timeout, in addition to the wait of a blocking read
      */
     public HttpVmListClient(Endpoint platform, Duration timeout) {
         mHttp = new PlatformHttpClient(platform, timeout);
@@ -41,7 +41,7 @@
     @Override
     public CompletableFuture<VmList> watch(long index, Duration wait) {
         String query = "?index=" + index + "&wait=" + wait.toSeconds() + "s";
-        return mHttp.get(LIST_STEP, LIST_PATH + query, wait).thenApply(this::parseList);
+        return mHttp.get(LIST_OPERATION, LIST_PATH + query, wait).thenApply(this::parseList);
     }
 
     @Override
@@ -58,10 +58,10 @@
 
     private VmList parseList(AggregatedHttpResponse response) {
         List<ListedVm> vms = new ArrayList<>();
-        for (JsonNode entry : mHttp.json(LIST_STEP, response)) {
+        for (JsonNode entry : mHttp.json(LIST_OPERATION, response)) {
             vms.add(parseVm(entry));
         }
-        return new VmList(vms, mHttp.index(LIST_STEP, response));
+        return new VmList(vms, mHttp.index(LIST_OPERATION, response));
     }
 
     private ListedVm parseVm(JsonNode entry) {
@@ -69,38 +69,38 @@
         JsonNode meta = service.path("Meta");
         Vm vm =
                 new Vm(
-                        new VmIdentity(service.path("ID").asText(), incarnation(meta)),
+                        new VmIdentity(service.path("ID").asText(), parseIncarnation(meta)),
                         meta.path(ZONE).asText(),
-                        endpoint(meta, CALLERS),
-                        endpoint(meta, PEERS));
-        return new ListedVm(vm, endpoint(meta, OPERATORS), leaving(entry.path("Checks")));
+                        parseEndpoint(meta, CALLERS),
+                        parseEndpoint(meta, PEERS));
+        return new ListedVm(vm, parseEndpoint(meta, OPERATORS), isLeaving(entry.path("Checks")));
     }
 
-    private long incarnation(JsonNode meta) {
+    private long parseIncarnation(JsonNode meta) {
         String text = meta.path(INCARNATION).asText();
         try {
             return Long.parseLong(text, Character.MAX_RADIX);
         } catch (NumberFormatException failure) {
             throw new OperationException(
-                    LIST_STEP,
+                    LIST_OPERATION,
                     mHttp.peer(),
-                    "Meta " + INCARNATION + " is '" + text + "'; write a number in base 36.",
+                    "Meta " + INCARNATION + " is '" + text + "'; expected a number in base 36.",
                     failure);
         }
     }
 
-    private Endpoint endpoint(JsonNode meta, String key) {
+    private Endpoint parseEndpoint(JsonNode meta, String key) {
         String text = meta.path(key).asText();
         return Endpoint.parse(text)
                 .orElseThrow(
                         () ->
                                 new OperationException(
-                                        LIST_STEP,
+                                        LIST_OPERATION,
                                         mHttp.peer(),
-                                        "Meta " + key + " is '" + text + "'; write host:port."));
+                                        "Meta " + key + " is '" + text + "'; expected host:port."));
     }
 
-    private static boolean leaving(JsonNode checks) {
+    private static boolean isLeaving(JsonNode checks) {
         for (JsonNode check : checks) {
             if (check.path("Status").asText().equals(LEAVING_STATUS)) {
                 return true;
--- a/registry/src/main/java/org/dahliapass/registry/ListedVm.java
+++ b/registry/src/main/java/org/dahliapass/registry/ListedVm.java
@@ -4,10 +4,10 @@
 import org.dahliapass.model.Vm;
 
 /**
- * A VM as the platform's list shows it; the list lags, so this is a hint and never a verdict.
+ * A VM in the platform's list. The list may be stale, so it is only a hint.
  *
  * @param vm the VM
- * @param operators where the operators' command reaches it (HTTP)
- * @param leaving whether the list says that it is about to stop
+ * @param operators the HTTP endpoint for the operators' command
+ * @param leaving whether the VM is listed as about to stop
  */
 public record ListedVm(Vm vm, Endpoint operators, boolean leaving) {}
--- a/registry/src/main/java/org/dahliapass/registry/PlatformHttpClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/PlatformHttpClient.java
@@ -23,12 +23,12 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.platform.OutcomeUnknownException;
 
-/** Sends the platform's HTTP calls, each with a time-out, and turns failures into typed ones. */
+/** An HTTP client for the platform's APIs, with timeouts and typed exceptions. */
 final class PlatformHttpClient {
     static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A blocking read may be held up to a sixteenth longer than asked for. */
-    private static final int WAIT_SPREAD = 16;
+    /** The server may hold a blocking read up to 1/16 longer than requested. */
+    private static final int WAIT_JITTER_DIVISOR = 16;
 
     private static final String INDEX_HEADER = "x-consul-index";
 
@@ -50,19 +50,19 @@
         return mPeer;
     }
 
-    /** Reads; the answer has status 200 or 404. */
-    CompletableFuture<AggregatedHttpResponse> get(String step, String path, Duration wait) {
-        Duration limit = mTimeout.plus(wait).plus(wait.dividedBy(WAIT_SPREAD));
+    /** Sends a GET request; the response has status 200 or 404. */
+    CompletableFuture<AggregatedHttpResponse> get(String operation, String path, Duration wait) {
+        Duration timeout = mTimeout.plus(wait).plus(wait.dividedBy(WAIT_JITTER_DIVISOR));
         return mClient.prepare()
                 .get(path)
-                .responseTimeout(limit)
+                .responseTimeout(timeout)
                 .execute()
                 .aggregate()
-                .handle((response, failure) -> readAnswer(step, response, failure));
+                .handle((response, failure) -> checkReadResponse(operation, response, failure));
     }
 
-    /** Writes; the answer has status 200. */
-    CompletableFuture<AggregatedHttpResponse> put(String step, String path, String body) {
+    /** Sends a PUT request; the response has status 200. */
+    CompletableFuture<AggregatedHttpResponse> put(String operation, String path, String body) {
         return mClient.prepare()
                 .method(HttpMethod.PUT)
                 .path(path)
@@ -71,23 +71,25 @@
                 .responseTimeout(mTimeout)
                 .execute()
                 .aggregate()
-                .handle((response, failure) -> writeAnswer(step, response, failure));
+                .handle((response, failure) -> checkWriteResponse(operation, response, failure));
     }
 
-    /** Parses an answer's JSON body. */
-    JsonNode json(String step, AggregatedHttpResponse response) {
+    /** Parses the JSON body of a response. */
+    JsonNode json(String operation, AggregatedHttpResponse response) {
         try {
             return JSON.readTree(response.contentUtf8());
         } catch (JsonProcessingException failure) {
-            throw new OperationException(step, mPeer, "The answer isn't JSON.", failure);
+            throw new OperationException(
+                    operation, mPeer, "The response isn't valid JSON.", failure);
         }
     }
 
-    /** Returns the index that the answer's header states. */
-    long index(String step, AggregatedHttpResponse response) {
+    /** Returns the index in the response's header. */
+    long index(String operation, AggregatedHttpResponse response) {
         long index = response.headers().getLong(INDEX_HEADER, -1);
         if (index < 0) {
-            throw new OperationException(step, mPeer, "The answer has no X-Consul-Index.");
+            throw new OperationException(
+                    operation, mPeer, "The response has no X-Consul-Index header.");
         }
         return index;
     }
@@ -99,48 +101,52 @@
                 .collect(Collectors.joining("/"));
     }
 
-    private AggregatedHttpResponse readAnswer(
-            String step, AggregatedHttpResponse response, Throwable failure) {
+    private AggregatedHttpResponse checkReadResponse(
+            String operation, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
-            throw new OperationException(step, mPeer, "No answer: " + cause(failure), failure);
+            throw new OperationException(
+                    operation, mPeer, "No response: " + describe(failure), failure);
         }
         HttpStatus status = response.status();
         if (!status.equals(HttpStatus.OK) && !status.equals(HttpStatus.NOT_FOUND)) {
-            throw new OperationException(step, mPeer, "Answered with status " + status + ".");
+            throw new OperationException(operation, mPeer, "Unexpected status " + status + ".");
         }
         return response;
     }
 
     /**
-     * Guards against an answer that is lost after the write took effect: it shows as a time-out, a
-     * closed connection or a server error, and reading it as "not written" would lose a change.
-     * Only a request that was never sent, or one that the store refused by a client-error status,
-     * counts as not written.
+     * Checks the response to a write.
+     *
+     * <p>After a timeout, a closed connection or a server error, the write may have taken effect,
+     * so its outcome is unknown. It counts as not written only if the request was never sent or was
+     * rejected with a client error.
      */
-    private AggregatedHttpResponse writeAnswer(
-            String step, AggregatedHttpResponse response, Throwable failure) {
-        if (failure != null && neverSent(failure)) {
-            throw new OperationException(step, mPeer, "Not sent: " + cause(failure), failure);
+    private AggregatedHttpResponse checkWriteResponse(
+            String operation, AggregatedHttpResponse response, Throwable failure) {
+        if (failure != null && isUnprocessed(failure)) {
+            throw new OperationException(
+                    operation, mPeer, "Not sent: " + describe(failure), failure);
         }
         if (failure != null) {
-            throw new OutcomeUnknownException(step, mPeer, "No answer: " + cause(failure), failure);
+            throw new OutcomeUnknownException(
+                    operation, mPeer, "No response: " + describe(failure), failure);
         }
         HttpStatus status = response.status();
         if (status.equals(HttpStatus.OK)) {
             return response;
         }
         if (status.codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            throw new OperationException(step, mPeer, "Refused with status " + status + ".");
+            throw new OperationException(operation, mPeer, "Rejected with status " + status + ".");
         }
         throw new OutcomeUnknownException(
-                step, mPeer, "Answered with status " + status + ".", null);
+                operation, mPeer, "Unexpected status " + status + ".", null);
     }
 
-    private static boolean neverSent(Throwable failure) {
+    private static boolean isUnprocessed(Throwable failure) {
         return unwrap(failure) instanceof UnprocessedRequestException;
     }
 
-    private static String cause(Throwable failure) {
+    private static String describe(Throwable failure) {
         return unwrap(failure).getClass().getSimpleName() + ".";
     }
 
--- a/registry/src/main/java/org/dahliapass/registry/StoredValue.java
+++ b/registry/src/main/java/org/dahliapass/registry/StoredValue.java
@@ -1,10 +1,10 @@
 package org.dahliapass.registry;
 
 /**
- * A value as the store holds it.
+ * A value in the store.
  *
  * @param key the key
- * @param value the value, UTF-8 text
- * @param index the store's index of the write that left this value; grows with each write
+ * @param value the value, as UTF-8 text
+ * @param index the store index of the last write of this value; increases with each write
  */
 public record StoredValue(String key, String value, long index) {}
--- a/registry/src/main/java/org/dahliapass/registry/SwapResult.java
+++ b/registry/src/main/java/org/dahliapass/registry/SwapResult.java
@@ -1,9 +1,9 @@
 package org.dahliapass.registry;
 
-/** What became of a compare-and-swap whose answer arrived. */
+/** The result of a compare-and-swap. */
 public enum SwapResult {
     /** The value was written. */
     SWAPPED,
-    /** Another write came first; nothing was written. */
+    /** The index has changed; nothing was written. */
     CONFLICT
 }
--- a/registry/src/main/java/org/dahliapass/registry/VmList.java
+++ b/registry/src/main/java/org/dahliapass/registry/VmList.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * One answer of the VM list.
+ * The result of a blocking read of the VM list.
  *
  * @param vms the VMs
- * @param index the index to hand to the next blocking read
+ * @param index the index for the next blocking read
  */
 public record VmList(List<ListedVm> vms, long index) {
 
--- a/registry/src/main/java/org/dahliapass/registry/VmListClient.java
+++ b/registry/src/main/java/org/dahliapass/registry/VmListClient.java
@@ -4,23 +4,23 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the platform's VM list and keeps a VM's own entry in it.
+ * A client of the platform's VM list.
  *
- * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException}.
+ * <p>All futures fail with an {@link org.dahliapass.kernel.OperationException}.
  */
 public interface VmListClient {
 
     /**
-     * Reads the list once it has changed after an index, or when the wait ends.
+     * Reads the list once it has changed since an index, or when the wait ends.
      *
-     * @param index the index that the last read answered; 0 answers at once
-     * @param wait how long the platform holds the read, whole seconds
+     * @param index the index returned by the last read; 0 to return immediately
+     * @param wait the maximum wait, in whole seconds
      */
     CompletableFuture<VmList> watch(long index, Duration wait);
 
-    /** Adds a VM, or replaces the entry of the same name. */
+    /** Registers a VM, replacing any entry of the same name. */
     CompletableFuture<Void> register(ListedVm vm);
 
-    /** Takes a VM out of the list by its name. */
+    /** Removes a VM from the list by name. */
     CompletableFuture<Void> deregister(String name);
 }
--- a/registry/src/main/java/org/dahliapass/registry/package-info.java
+++ b/registry/src/main/java/org/dahliapass/registry/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of the configuration store and the VM list that the entry VM and operators use. */
+/** Clients of the configuration store and the VM list, for entry VMs and operators. */
 package org.dahliapass.registry;
--- a/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/ConfigurationCodecTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that each kind of value comes back from its text. */
+/** Tests that each kind of value is decoded from its encoded text. */
 public final class ConfigurationCodecTest {
     private static final ServiceId SERVICE = new ServiceId("himal", "desk");
     private static final ChangeRecord RECORD =
@@ -35,12 +35,12 @@
     }
 
     @Test(dataProvider = "items")
-    public void decodeGivesBackWhatWasEncoded(StoreKey key, StoreItem item) {
+    public void decodeReturnsTheEncodedItem(StoreKey key, StoreItem item) {
         assertEquals(ConfigurationCodec.decode(key, ConfigurationCodec.encode(item)), item);
     }
 
     @Test
-    public void decodeSkipsFieldsOfALaterRelease() {
+    public void decodeIgnoresUnknownFields() {
         assertEquals(
                 ConfigurationCodec.decode(
                         StoreKey.HEAD, "{\"number\":0,\"ring\":[],\"added\":true}"),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void decodeOfBrokenTextFailsWithTheKey() {
+    public void decodeOfInvalidTextReportsTheKey() {
         OperationException failure =
                 expectThrows(
                         OperationException.class,
--- a/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/HttpStoreClientTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests of the store client against a small HTTP server. */
+/** Tests of {@link HttpStoreClient} against an HTTP server. */
 public final class HttpStoreClientTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -54,7 +54,7 @@
         return new HttpStoreClient(new Endpoint("127.0.0.1", mServer.activeLocalPort()), timeout);
     }
 
-    private static HttpStoreClient nobodyListens() throws IOException {
+    private static HttpStoreClient clientWithoutServer() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             return new HttpStoreClient(new Endpoint("127.0.0.1", socket.getLocalPort()), TIMEOUT);
         }
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void readValueThereIsDecodedWithItsIndex() throws Exception {
+    public void readReturnsTheDecodedValueWithItsIndex() throws Exception {
         mHandler = request -> entry("Grüße", 7);
         assertEquals(
                 get(client(TIMEOUT).read("template/himal")),
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void readKeyWithSpaceIsEncodedBySegment() throws Exception {
+    public void readPercentEncodesEachPathSegment() throws Exception {
         CompletableFuture<String> path = new CompletableFuture<>();
         mHandler =
                 request -> {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void readServerErrorFailsWithStepAndPeer() {
+    public void readServerErrorReportsOperationAndPeer() {
         mHandler = request -> HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
         OperationException failure = (OperationException) failureOf(client(TIMEOUT).read("head"));
         assertEquals(failure.operation(), "read head");
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void readNoAnswerFailsByTimeOut() {
+    public void readWithoutResponseTimesOut() {
         mHandler = request -> HttpResponse.streaming();
         assertTrue(
                 failureOf(client(Duration.ofMillis(200)).read("head"))
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void watchAbsentKeyAnswersTheIndexToWaitWith() throws Exception {
+    public void watchOfAbsentKeyReturnsTheIndexForTheNextRead() throws Exception {
         CompletableFuture<String> path = new CompletableFuture<>();
         mHandler =
                 request -> {
@@ -131,16 +131,15 @@
     }
 
     @Test
-    public void compareAndSwapAnswersTrueAndFalse() throws Exception {
+    public void compareAndSwapReturnsSwappedOrConflict() throws Exception {
         mHandler = request -> HttpResponse.of(request.path().endsWith("cas=3") ? "true" : "false");
         assertEquals(get(client(TIMEOUT).compareAndSwap("head", "x", 3)), SwapResult.SWAPPED);
         assertEquals(get(client(TIMEOUT).compareAndSwap("head", "x", 4)), SwapResult.CONFLICT);
     }
 
-    // An operator's change is written, but the answer is lost on the way back. The client must not
-    // say "not written": the operator would accept it again.
+    // If a lost response were reported as "not written", the operator would repeat the change.
     @Test
-    public void compareAndSwapAnswerLostOutcomeIsUnknown() {
+    public void compareAndSwapWithoutResponseHasUnknownOutcome() {
         mHandler = request -> HttpResponse.streaming();
         assertTrue(
                 failureOf(client(Duration.ofMillis(200)).compareAndSwap("head", "x", 3))
@@ -152,13 +151,13 @@
     }
 
     @Test
-    public void compareAndSwapNeverSentOrRefusedIsKnownNotToBeWritten() throws Exception {
+    public void unsentOrRejectedCompareAndSwapIsNotWritten() throws Exception {
         mHandler = request -> HttpResponse.of(HttpStatus.BAD_REQUEST);
         HttpStoreClient client = client(TIMEOUT);
         assertFalse(
                 failureOf(client.compareAndSwap("head", "x", 3))
                         instanceof OutcomeUnknownException);
-        Throwable failure = failureOf(nobodyListens().compareAndSwap("head", "x", 3));
+        Throwable failure = failureOf(clientWithoutServer().compareAndSwap("head", "x", 3));
         assertTrue(failure instanceof OperationException, failure.toString());
         assertFalse(failure instanceof OutcomeUnknownException, failure.toString());
     }
--- a/registry/src/test/java/org/dahliapass/registry/HttpVmListClientTest.java
+++ b/registry/src/test/java/org/dahliapass/registry/HttpVmListClientTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests of the VM list client against a small HTTP server. */
+/** Tests of {@link HttpVmListClient} against an HTTP server. */
 public final class HttpVmListClientTest {
     private static final ListedVm VM =
             new ListedVm(
@@ -40,7 +40,7 @@
                     + "\"incarnation\":\"10\"}";
 
     private Server mServer;
-    private volatile String mList = "[]";
+    private volatile String mResponse = "[]";
     private volatile String mRequest;
 
     @BeforeClass
@@ -51,7 +51,7 @@
                                 "prefix:/",
                                 (context, request) ->
                                         HttpResponse.of(
-                                                request.aggregate().thenApply(this::answer)))
+                                                request.aggregate().thenApply(this::respond)))
                         .build();
         mServer.start().join();
     }
@@ -61,10 +61,11 @@
         mServer.stop().join();
     }
 
-    private HttpResponse answer(AggregatedHttpRequest request) {
+    private HttpResponse respond(AggregatedHttpRequest request) {
         mRequest = request.path() + " " + request.contentUtf8();
         return HttpResponse.of(
-                ResponseHeaders.of(HttpStatus.OK, "X-Consul-Index", "9"), HttpData.ofUtf8(mList));
+                ResponseHeaders.of(HttpStatus.OK, "X-Consul-Index", "9"),
+                HttpData.ofUtf8(mResponse));
     }
 
     private HttpVmListClient client() {
@@ -79,25 +80,25 @@
     }
 
     @Test
-    public void watchListWithLeavingVmIsParsed() throws Exception {
-        mList = listOf(META);
+    public void watchParsesAListWithALeavingVm() throws Exception {
+        mResponse = listOf(META);
         VmList list = client().watch(8, Duration.ofSeconds(5)).get(30, TimeUnit.SECONDS);
         assertEquals(list, new VmList(List.of(VM), 9));
     }
 
     @Test
-    public void watchMetaWithoutPortFailsAndSaysWhatToWrite() {
-        mList = listOf(META.replace("10.0.0.1:81", "10.0.0.1"));
+    public void watchOfEndpointWithoutPortReportsTheExpectedFormat() {
+        mResponse = listOf(META.replace("10.0.0.1:81", "10.0.0.1"));
         CompletableFuture<VmList> future = client().watch(8, Duration.ofSeconds(5));
         Throwable failure =
                 expectThrows(ExecutionException.class, () -> future.get(30, TimeUnit.SECONDS))
                         .getCause();
         assertTrue(failure instanceof OperationException);
-        assertTrue(failure.getMessage().contains("write host:port"), failure.getMessage());
+        assertTrue(failure.getMessage().contains("expected host:port"), failure.getMessage());
     }
 
     @Test
-    public void registerSendsTheEntryThatTheListAnswers() throws Exception {
+    public void registerSendsTheEntryInTheListFormat() throws Exception {
         client().register(VM).get(30, TimeUnit.SECONDS);
         String request = mRequest;
         assertTrue(request.startsWith("/v1/agent/service/register {\"ID\":\"vm-1\""), request);
@@ -105,7 +106,7 @@
     }
 
     @Test
-    public void deregisterNamesTheVm() throws Exception {
+    public void deregisterSendsTheVmName() throws Exception {
         client().deregister("vm-1").get(30, TimeUnit.SECONDS);
         assertEquals(mRequest, "/v1/agent/service/deregister/vm-1 ");
     }
