--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -42,7 +42,7 @@
         return response(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 retryAfterMillis,
-                "The request was not executed. Retry after the delay in Retry-After.");
+                "The request was not run. Come back after the time in Retry-After.");
     }
 
     /** Returns the 503 response to a quarantined request, which has not run. */
@@ -50,8 +50,8 @@
         return response(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 retryAfterMillis,
-                "The request was not executed because it is quarantined. Retry after"
-                        + " the delay in Retry-After.");
+                "The request was not run: targets ended under requests like it. Come back after"
+                        + " the time in Retry-After.");
     }
 
     /** Returns the 502 response to a request that may have run without a response. */
@@ -59,7 +59,7 @@
         return response(
                 HttpResponseStatus.BAD_GATEWAY,
                 0,
-                "A target failed while it had the request, which may have been executed.");
+                "A target failed while it had the request, which may have run.");
     }
 
     /** Returns the 504 response to a request whose deadline passed while a target had it. */
@@ -67,17 +67,17 @@
         return response(
                 HttpResponseStatus.GATEWAY_TIMEOUT,
                 0,
-                "The deadline passed while a target had the request, which may have run.");
+                "The time is over while a target had the request, which may have run.");
     }
 
     /** Returns the 404 response to a request that matches no route. */
     CallerResponse noRoute() {
-        return response(HttpResponseStatus.NOT_FOUND, 0, "No route matches this host and path.");
+        return response(HttpResponseStatus.NOT_FOUND, 0, "No route takes this host and path.");
     }
 
     /** Returns the 400 response to a request without an attempt id. */
     CallerResponse missingAttemptId() {
-        return response(HttpResponseStatus.BAD_REQUEST, 0, "The attempt id header is missing.");
+        return response(HttpResponseStatus.BAD_REQUEST, 0, "The request has no attempt id.");
     }
 
     /** Returns the 431 response to a request whose head is too large. */
@@ -85,7 +85,7 @@
         return response(
                 HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                 0,
-                "The request head exceeds the size limit. Send fewer or shorter headers.");
+                "The head is larger than allowed. Send fewer or shorter headers.");
     }
 
     /** Returns the 413 response to a request whose body is too large. */
@@ -93,7 +93,7 @@
         return response(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 0,
-                "The request body exceeds the size limit.");
+                "The body is larger than allowed.");
     }
 
     private static CallerResponse response(
