--- a/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ChangeFeed.java
@@ -221,21 +221,21 @@
             return;
         }
         boolean isStoreResponding = !mFollower.isStoreUnavailable() && !isStoreSilent();
-        ChangeSource upstream =
+        ChangeSource changeSource =
                 mSourceSelector.choose(plan, isStoreResponding, mLastUpdateMillis, now);
-        if (upstream instanceof ChangeSource.Vm source) {
+        if (changeSource instanceof ChangeSource.Vm source) {
             switchSource(source.vm().name());
             followPeer(source.vm(), revision);
             return;
         }
-        long pause =
-                upstream instanceof ChangeSource.RetryLater later
-                        ? later.delayMillis()
+        long delay =
+                changeSource instanceof ChangeSource.RetryLater retryLater
+                        ? retryLater.delayMillis()
                         : Math.min(MAX_SOURCE_RETRY_MILLIS, mBackoff.remainingMillis(now));
-        if (pause > 0) {
+        if (delay > 0) {
             int watchNumber = mWatchNumber;
             stopServingFollowers();
-            mLoop.schedule(Duration.ofMillis(pause), () -> resumeFollowing(watchNumber, revision));
+            mLoop.schedule(Duration.ofMillis(delay), () -> resumeFollowing(watchNumber, revision));
             return;
         }
         switchSource(STORE_SOURCE);
@@ -250,8 +250,8 @@
      * Stops following the store if it is silent.
      *
      * <p>Guards against a store that is silent towards this VM only: the watch keeps waiting
-     * although a change was acknowledged to the operator, and all followers of this VM would serve
-     * by the old configuration until the watch times out. This VM rejects its followers at once and
+     * although a change was acknowledged to the operator, and all followers of this VM would use
+     * the old configuration until the watch times out. This VM rejects its followers at once and
      * follows another VM that still receives changes.
      */
     private Optional<Duration> leaveStoreIfSilent() {
@@ -408,7 +408,7 @@
     }
 
     private void applyWatchResponse(
-            long revision, WatchResponse response, Runnable readAgain, Duration pause) {
+            long revision, WatchResponse response, Runnable readAgain, Duration delay) {
         recordUpdate();
         if (response instanceof WatchResponse.Changes changes) {
             mMirror.apply(changes.events(), changes.revision());
@@ -416,11 +416,11 @@
             notifyListeners();
             long nextRevision = Math.max(revision, changes.revision());
             mRevision = nextRevision;
-            if (changes.events().isEmpty() || pause.isZero()) {
+            if (changes.events().isEmpty() || delay.isZero()) {
                 follow(nextRevision);
             } else {
                 int watchNumber = mWatchNumber;
-                mLoop.schedule(pause, () -> resumeFollowing(watchNumber, nextRevision));
+                mLoop.schedule(delay, () -> resumeFollowing(watchNumber, nextRevision));
             }
             return;
         }
@@ -428,11 +428,11 @@
                 EventLog.Kind.DEPENDENCY,
                 "history_lost",
                 line -> line.put("source", mSource).put("revision", revision));
-        if (pause.isZero()) {
+        if (delay.isZero()) {
             readAgain.run();
         } else {
             // Guards against continuous whole reads from a store that keeps dropping its history.
-            mLoop.schedule(pause, readAgain);
+            mLoop.schedule(delay, readAgain);
         }
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -54,7 +54,7 @@
                         + " the time in Retry-After.");
     }
 
-    /** Returns the 502 response to a request that may have run without a response. */
+    /** Returns the 502 response to a request that may have run but got no response. */
     CallerResponse failed() {
         return response(
                 HttpResponseStatus.BAD_GATEWAY,
--- a/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/PeerExchange.java
@@ -91,7 +91,7 @@
     public CompletableFuture<Void> start(Kernel kernel) {
         mFollower = kernel.find(StoreFollower.NAME, StoreFollower.class);
         mPools = kernel.find(ServicePools.NAME, ServicePools.class);
-        mPools.setOutcomeListener(this::sendObservation);
+        mPools.setObservationListener(this::sendObservation);
         mLoop = kernel.find(ControlLoop.NAME, ControlLoop.class);
         mReportTask = new PeriodicTask(mLoop, REPORT_PERIOD, this::report);
         Endpoint peers = mSettings.self().peerEndpoint();
--- a/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/SelfRegistration.java
@@ -25,8 +25,11 @@
     /** The service name in the kernel. */
     public static final String NAME = "fleet-entry";
 
-    /** How long the entry outlives its VM, and the renewal interval for it. */
-    private enum Tenure {
+    /**
+     * The term of the lease, which limits how long the entry outlives its VM, and its renewal
+     * interval.
+     */
+    private enum LeaseTerm {
         /** Callers or other VMs use this VM; it is advertised for at most 4 s after it fails. */
         USED(Duration.ofSeconds(4), Duration.ofSeconds(1)),
         /**
@@ -38,7 +41,7 @@
         private final Duration mTimeToLive;
         private final Duration mRenewalInterval;
 
-        Tenure(Duration timeToLive, Duration renewal) {
+        LeaseTerm(Duration timeToLive, Duration renewal) {
             mTimeToLive = timeToLive;
             mRenewalInterval = renewal;
         }
@@ -61,7 +64,7 @@
     private ControlLoop mLoop;
     private StoreFollower mFollower;
     private long mLease = NO_LEASE;
-    private Tenure mTenure = Tenure.SPARE;
+    private LeaseTerm mLeaseTerm = LeaseTerm.SPARE;
     private long mLastRenewalMillis = Long.MIN_VALUE / 2;
     private boolean mIsRenewing;
     private boolean mIsDeregistered;
@@ -107,7 +110,9 @@
     private Optional<Duration> renewIfDue() {
         Duration interval = mIsFollowed.getAsBoolean() ? FOLLOWED_RENEWAL_INTERVAL : CHECK_INTERVAL;
         Duration renewal =
-                mIsFollowed.getAsBoolean() ? FOLLOWED_RENEWAL_INTERVAL : tenure().mRenewalInterval;
+                mIsFollowed.getAsBoolean()
+                        ? FOLLOWED_RENEWAL_INTERVAL
+                        : leaseTerm().mRenewalInterval;
         // Half an interval early, so that the check nearest to the due time is used.
         long dueMillis = mLastRenewalMillis + renewal.toMillis() - interval.toMillis() / 2;
         if (mLoop.nowMillis() >= dueMillis || isLeaseTooLong()) {
@@ -116,17 +121,17 @@
         return mIsDeregistered ? Optional.empty() : Optional.of(interval);
     }
 
-    private Tenure tenure() {
+    private LeaseTerm leaseTerm() {
         AddressPlan plan = mFollower.view().plan();
         boolean isUsed =
                 Stream.concat(plan.advertisedVms().stream(), plan.watchers().stream())
                         .anyMatch(vm -> vm.name().equals(mSelf.name()));
-        return isUsed ? Tenure.USED : Tenure.SPARE;
+        return isUsed ? LeaseTerm.USED : LeaseTerm.SPARE;
     }
 
     /** Returns whether the lease is too long for the current use of this VM. */
     private boolean isLeaseTooLong() {
-        return mLease != NO_LEASE && mTenure == Tenure.SPARE && tenure() == Tenure.USED;
+        return mLease != NO_LEASE && mLeaseTerm == LeaseTerm.SPARE && leaseTerm() == LeaseTerm.USED;
     }
 
     /** Renews the lease, or grants one and writes the entry if there is none. */
@@ -153,8 +158,8 @@
     }
 
     private CompletableFuture<?> register() {
-        Tenure tenure = tenure();
-        return mStore.grantLease(tenure.mTimeToLive)
+        LeaseTerm leaseTerm = leaseTerm();
+        return mStore.grantLease(leaseTerm.mTimeToLive)
                 .thenCompose(
                         lease ->
                                 mStore.put(VmEntry.key(mSelf.name()), VmEntry.encode(mSelf), lease)
@@ -162,7 +167,7 @@
                                                 isWritten ->
                                                         setLease(
                                                                 isWritten ? lease : NO_LEASE,
-                                                                tenure)));
+                                                                leaseTerm)));
     }
 
     private CompletableFuture<?> renew() {
@@ -176,19 +181,19 @@
 
     /** Registers again after the lease expired while the store was unavailable. */
     private CompletableFuture<?> registerAgain() {
-        setLease(NO_LEASE, Tenure.SPARE);
+        setLease(NO_LEASE, LeaseTerm.SPARE);
         return register();
     }
 
-    private void setLease(long lease, Tenure tenure) {
+    private void setLease(long lease, LeaseTerm leaseTerm) {
         mLoop.execute(
                 () -> {
                     mLease = lease;
-                    mTenure = tenure;
+                    mLeaseTerm = leaseTerm;
                     mLog.write(
                             EventLog.Kind.BELIEF,
                             lease == NO_LEASE ? "own_entry_lost" : "own_entry_written",
-                            line -> line.put("lease", lease).put("tenure", tenure.name()));
+                            line -> line.put("lease", lease).put("tenure", leaseTerm.name()));
                 });
     }
 }
--- a/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ServicePools.java
@@ -118,7 +118,7 @@
     }
 
     /** Sets the listener for observations of targets; to be called during the start. */
-    void setOutcomeListener(BiConsumer<ServiceId, TargetObservation> listener) {
+    void setObservationListener(BiConsumer<ServiceId, TargetObservation> listener) {
         mObservationListener = listener;
     }
 
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreFollower.java
@@ -282,8 +282,8 @@
     }
 
     private void applyConfiguration(RoutingConfiguration configuration) {
-        long known = mRoutes.map(routes -> routes.configuration().version()).orElse(-1L);
-        if (configuration.version() <= known) {
+        long knownVersion = mRoutes.map(routes -> routes.configuration().version()).orElse(-1L);
+        if (configuration.version() <= knownVersion) {
             return;
         }
         mRoutes = Optional.of(new RouteTable(configuration));
@@ -292,7 +292,7 @@
                 "version_in_force",
                 line ->
                         line.put("version", configuration.version())
-                                .put("before", known)
+                                .put("before", knownVersion)
                                 .put("routes", configuration.routes().size()));
     }
 
@@ -315,11 +315,11 @@
             return;
         }
         mTargets.put(target.instance(), target);
-        boolean known =
+        boolean isUnchanged =
                 previous != null
                         && previous.draining() == target.draining()
                         && previous.startedMillis() == target.startedMillis();
-        if (known || mIsApplyingSnapshot) {
+        if (isUnchanged || mIsApplyingSnapshot) {
             return;
         }
         mLog.write(
--- a/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/StoreReader.java
@@ -41,8 +41,7 @@
         void onStoreFailure(Throwable failure);
 
         /**
-         * Returns whether a snapshot is known already, which makes the mirrors of other VMs
-         * useless.
+         * Returns whether a snapshot is known already, so that no mirror of another VM is needed.
          */
         boolean hasSnapshot();
 
@@ -109,7 +108,7 @@
 
     /**
      * Reads the mirror of the next seed, so that a VM that starts while the store is unavailable
-     * serves by the last state known to the fleet. Reads the store again if the seed does not
+     * begins with the last state known to the fleet. Reads the store again if the seed does not
      * respond.
      */
     private void readSeed(Consistency consistency) {
--- a/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/WorkReportCodec.java
@@ -49,9 +49,9 @@
 
     /** Encodes reports on registered targets; reports on other targets are omitted. */
     static List<WorkAtTarget> encode(
-            List<TargetReport> report, Map<Endpoint, TargetRegistration> targets, long nowMillis) {
+            List<TargetReport> reports, Map<Endpoint, TargetRegistration> targets, long nowMillis) {
         List<WorkAtTarget> encoded = new ArrayList<>();
-        for (TargetReport targetReport : report) {
+        for (TargetReport targetReport : reports) {
             TargetRegistration target = targets.get(targetReport.target());
             if (target != null) {
                 encoded.add(encode(target.incarnation(), targetReport, nowMillis));
@@ -77,11 +77,11 @@
 
     /** Decodes reports on registered targets; reports on other targets are omitted. */
     static List<TargetReport> decode(
-            List<WorkAtTarget> report,
+            List<WorkAtTarget> reports,
             Map<String, TargetRegistration> byIncarnation,
             long nowMillis) {
         List<TargetReport> decoded = new ArrayList<>();
-        for (WorkAtTarget targetReport : report) {
+        for (WorkAtTarget targetReport : reports) {
             TargetRegistration target = byIncarnation.get(targetReport.getInstance());
             if (target != null) {
                 decoded.add(decode(target.endpoint(), targetReport, nowMillis));
--- a/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
@@ -79,12 +79,12 @@
         mTargets.forEach(target -> target.behave(behaviour));
     }
 
-    /** Sends a read to a VM and returns the raw response. */
+    /** Sends a read, which is a repeatable request, to a VM and returns the raw response. */
     String get(int vm, String path) {
         return caller(vm).send("GET " + path, "read", "");
     }
 
-    /** Sends a lock to a VM and returns the raw response. */
+    /** Sends a lock, which is an at-most-once request, to a VM and returns the raw response. */
     String post(int vm, String path, String body) {
         return caller(vm).send("POST " + path, "lock", body);
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
@@ -59,12 +59,12 @@
         mTargets.forEach(target -> mStore.put(target.key(), target.registration("x", "ready")));
     }
 
-    /** Sends a read and returns the raw response. */
+    /** Sends a read, which is a repeatable request, and returns the raw response. */
     String get(String path) {
         return caller().send("GET " + path, "read-" + path.hashCode(), "");
     }
 
-    /** Sends a lock and returns the raw response. */
+    /** Sends a lock, which is an at-most-once request, and returns the raw response. */
     String post(String path, String body) {
         return caller().send("POST " + path, "lock-" + path.hashCode(), body);
     }
