--- a/http/src/main/java/org/dahliapass/http/ClientConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ClientConnection.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A connection to a server that carries one request start a time. */
+/** A connection to a server that carries one request at a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** The Keep-Alive parameter with the server's idle timeout, in seconds. */
     private static final String TIMEOUT_PARAMETER = "timeout=";
--- a/http/src/main/java/org/dahliapass/http/FramingValidator.java
+++ b/http/src/main/java/org/dahliapass/http/FramingValidator.java
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Validates the decoded bytes of a buffer from one index up to, not including, another. */
+    /** Validates the decoded bytes of a buffer in the index range [from, until). */
     void onBytes(ByteBuf bytes, int from, int until) {
         int unused = bytes.forEachByte(from, until - from, this);
     }
--- a/http/src/main/java/org/dahliapass/http/HopByHopHeaders.java
+++ b/http/src/main/java/org/dahliapass/http/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** The headers that apply to header connection and are not forwarded (RFC 9110, 7.6.1). */
+/** The headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1). */
 public final class HopByHopHeaders {
     private static final List<AsciiString> ALWAYS_REMOVED =
             List.of(
@@ -38,7 +38,7 @@
      * Removes a header that a Connection header nominates.
      *
      * <p>Host and Content-Length stay: without them the forwarded message has another meaning than
-     * the received header.
+     * the received one.
      */
     private static void removeNominated(HttpHeaders headers, String name, List<AsciiString> kept) {
         boolean describesMessage =
--- a/http/src/main/java/org/dahliapass/http/HttpClient.java
+++ b/http/src/main/java/org/dahliapass/http/HttpClient.java
@@ -45,10 +45,10 @@
     /**
      * Creates a client.
      *
-     * @param loops a group with connection event loop
+     * @param loops a group with one event loop
      * @param clock the clock that measures idle times
      * @param connectTimeout the time limit for opening a connection
-     * @param idle how long an idle connection is idleConnection for reuse
+     * @param idle how long an idle connection is kept for reuse
      */
     public HttpClient(EventLoopGroup loops, Clock clock, Duration connectTimeout, Duration idle) {
         mLoop = loops.next();
@@ -164,7 +164,7 @@
         scheduleIdleCheck();
     }
 
-    /** Schedules the next check, unless connection is scheduled or no connection is idle. */
+    /** Schedules the next check, unless one is scheduled or no connection is idle. */
     private void scheduleIdleCheck() {
         if (mCheckScheduled || mIdle.isEmpty()) {
             return;
--- a/http/src/main/java/org/dahliapass/http/ResponseAggregator.java
+++ b/http/src/main/java/org/dahliapass/http/ResponseAggregator.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Collects one response into a {@link ClientResponse}, within a time timeLimit. */
+/** Collects one response into a {@link ClientResponse}, within a time limit. */
 final class ResponseAggregator implements ResponseListener {
     private static final int INITIAL_BODY_BYTES = 1_024;
 
--- a/http/src/main/java/org/dahliapass/http/ServerCall.java
+++ b/http/src/main/java/org/dahliapass/http/ServerCall.java
@@ -130,12 +130,12 @@
         mConnection.writeChunk(chunk);
     }
 
-    /** Ends a response that was started. */
+    /** Ends a started response. */
     public void endResponse(HttpHeaders trailers) {
         mConnection.writeEnd(trailers);
     }
 
-    /** Aborts a response that was started by closing the connection, so that it is incomplete. */
+    /** Aborts a started response: closes the connection, so that the response is incomplete. */
     public void abort() {
         mConnection.close();
     }
--- a/http/src/main/java/org/dahliapass/http/ServerConnection.java
+++ b/http/src/main/java/org/dahliapass/http/ServerConnection.java
@@ -258,15 +258,15 @@
         mResponseStartMillis = mClock.millis();
     }
 
-    private void onWritten(boolean whole) {
+    private void onWritten(boolean complete) {
         if (mCall == null) {
             return;
         }
         mCall.notifyDelivered(
                 new ServerCall.Delivery(
-                        whole, mWriter.bodyBytes(), mClock.millis() - mResponseStartMillis));
+                        complete, mWriter.bodyBytes(), mClock.millis() - mResponseStartMillis));
         mWriting = false;
-        if (!whole) {
+        if (!complete) {
             close();
         } else if (mCall.isBodyComplete()) {
             finishCall();
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Continues with the next request once the request is read and its response written. */
+    /** Continues with the next request once the current one is read and its response written. */
     private void finishCall() {
         mCall = null;
         if (mWriter.closesAfterResponse()) {
@@ -343,9 +343,9 @@
         call.onClientDisconnected();
     }
 
-    private void notifyDelivered(ServerCall call, boolean whole) {
-        long millis = whole ? mClock.millis() - mResponseStartMillis : 0;
-        call.notifyDelivered(new ServerCall.Delivery(whole, mWriter.bodyBytes(), millis));
+    private void notifyDelivered(ServerCall call, boolean complete) {
+        long millis = complete ? mClock.millis() - mResponseStartMillis : 0;
+        call.notifyDelivered(new ServerCall.Delivery(complete, mWriter.bodyBytes(), millis));
     }
 
     /** Closes the connection, usually after a reset by the client. */
--- a/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
+++ b/http/src/test/java/org/dahliapass/http/ServerConnectionTest.java
@@ -336,7 +336,7 @@
         assertFalse(server.mChannel.isActive());
     }
 
-    /** Without the report, the handler keeps working for a disconnected client. */
+    /** A handler that is not notified keeps working for a disconnected client. */
     @Test
     public void disconnectIsReportedOnce() {
         ServerFixture server = new ServerFixture();
--- a/kernel/src/main/java/org/dahliapass/kernel/IniSection.java
+++ b/kernel/src/main/java/org/dahliapass/kernel/IniSection.java
@@ -210,12 +210,12 @@
         }
         for (String key : mSection.keySet()) {
             if (!mRequestedKeys.contains(key)) {
-                mFile.report(mName, key, "an unknown key", allowedKeys());
+                mFile.report(mName, key, "an unknown key", expectedKeys());
             }
         }
     }
 
-    private String allowedKeys() {
+    private String expectedKeys() {
         return "one of " + mRequestedKeys.stream().sorted().collect(Collectors.joining(", "));
     }
 
--- a/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
+++ b/kernel/src/test/java/org/dahliapass/kernel/IniSectionTest.java
@@ -62,11 +62,11 @@
         valid.throwIfInvalid();
 
         for (String text : rejected) {
-            IniFile wrong = IniFile.parse("f.ini", "[s]\nk = " + text + "\n");
-            Object unused = getter.apply(wrong.section("s"));
+            IniFile invalid = IniFile.parse("f.ini", "[s]\nk = " + text + "\n");
+            Object unused = getter.apply(invalid.section("s"));
 
             List<SettingsProblem> problems =
-                    expectThrows(SettingsException.class, wrong::throwIfInvalid).problems();
+                    expectThrows(SettingsException.class, invalid::throwIfInvalid).problems();
 
             assertEquals(problems.size(), 1, text);
             assertEquals(problems.get(0).actual(), "'" + text + "'");
--- a/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
+++ b/registry/src/main/java/org/dahliapass/registry/ConfigurationStore.java
@@ -49,10 +49,10 @@
      */
     public CompletableFuture<AcceptOutcome> run(
             StoreProtocol protocol, Consumer<StoreAction> observer) {
-        return step(protocol, protocol.start(), observer);
+        return execute(protocol, protocol.start(), observer);
     }
 
-    private CompletableFuture<AcceptOutcome> step(
+    private CompletableFuture<AcceptOutcome> execute(
             StoreProtocol protocol, StoreAction action, Consumer<StoreAction> observer) {
         observer.accept(action);
         if (action instanceof StoreAction.Finish finish) {
@@ -62,7 +62,7 @@
                 action instanceof StoreAction.Read read
                         ? read(protocol, read)
                         : swap(protocol, (StoreAction.Swap) action);
-        return next.thenCompose(nextAction -> step(protocol, nextAction, observer));
+        return next.thenCompose(nextAction -> execute(protocol, nextAction, observer));
     }
 
     private CompletableFuture<StoreAction> read(StoreProtocol protocol, StoreAction.Read read) {
--- a/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
+++ b/wire/src/main/java/org/dahliapass/wire/PeerTransport.java
@@ -100,7 +100,7 @@
         return mCounters;
     }
 
-    /** Returns the endpoint address this process listens; valid once started. */
+    /** Returns the endpoint where this process listens; valid once started. */
     public Endpoint endpoint() {
         return Addresses.toEndpoint((InetSocketAddress) mUdpChannel.localAddress());
     }
@@ -242,11 +242,11 @@
                 .bind(Addresses.toSocketAddress(new Endpoint(mSettings.host(), mSettings.port())));
     }
 
-    private void fail(CompletableFuture<Void> bound, String step, Throwable cause) {
+    private void fail(CompletableFuture<Void> bound, String operation, Throwable cause) {
         String address = mSettings.host() + ":" + mSettings.port();
         bound.completeExceptionally(
                 new OperationException(
-                        step, address, "The port can't be bound. Choose another.", cause));
+                        operation, address, "The port can't be bound. Choose another.", cause));
     }
 
     private static void forward(CompletableFuture<Void> from, CompletableFuture<Void> to) {
--- a/wire/src/main/java/org/dahliapass/wire/RefusedException.java
+++ b/wire/src/main/java/org/dahliapass/wire/RefusedException.java
@@ -10,8 +10,11 @@
     private final ReplyStatus mStatus;
 
     /** Creates the exception. */
-    public RefusedException(String step, String peer, ReplyStatus status, String detail) {
-        super(step, peer, "The peer refused with " + status + ". " + detail);
+    public RefusedException(String operation, String peer, ReplyStatus status, String detail) {
+        super(
+                operation,
+                peer,
+                "The peer refused the request with status " + status + ". " + detail);
         mStatus = status;
     }
 
