--- a/traffic/src/main/java/org/dahliapass/traffic/EntryMetrics.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/EntryMetrics.java
@@ -13,31 +13,31 @@
 /**
  * The Prometheus metrics of one entry VM.
  *
- * <p>Without exemplars: no request carries a trace, and choosing them takes a thread of its own
- * that wakes twice a second on a VM without work.
+ * <p>Exemplars are disabled: requests carry no trace, and sampling them needs a thread that wakes
+ * up twice a second.
  */
 public final class EntryMetrics implements KernelService {
-    /** The name under which the kernel holds the metrics. */
+    /** The name of this service in the kernel. */
     public static final String NAME = "metrics";
 
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final PrometheusRegistry mRegistry = new PrometheusRegistry();
-    private final Counter mAnswers =
+    private final Counter mResponses =
             Counter.builder()
                     .name("dahliapass_answers_total")
                     .help("Answers given to callers, by customer, service, kind and outcome.")
                     .labelNames("customer", "service", "kind", "outcome")
                     .withoutExemplars()
                     .register(mRegistry);
-    private final Counter mTries =
+    private final Counter mAttempts =
             Counter.builder()
                     .name("dahliapass_tries_total")
                     .help("Tries at targets, by service and how they ended.")
                     .labelNames("service", "end")
                     .withoutExemplars()
                     .register(mRegistry);
-    private final Histogram mHeadSeconds =
+    private final Histogram mResponseHeadSeconds =
             Histogram.builder()
                     .name("dahliapass_target_head_seconds")
                     .help("Seconds from sending to the head of a target's answer.")
@@ -52,13 +52,13 @@
                     .classicOnly()
                     .withoutExemplars()
                     .register(mRegistry);
-    private final Gauge mLateSeconds =
+    private final Gauge mThreadDelaySeconds =
             Gauge.builder()
                     .name("dahliapass_thread_late_seconds")
                     .help("The most that a thread ran its tasks late in the last second.")
                     .labelNames("thread")
                     .register(mRegistry);
-    private final Counter mCopiedBytes =
+    private final Counter mStoreCopyBytes =
             Counter.builder()
                     .name("dahliapass_copied_bytes_total")
                     .help("Bytes of the copy of the store handed to VMs that follow this one.")
@@ -71,7 +71,7 @@
                     .labelNames("call")
                     .withoutExemplars()
                     .register(mRegistry);
-    private final Counter mPoison =
+    private final Counter mPoisonEvents =
             Counter.builder()
                     .name("dahliapass_poison_requests_total")
                     .help(
@@ -87,7 +87,7 @@
                     .labelNames("action")
                     .withoutExemplars()
                     .register(mRegistry);
-    private final Gauge mRevision =
+    private final Gauge mConfigurationNumber =
             Gauge.builder()
                     .name("dahliapass_configuration_number")
                     .help("Number of the newest configuration change that this VM knows.")
@@ -99,39 +99,39 @@
                     .labelNames("state")
                     .register(mRegistry);
 
-    /** Counts an answer to a caller. */
+    /** Counts a response to a caller. */
     public void onAnswer(String customer, String service, String kind, String outcome) {
-        mAnswers.labelValues(customer, service, kind, outcome).inc();
+        mResponses.labelValues(customer, service, kind, outcome).inc();
     }
 
-    /** Counts the end of a try at a target. */
+    /** Counts the end of an attempt at a target. */
     public void onAttempt(String service, String end) {
-        mTries.labelValues(service, end).inc();
+        mAttempts.labelValues(service, end).inc();
     }
 
-    /** Counts what became of requests that end their targets. */
+    /** Counts an event of the poison message detection. */
     public void onPoisonEvent(String event) {
-        mPoison.labelValues(event).inc();
+        mPoisonEvents.labelValues(event).inc();
     }
 
-    /** Observes the time to the head of a target's answer. */
+    /** Records the time from sending a request to the head of its response, in milliseconds. */
     public void onResponseHead(String service, String kind, long latencyMillis) {
-        mHeadSeconds.labelValues(service, kind).observe(latencyMillis / MILLIS_PER_SECOND);
+        mResponseHeadSeconds.labelValues(service, kind).observe(latencyMillis / MILLIS_PER_SECOND);
     }
 
-    /** Observes how long an answer took from its first byte to its last one written. */
+    /** Records the time from the first to the last written byte of a response, in milliseconds. */
     public void onDelivered(long millis) {
         mDeliverySeconds.observe(millis / MILLIS_PER_SECOND);
     }
 
-    /** Sets how late a thread ran its tasks at most, in the last second. */
+    /** Sets the maximum delay of a thread's tasks in the last second, in milliseconds. */
     public void onThreadDelay(String thread, long millis) {
-        mLateSeconds.labelValues(thread).set(millis / MILLIS_PER_SECOND);
+        mThreadDelaySeconds.labelValues(thread).set(millis / MILLIS_PER_SECOND);
     }
 
-    /** Counts bytes of the copy of the store that were handed to another VM. */
+    /** Counts bytes of the copy of the store sent to another VM. */
     public void onStoreCopyBytes(long bytes) {
-        mCopiedBytes.inc((double) bytes);
+        mStoreCopyBytes.inc((double) bytes);
     }
 
     /** Counts a call to the store. */
@@ -146,10 +146,10 @@
 
     /** Sets the number of the newest configuration change. */
     public void onConfigurationNumber(long number) {
-        mRevision.set((double) number);
+        mConfigurationNumber.set((double) number);
     }
 
-    /** Sets the number of VMs in a state. */
+    /** Sets the number of members in a state. */
     public void onMemberCount(String state, int count) {
         mMembers.labelValues(state).set(count);
     }
@@ -159,8 +159,8 @@
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(output, mRegistry.scrape());
-        } catch (IOException failure) {
-            throw new UncheckedIOException(failure);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
         return output.toByteArray();
     }
--- a/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
@@ -4,64 +4,64 @@
 import org.dahliapass.decisions.traffic.RefusalReason;
 import org.dahliapass.kernel.OperationException;
 
-/** No slot was given. */
+/** Thrown if a request is refused before it gets a slot at a target. */
 public final class RefusedException extends OperationException {
     private static final long serialVersionUID = 1L;
 
     private final Reason mReason;
-    private final String mProblem;
+    private final String mDetail;
     private final long mRetryAfterMillis;
 
-    /** Why no slot was given. */
+    /** Why a request was refused. */
     public enum Reason {
-        /** No target takes work of this kind. */
+        /** No target accepts requests of this kind. */
         NO_TARGET,
-        /** No slot comes free in time. */
+        /** No slot becomes free in time. */
         OVERLOADED,
-        /** The customer sends more than its rate. */
+        /** The customer exceeds its rate limit. */
         RATE_LIMITED
     }
 
     private RefusedException(Reason reason, String message, long retryAfterMillis) {
         super("admit", "self", message);
         mReason = reason;
-        mProblem = message;
+        mDetail = message;
         mRetryAfterMillis = retryAfterMillis;
     }
 
-    /** Returns the failure of a request that the queue refused. */
+    /** Returns the exception for a request that the admission queue refused. */
     static RefusedException of(Admission.Refused refused) {
         Reason reason =
                 refused.reason() == RefusalReason.NO_TARGET ? Reason.NO_TARGET : Reason.OVERLOADED;
         String message =
                 switch (refused.reason()) {
-                    case NO_TARGET -> "No target of the service takes work of this kind now.";
+                    case NO_TARGET -> "No target of the service accepts requests of this kind now.";
                     case QUEUE_FULL -> "The queue, or this customer's part of it, is full.";
-                    case TOO_LATE -> "No slot comes free in time, by the rate measured now.";
-                    case WAIT_TIMED_OUT -> "No slot came free within the kind's patience.";
+                    case TOO_LATE -> "No slot is expected to become free in time.";
+                    case WAIT_TIMED_OUT -> "No slot became free within the kind's patience.";
                 };
         return new RefusedException(reason, message, refused.retryAfterMillis());
     }
 
-    /** Returns the failure of a request beyond its template's rate. */
+    /** Returns the exception for a request that exceeds its template's rate limit. */
     static RefusedException rateLimited(long waitMillis) {
         return new RefusedException(
                 Reason.RATE_LIMITED,
-                "More requests of this kind than the template's rate allows.",
+                "Requests of this kind exceed the template's rate limit.",
                 waitMillis);
     }
 
-    /** Returns why no slot was given. */
+    /** Returns why the request was refused. */
     public Reason reason() {
         return mReason;
     }
 
-    /** Returns what is wrong, without the step and the peer. */
+    /** Returns the message without the operation and the peer. */
     public String detail() {
-        return mProblem;
+        return mDetail;
     }
 
-    /** Returns when the caller may come back, in milliseconds. */
+    /** Returns when the caller may retry, in milliseconds from now. */
     public long retryAfterMillis() {
         return mRetryAfterMillis;
     }
--- a/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/ServiceRuntime.java
@@ -44,8 +44,8 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * The traffic decisions of one service on this VM behind one lock, which traffic threads and the
- * control thread share. No callback runs while the lock is held.
+ * The traffic decisions of one service on this VM, guarded by one lock that the traffic threads and
+ * the control thread share. Callbacks run without the lock.
  */
 public final class ServiceRuntime {
     private static final long REPORT_HALF_LIFE_MILLIS = 2000;
@@ -54,26 +54,26 @@
     private final ServiceId mId;
     private final int mSlotsPerTarget;
     private final Clock mClock;
-    private final TargetEventListener mOutcomes;
+    private final TargetEventListener mEventListener;
     private final EntryMetrics mMetrics;
     private final SlotTable mSlots;
     private final ServiceTimeEstimator mTimes = new ServiceTimeEstimator();
-    private final PassiveFailureDetector mEvidence;
+    private final PassiveFailureDetector mFailureDetector;
     private final LoadBalancer mBalancer;
     private final RetryBudget mBudget = new RetryBudget();
     private final AdmissionQueue<SlotWaiter> mQueue;
-    private final RetryPolicy mRetries;
-    private final HedgePolicy mHedges;
-    private volatile BiConsumer<ServiceId, TargetObservation> mNewsListener =
-            (service, change) -> {};
+    private final RetryPolicy mRetryPolicy;
+    private final HedgePolicy mHedgePolicy;
+    private volatile BiConsumer<ServiceId, TargetObservation> mObservationListener =
+            (service, observation) -> {};
 
-    /** Who is at each target's address, as the newest view of the targets has it. */
+    /** The target at each address, by the latest view of the targets. */
     private Map<Endpoint, TargetInstance> mInstances = Map.of();
 
-    private final RateLimiter mRates = new RateLimiter(RATE_BUCKETS);
+    private final RateLimiter mRateLimiter = new RateLimiter(RATE_BUCKETS);
 
     /**
-     * Starts without targets.
+     * Creates a runtime without targets.
      *
      * @param zone this VM's availability zone
      */
@@ -82,15 +82,15 @@
             ServiceTemplate template,
             Clock clock,
             RandomGenerator random,
-            TargetEventListener evidence,
+            TargetEventListener eventListener,
             EntryMetrics metrics) {
         mId = template.id();
         mSlotsPerTarget = template.slotsPerTarget();
         mClock = clock;
-        mOutcomes = evidence;
+        mEventListener = eventListener;
         mMetrics = metrics;
         mSlots = new SlotTable(template.slotsPerTarget(), REPORT_HALF_LIFE_MILLIS);
-        mEvidence = new PassiveFailureDetector(mTimes, mSlots);
+        mFailureDetector = new PassiveFailureDetector(mTimes, mSlots);
         mBalancer =
                 new LoadBalancer(
                         zone,
@@ -98,50 +98,50 @@
                         mSlots,
                         LoadBalancer.bulkyShare(template.kinds()),
                         random,
-                        mEvidence);
+                        mFailureDetector);
         mQueue =
                 new AdmissionQueue<>(
                         QueueLimits.forService(template), mSlots, mBalancer, mTimes, random);
-        mRetries = new RetryPolicy(mBudget, mBalancer, mSlots, mTimes);
-        mHedges = new HedgePolicy(mBudget, mBalancer, mSlots, mTimes, mEvidence);
+        mRetryPolicy = new RetryPolicy(mBudget, mBalancer, mSlots, mTimes);
+        mHedgePolicy = new HedgePolicy(mBudget, mBalancer, mSlots, mTimes, mFailureDetector);
     }
 
-    /** Returns the service. */
+    /** Returns the service's id. */
     public ServiceId id() {
         return mId;
     }
 
-    /** Returns whether these decisions still fit a new revision of the service. */
+    /** Returns whether this runtime can apply a new revision of the service. */
     public boolean isCompatibleWith(ServiceTemplate template) {
         return template.slotsPerTarget() == mSlotsPerTarget;
     }
 
     /**
-     * Gets a slot for a request's first try, at once or after a wait.
+     * Acquires a slot for a request's first attempt, at once or after queueing.
      *
-     * @return fails with a {@link RefusedException}; cancel it if the caller goes away
+     * @return fails with a {@link RefusedException}; cancel it if the caller disconnects
      */
     public CompletableFuture<Slot> acquire(SlotRequest request, Set<Endpoint> excluded) {
         QueueEntry<SlotWaiter> entry = newEntry(request, excluded);
-        OptionalLong wait = rateWait(request);
-        if (wait.isPresent()) {
-            return CompletableFuture.failedFuture(RefusedException.rateLimited(wait.getAsLong()));
+        OptionalLong delay = rateLimitDelay(request);
+        if (delay.isPresent()) {
+            return CompletableFuture.failedFuture(RefusedException.rateLimited(delay.getAsLong()));
         }
         offer(entry, true);
-        return withdrawnOnCancel(entry);
+        return withdrawOnCancel(entry);
     }
 
     /**
-     * Gets a slot for a request again, at once or after a wait, after a try that ran nothing.
+     * Acquires a slot for another attempt, at once or after queueing, if no earlier attempt ran the
+     * request.
      *
-     * <p>Guards against a planned stop of a target that costs callers their requests: those that
-     * were on their way to it when it began to drain come back unprocessed, and while others wait
-     * no retry is allowed. They wait in the queue like any other; since the queue holds to the
-     * slots, no work is added.
+     * <p>A draining target returns the requests sent to it unprocessed, while retries aren't
+     * allowed if others are queued. These requests are queued again, which adds no load, since the
+     * queue respects the slots.
      *
-     * @param tried passed over while there is another target; a target that only shed load is
-     *     better than none
-     * @return fails with a {@link RefusedException}; cancel it if the caller goes away
+     * @param tried targets that are avoided if there is another one; a target that shed load is
+     *     used if there is none
+     * @return fails with a {@link RefusedException}; cancel it if the caller disconnects
      */
     public CompletableFuture<Slot> reacquire(SlotRequest request, Set<Endpoint> tried) {
         boolean hasOther;
@@ -150,7 +150,7 @@
         }
         QueueEntry<SlotWaiter> entry = newEntry(request, hasOther ? tried : Set.of());
         offer(entry, false);
-        return withdrawnOnCancel(entry);
+        return withdrawOnCancel(entry);
     }
 
     private static QueueEntry<SlotWaiter> newEntry(SlotRequest request, Set<Endpoint> excluded) {
@@ -163,7 +163,7 @@
                 excluded);
     }
 
-    private CompletableFuture<Slot> withdrawnOnCancel(QueueEntry<SlotWaiter> entry) {
+    private CompletableFuture<Slot> withdrawOnCancel(QueueEntry<SlotWaiter> entry) {
         CompletableFuture<Slot> future = entry.request().slot();
         Futures.whenDone(
                 future,
@@ -175,8 +175,8 @@
         return future;
     }
 
-    private synchronized OptionalLong rateWait(SlotRequest request) {
-        return mRates.tryAcquire(request.customer(), mId, request.kind(), mClock.millis());
+    private synchronized OptionalLong rateLimitDelay(SlotRequest request) {
+        return mRateLimiter.tryAcquire(request.customer(), mId, request.kind(), mClock.millis());
     }
 
     private void offer(QueueEntry<SlotWaiter> entry, boolean firstTry) {
@@ -186,142 +186,157 @@
         synchronized (this) {
             admission = mQueue.offer(entry, now);
             if (firstTry) {
-                mEvidence.onFirstAttempt(entry.kind());
+                mFailureDetector.onFirstAttempt(entry.kind());
                 mBudget.onFirstAttempt(entry.kind(), now);
             }
             if (admission instanceof Admission.Dispatch dispatch) {
-                slot = Optional.of(take(entry, dispatch.target(), now, false));
+                slot = Optional.of(createSlot(entry, dispatch.target(), now, false));
             }
         }
-        slot.ifPresent(this::give);
+        slot.ifPresent(this::completeOrRelease);
         if (admission instanceof Admission.Refused refused) {
             entry.request().slot().completeExceptionally(RefusedException.of(refused));
         }
     }
 
-    /** Gets a slot for a retry if policy and budget allow one. */
+    /** Acquires a slot for a retry if the policy and the budget allow one. */
     public Optional<Slot> retry(SlotRequest request, FailedAttempt failed) {
         long now = mClock.millis();
         Optional<Slot> slot = Optional.empty();
         synchronized (this) {
-            if (mRetries.decide(failed, mQueue.isOverloaded(), now)
-                    instanceof RetryDecision.Retry go) {
-                slot = Optional.of(take(newEntry(request, Set.of()), go.target(), now, true));
+            if (mRetryPolicy.decide(failed, mQueue.isOverloaded(), now)
+                    instanceof RetryDecision.Retry decision) {
+                slot =
+                        Optional.of(
+                                createSlot(
+                                        newEntry(request, Set.of()), decision.target(), now, true));
             }
         }
         slot.ifPresent(ignored -> mMetrics.onAttempt(mId.name(), "retry"));
         return slot;
     }
 
-    /** Returns how long after the first try a hedge is worth asking for; empty for never. */
+    /** Returns the delay after the first attempt at which to request a hedge; empty for never. */
     public synchronized OptionalLong hedgeDelayMillis(RequestKind kind) {
-        return mHedges.delayMillis(kind);
+        return mHedgePolicy.delayMillis(kind);
     }
 
-    /** Gets a slot for a hedge if policy and budget allow one. */
+    /** Acquires a slot for a hedge if the policy and the budget allow one. */
     public Optional<Slot> hedge(SlotRequest request, Set<Endpoint> tried) {
         long now = mClock.millis();
         Optional<Slot> slot;
         synchronized (this) {
             slot =
-                    mHedges.tryStart(
+                    mHedgePolicy
+                            .tryStart(
                                     request.kind(),
                                     tried,
                                     request.deadlineMillis(),
                                     mQueue.isOverloaded(),
                                     now)
-                            .map(target -> take(newEntry(request, Set.of()), target, now, true));
+                            .map(
+                                    target ->
+                                            createSlot(
+                                                    newEntry(request, Set.of()),
+                                                    target,
+                                                    now,
+                                                    true));
         }
         slot.ifPresent(ignored -> mMetrics.onAttempt(mId.name(), "hedge"));
         return slot;
     }
 
     /**
-     * Takes the slot of a target that was chosen, with the name of who is at its address.
+     * Creates the slot at a selected target, with the target instance at its address.
      *
-     * <p>Guards against a request that names nobody, or the one before, and is run by whoever has
-     * the address by then: the lock under which the target was chosen is still held.
+     * <p>Call it under the lock that selected the target, so that a request isn't addressed to an
+     * instance that has been replaced.
      */
-    private Slot take(QueueEntry<SlotWaiter> entry, Endpoint target, long now, boolean extra) {
+    private Slot createSlot(
+            QueueEntry<SlotWaiter> entry, Endpoint target, long now, boolean extra) {
         Slot slot = new Slot(entry, mInstances.get(target), now, extra);
-        mEvidence.onStarted(entry.kind(), target, slot, now);
+        mFailureDetector.onStarted(entry.kind(), target, slot, now);
         return slot;
     }
 
     /**
-     * Takes a new revision of the service that fits.
+     * Applies a compatible new revision of the service.
      *
-     * <p>Guards against limits from a time when few targets were known: a VM that starts before its
-     * targets would let one large answer through at a time for good.
+     * <p>Updates the queue limits, since those computed before the targets were known may be too
+     * low.
      */
     public synchronized void onTemplate(ServiceTemplate template) {
         mQueue.setLimits(QueueLimits.forService(template));
     }
 
-    /** Sets who tells the other VMs of work that ended; before the first request. */
+    /**
+     * Sets the listener that reports observations to the other VMs; call it before the first
+     * request.
+     */
     public void setObservationListener(BiConsumer<ServiceId, TargetObservation> listener) {
-        mNewsListener = listener;
+        mObservationListener = listener;
     }
 
-    /** Takes what another VM's work showed of a target. */
-    public synchronized void onPeerObservation(TargetObservation news) {
-        mEvidence.onPeerObservation(news);
+    /** Records an observation reported by another VM. */
+    public synchronized void onPeerObservation(TargetObservation observation) {
+        mFailureDetector.onPeerObservation(observation);
     }
 
-    /** Returns what is new in this VM's work for the other VMs; empty if nothing is. */
+    /** Returns the changes since the last report, for the other VMs; empty if there are none. */
     public synchronized List<TargetReport> drainReport() {
-        return mEvidence.drainReport(mClock.millis());
+        return mFailureDetector.drainReport(mClock.millis());
     }
 
-    /** Takes another VM's report, and gives the slots that it frees to those who wait. */
+    /** Records another VM's report and dispatches queued requests to the slots that it frees. */
     public void onPeerReport(VmIdentity vm, List<TargetReport> report) {
         long now = mClock.millis();
-        Handout handout;
+        PendingCompletions completions;
         synchronized (this) {
-            mEvidence.onPeerReport(vm.name(), report, now);
+            mFailureDetector.onPeerReport(vm.name(), report, now);
             Map<Endpoint, Integer> inFlight = new HashMap<>();
             report.forEach(work -> inFlight.put(work.target(), work.inFlight()));
             mSlots.onPeerReport(vm, inFlight, now);
-            handout = handOut(mQueue.onSlotFreed(now), now);
+            completions = prepareCompletions(mQueue.onSlotFreed(now), now);
         }
-        carryOut(handout);
+        completeRequests(completions);
     }
 
-    /** Returns the chance that a target is in a bout of failure, by the newest work. */
+    /** Returns the probability that a target is failing, by the outcomes of recent attempts. */
     public synchronized double failingProbability(Endpoint target) {
-        return mEvidence.failingProbability(target, mClock.millis());
+        return mFailureDetector.failingProbability(target, mClock.millis());
     }
 
-    /** Observes the head of an answer. */
+    /** Records the time to the head of a response, in milliseconds. */
     public void onResponseHead(RequestKind kind, long latencyMillis) {
         mMetrics.onResponseHead(mId.name(), kind.name(), latencyMillis);
     }
 
     /**
-     * Gives a slot back and hands it to whoever waits.
+     * Releases a slot and dispatches queued requests.
      *
-     * <p>An end at a target that isn't at its address any more says nothing of the one that is.
+     * <p>The outcome doesn't count for a target that has been replaced at its address since.
      *
-     * @param outcome what the try says of the target's health
-     * @param latencyMillis from sending to the answer's head, or to the failure
+     * @param outcome the outcome for the target's health
+     * @param latencyMillis the time from sending to the head of the response, or to the failure, in
+     *     milliseconds
      */
     public void release(Slot slot, Outcome outcome, long latencyMillis) {
         long now = mClock.millis();
         boolean answered = outcome == Outcome.SUCCESS;
-        Handout handout;
-        List<TargetObservation> news;
+        PendingCompletions completions;
+        List<TargetObservation> observations;
         boolean replaced;
         synchronized (this) {
             replaced = !slot.instance().equals(mInstances.get(slot.target()));
-            mEvidence.onEnded(
+            mFailureDetector.onEnded(
                     slot.entry().kind(),
                     slot.target(),
                     slot,
                     slot.startedMillis(),
                     replaced ? Outcome.CANCELLED : outcome,
                     now);
-            news = mEvidence.drainObservations();
-            DispatchResult<SlotWaiter> step =
+            observations = mFailureDetector.drainObservations();
+            DispatchResult<SlotWaiter> result =
                     slot.extra()
                             ? mQueue.onExtraAttemptEnded(
                                     slot.entry(),
@@ -335,26 +350,26 @@
                                     slot.startedMillis(),
                                     answered,
                                     now);
-            handout = handOut(step, now);
+            completions = prepareCompletions(result, now);
         }
-        news.forEach(one -> mNewsListener.accept(mId, one));
+        observations.forEach(observation -> mObservationListener.accept(mId, observation));
         mMetrics.onAttempt(mId.name(), outcome.name().toLowerCase(Locale.ROOT));
         if (!replaced) {
-            mOutcomes.onOutcome(
+            mEventListener.onOutcome(
                     mId, slot.target(), slot.entry().kind().name(), outcome, latencyMillis);
         }
-        carryOut(handout);
+        completeRequests(completions);
     }
 
-    /** Takes a target's own word that it is leaving. */
+    /** Records that a target announced that it is draining. */
     public void onDraining(Endpoint target) {
-        mOutcomes.onDraining(mId, target);
+        mEventListener.onDraining(mId, target);
     }
 
-    /** Takes a new view of the targets, and gives the slots that it opens to those who wait. */
+    /** Replaces the view of the targets and dispatches queued requests to new slots. */
     public void onTargets(List<WeightedTarget> targets) {
         long now = mClock.millis();
-        Handout handout;
+        PendingCompletions completions;
         synchronized (this) {
             mInstances =
                     targets.stream()
@@ -363,53 +378,52 @@
                                     Collectors.toUnmodifiableMap(
                                             TargetInstance::endpoint, Function.identity()));
             mSlots.retainTargets(targets);
-            mEvidence.retain(
+            mFailureDetector.retain(
                     targets.stream().map(WeightedTarget::endpoint).collect(Collectors.toSet()));
             mBalancer.onTargets(targets);
-            handout = handOut(mQueue.onSlotFreed(now), now);
+            completions = prepareCompletions(mQueue.onSlotFreed(now), now);
         }
-        carryOut(handout);
+        completeRequests(completions);
     }
 
-    /**
-     * Forgets what work showed of targets that started again at their address.
-     *
-     * <p>Guards against a new start that is blamed, or trusted, for the one before it.
-     */
-    public synchronized void forget(Set<Endpoint> restarted) {
-        mEvidence.forget(restarted);
+    /** Discards the state of targets that restarted at their address. */
+    public synchronized void forget(Set<Endpoint> restartedTargets) {
+        mFailureDetector.forget(restartedTargets);
     }
 
-    /** Takes the members of the service's cell. */
+    /** Sets the members of the service's cell. */
     public synchronized void onCell(VmIdentity self, List<VmIdentity> members) {
         mSlots.onCell(self, members);
     }
 
-    /** Takes a peer's count of its own requests in flight. */
+    /** Records a peer's number of requests in flight to a target. */
     public synchronized void onPeerInFlight(VmIdentity observer, Endpoint target, int inFlight) {
         mSlots.onPeerInFlight(observer, target, inFlight, mClock.millis());
     }
 
-    /** Returns this VM's requests in flight at each target. */
+    /** Returns this VM's requests in flight to each target. */
     public synchronized List<TargetInFlight> inFlight() {
         return new ArrayList<>(mSlots.ownReport());
     }
 
-    /** Refuses those who waited as long as they may; called often by the control thread. */
+    /**
+     * Refuses expired requests and reports lost attempts; called periodically by the control
+     * thread.
+     */
     public void runMaintenance() {
         long now = mClock.millis();
-        Handout handout;
-        List<TargetObservation> news;
+        PendingCompletions completions;
+        List<TargetObservation> observations;
         synchronized (this) {
-            mEvidence.expireOverdue(now);
-            news = mEvidence.drainObservations();
-            handout = handOut(mQueue.onSlotFreed(now), now);
+            mFailureDetector.expireOverdue(now);
+            observations = mFailureDetector.drainObservations();
+            completions = prepareCompletions(mQueue.onSlotFreed(now), now);
         }
-        news.forEach(one -> mNewsListener.accept(mId, one));
-        carryOut(handout);
+        observations.forEach(observation -> mObservationListener.accept(mId, observation));
+        completeRequests(completions);
     }
 
-    /** Returns how many requests wait for slots. */
+    /** Returns the number of queued requests. */
     public synchronized int queueLength() {
         return mQueue.size();
     }
@@ -420,32 +434,38 @@
         }
     }
 
-    /** What a step of the queue comes to, to be told once the lock is given back. */
-    private record Handout(List<ExpiredEntry<SlotWaiter>> expired, List<Slot> slots) {}
+    /** The futures to complete after the lock has been released. */
+    private record PendingCompletions(List<ExpiredEntry<SlotWaiter>> expired, List<Slot> slots) {}
 
-    private Handout handOut(DispatchResult<SlotWaiter> step, long now) {
+    private PendingCompletions prepareCompletions(DispatchResult<SlotWaiter> result, long now) {
         List<Slot> slots =
-                step.dispatched().stream()
-                        .map(given -> take(given.entry(), given.target(), now, false))
+                result.dispatched().stream()
+                        .map(
+                                dispatched ->
+                                        createSlot(
+                                                dispatched.entry(),
+                                                dispatched.target(),
+                                                now,
+                                                false))
                         .toList();
-        return new Handout(step.expired(), slots);
+        return new PendingCompletions(result.expired(), slots);
     }
 
-    private void carryOut(Handout handout) {
-        for (ExpiredEntry<SlotWaiter> expired : handout.expired()) {
+    private void completeRequests(PendingCompletions completions) {
+        for (ExpiredEntry<SlotWaiter> expired : completions.expired()) {
             expired.entry()
                     .request()
                     .slot()
                     .completeExceptionally(RefusedException.of(expired.refusal()));
         }
-        handout.slots().forEach(this::give);
+        completions.slots().forEach(this::completeOrRelease);
     }
 
     /**
-     * Guards against a slot given to a caller that went away in the same moment: it would stay
-     * taken for ever. The future is completed once, so who loses the race gives the slot back.
+     * Completes the request's future with its slot, or releases the slot if the caller disconnected
+     * in the meantime.
      */
-    private void give(Slot slot) {
+    private void completeOrRelease(Slot slot) {
         if (!slot.entry().request().slot().complete(slot)) {
             release(slot, Outcome.CANCELLED, 0);
         }
--- a/traffic/src/main/java/org/dahliapass/traffic/Slot.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/Slot.java
@@ -6,21 +6,21 @@
 import org.dahliapass.model.TargetInstance;
 
 /**
- * A slot at a target that one try holds; given back exactly once.
+ * A slot at a target, held by one attempt and released exactly once.
  *
- * @param entry the request as the queue knows it
+ * @param entry the request's queue entry
  * @param instance the target
- * @param startedMillis when the slot was taken
+ * @param startedMillis when the slot was acquired, in milliseconds
  * @param extra whether a retry or a hedge holds it
  */
 public record Slot(
         QueueEntry<SlotWaiter> entry, TargetInstance instance, long startedMillis, boolean extra) {
-    /** Refuses a slot at nobody. */
+    /** Requires a target instance. */
     public Slot {
-        Objects.requireNonNull(instance, "A slot is at a target that is registered.");
+        Objects.requireNonNull(instance, "instance is null; a slot requires a registered target");
     }
 
-    /** Returns where the target is reached. */
+    /** Returns the target's address. */
     public Endpoint target() {
         return instance.endpoint();
     }
--- a/traffic/src/main/java/org/dahliapass/traffic/SlotRequest.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/SlotRequest.java
@@ -2,17 +2,17 @@
 
 import org.dahliapass.model.RequestKind;
 
-/** What the traffic decisions need to know of a request that asks for a slot at a target. */
+/** A request for a slot at a target, as the traffic decisions need it. */
 public interface SlotRequest {
-    /** Returns the customer that sent it. */
+    /** Returns the customer that sent the request. */
     String customer();
 
-    /** Returns its kind. */
+    /** Returns the request's kind. */
     RequestKind kind();
 
-    /** Returns when it arrived, in milliseconds. */
+    /** Returns when the request arrived, in milliseconds. */
     long arrivalMillis();
 
-    /** Returns when its answer is of no more use, in milliseconds. */
+    /** Returns the request's deadline, in milliseconds. */
     long deadlineMillis();
 }
--- a/traffic/src/main/java/org/dahliapass/traffic/SlotWaiter.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/SlotWaiter.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What goes on with a request once it has a slot.
+ * A queued request that waits for a slot.
  *
  * @param slot completes with the slot, or fails with a {@link RefusedException}
  */
--- a/traffic/src/main/java/org/dahliapass/traffic/TargetEventListener.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/TargetEventListener.java
@@ -4,12 +4,14 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.ServiceId;
 
-/** Takes what real work showed of targets; called on traffic threads. */
+/**
+ * Receives the outcomes of attempts and drain announcements of targets; called on traffic threads.
+ */
 public interface TargetEventListener {
-    /** Takes the end of a try. */
+    /** Called when an attempt has ended. */
     void onOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latencyMillis);
 
-    /** Takes a target's own word that it is leaving. */
+    /** Called when a target has announced that it is draining. */
     void onDraining(ServiceId service, Endpoint target);
 }
--- a/traffic/src/main/java/org/dahliapass/traffic/package-info.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/package-info.java
@@ -1,2 +1,2 @@
-/** The traffic decisions of one service on one VM behind one lock, and what they count. */
+/** The runtime of one service's traffic decisions on one VM, and its metrics. */
 package org.dahliapass.traffic;
