--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/PassiveFailureDetector.java
@@ -19,7 +19,7 @@
  * to it and VMs that report it).
  */
 public final class PassiveFailureDetector {
-    /** How long a target that shed load gets no new requests, in milliseconds. */
+    /** How long a target that shed load is avoided, in milliseconds. */
     private static final long COOLDOWN_MILLIS = 250;
 
     /** Longer than several report intervals. */
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Records the start of an targetReport.
+     * Records the start of an attempt.
      *
      * @param attempt identifies the attempt
      */
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Records the end of an targetReport.
+     * Records the end of an attempt.
      *
      * @param attempt identifies the attempt
      * @param startedMillis when it was sent, in milliseconds
