--- a/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/OutlierDetector.java
@@ -14,7 +14,7 @@
  * <p>Targets are scored within each availability zone, so a zone with a network fault sees all
  * targets alike and no outlier. The scores of the zones are then added. A fault of one zone's
  * network path to a target raises the score of that zone only. A target is therefore considered
- * faulty only if the sum without the highest zone is also high, which takes evidence from two
+ * faulty only if the sum without the highest zone is also high, which requires evidence from two
  * zones.
  */
 final class OutlierDetector {
--- a/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/health/TargetHealth.java
@@ -172,15 +172,15 @@
     }
 
     /** Records the outcome of a probe that this VM sent. */
-    public void onProbe(Endpoint target, boolean answered, long nowMillis) {
+    public void onProbe(Endpoint target, boolean succeeded, long nowMillis) {
         TargetRecord record = mController.record(target);
         if (record == null) {
             return;
         }
-        if (!answered) {
+        if (!succeeded) {
             record.recordFailedProbe(nowMillis);
         }
-        Outcome outcome = answered ? Outcome.SUCCESS : Outcome.FAILURE;
+        Outcome outcome = succeeded ? Outcome.SUCCESS : Outcome.FAILURE;
         addLocal(
                 record,
                 UnreportedEvidence.evidence(target, EvidenceTable.PROBE_KIND, outcome, 1),
