--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberStateMachine.java
@@ -146,7 +146,7 @@
             }
         }
         if (hasExpired) {
-            mTable.forgetDead(member -> nowMillis - member.stateSinceMillis() >= tombstoneMillis);
+            mTable.removeDead(member -> nowMillis - member.stateSinceMillis() >= tombstoneMillis);
         }
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/membership/MemberTable.java
@@ -46,7 +46,7 @@
     }
 
     /** Removes the dead members that match the condition. */
-    void forgetDead(Predicate<Member> condition) {
+    void removeDead(Predicate<Member> condition) {
         mMembers.removeIf(member -> member.isDead() && condition.test(member));
     }
 
--- a/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/once/WitnessRegister.java
@@ -60,9 +60,8 @@
      */
     public IntentReply recordIntent(VmIdentity from, Operation operation, long nowMillis) {
         mTable.advance(nowMillis);
-        // Outcomes are queried only at the witness incarnation that the key names, and only the
-        // home
-        // incarnation that the key names may dispatch.
+        // Outcomes are queried only at the witness that the key names, and only the home that the
+        // key names may dispatch.
         if (!isWitnessOf(operation.key()) || !from.equals(operation.key().home())) {
             return IntentReply.WRONG_INCARNATION;
         }
--- a/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/configuration/FuzzFleet.java
@@ -141,15 +141,15 @@
         if (mMessages.isEmpty()) {
             return;
         }
-        int place = Math.floorMod(choice, mMessages.size());
-        Message message = mMessages.get(place);
+        int index = Math.floorMod(choice, mMessages.size());
+        Message message = mMessages.get(index);
         Optional<Node> receiver =
                 mNodes.stream().filter(node -> node.identity().equals(message.to())).findFirst();
         if (receiver.isPresent() && mPaused[receiver.get().slot()]) {
             return;
         }
         if (!keep) {
-            mMessages.remove(place);
+            mMessages.remove(index);
         }
         receiver.filter(node -> !mReceivesNothing[node.slot()])
                 .ifPresent(node -> run(node, message.event().apply(node)));
@@ -214,10 +214,10 @@
 
     private static List<ServiceUse> uses(String customer, int choice) {
         List<ServiceUse> uses = new ArrayList<>();
-        for (int place = 0; place < SERVICES.size(); place++) {
-            ServiceId service = SERVICES.get(place);
+        for (int index = 0; index < SERVICES.size(); index++) {
+            ServiceId service = SERVICES.get(index);
             boolean provides = service.provider().equals(customer);
-            if (provides || (choice >> place) % 2 != 0) {
+            if (provides || (choice >> index) % 2 != 0) {
                 uses.add(new ServiceUse(service, provides ? CELL_SIZE : 0));
             }
         }
--- a/decisions/src/test/java/org/dahliapass/decisions/once/SimulatedVm.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/once/SimulatedVm.java
@@ -88,12 +88,12 @@
                     () -> resolve(operation, digest, waiter, now));
             return;
         }
-        BeginResult beginning = mLedger.begin(operation, digest, now + DEADLINE_MILLIS, now);
-        if (beginning instanceof BeginResult.SendIntent ask) {
+        BeginResult beginResult = mLedger.begin(operation, digest, now + DEADLINE_MILLIS, now);
+        if (beginResult instanceof BeginResult.SendIntent sendIntent) {
             mWaiters.computeIfAbsent(operation, key -> new ArrayList<>()).add(waiter);
             mOpenAttempts.put(operation, 0);
-            send(ask.witness(), (vm, from, at) -> vm.intent(from, operation, at));
-        } else if (beginning instanceof BeginResult.Answered known) {
+            send(sendIntent.witness(), (vm, from, at) -> vm.intent(from, operation, at));
+        } else if (beginResult instanceof BeginResult.Answered known) {
             answer(operation, waiter, known.answer());
         } else {
             resolve(operation, digest, waiter, now);
