--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/LoadBalancer.java
@@ -248,7 +248,7 @@
         if (!(target.weight() > 0) || excluded.contains(target.endpoint())) {
             return false;
         }
-        return target.acceptsGuarded() || kind.idempotency() != Idempotency.AT_MOST_ONCE;
+        return target.acceptsAtMostOnce() || kind.idempotency() != Idempotency.AT_MOST_ONCE;
     }
 
     private boolean hasBulkyRoom(WeightedTarget target, RequestKind kind) {
--- a/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
+++ b/decisions/src/main/java/org/dahliapass/decisions/traffic/WeightedTarget.java
@@ -9,10 +9,10 @@
  * @param instance the target
  * @param zone the name of its availability zone
  * @param weight its share of requests relative to the other targets; 0 for no new requests
- * @param acceptsGuarded whether requests that run at most once may be sent to it
+ * @param acceptsAtMostOnce whether requests that run at most once may be sent to it
  */
 public record WeightedTarget(
-        TargetInstance instance, String zone, double weight, boolean acceptsGuarded) {
+        TargetInstance instance, String zone, double weight, boolean acceptsAtMostOnce) {
     /** Returns the target's address. */
     public Endpoint endpoint() {
         return instance.endpoint();
--- a/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueSimulation.java
+++ b/decisions/src/test/java/org/dahliapass/decisions/traffic/QueueSimulation.java
@@ -170,7 +170,10 @@
         assertTrue(
                 mTargets.stream()
                         .filter(each -> each.endpoint().equals(target))
-                        .anyMatch(each -> each.weight() > 0 && (each.acceptsGuarded() || !guarded)),
+                        .anyMatch(
+                                each ->
+                                        each.weight() > 0
+                                                && (each.acceptsAtMostOnce() || !guarded)),
                 "dispatched to a target that may take it");
         assertTrue(!entry.request().contains(target), "dispatched to an excluded target");
         assertTrue(mSlots.ownInFlight(target) <= SLOTS, "more in flight than slots");
