--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -140,7 +140,7 @@
         finish(
                 mResponses.quarantined(retryAfter),
                 GatewayResponses.UNAVAILABLE,
-                "targets crashed while running requests with this digest");
+                "targets ended under requests like it");
     }
 
     private void awaitSlot(CompletableFuture<Slot> slot) {
@@ -337,19 +337,19 @@
         }
         if (mErrorResponse.isPresent()) {
             AttemptResult.Responded error = mErrorResponse.get();
-            finish(error.response(), error.status(), "the target returned a server error");
+            finish(error.response(), error.status(), "the target's own failure");
         } else if (mMayHaveExecuted) {
             finish(
                     mResponses.failed(),
                     GatewayResponses.BAD_GATEWAY,
-                    "a target failed and may have executed the request");
+                    "may have run");
         } else {
             long retryAfter =
                     mResponses.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
             finish(
                     mResponses.refused(retryAfter),
                     GatewayResponses.UNAVAILABLE,
-                    "no target accepted the request");
+                    "no target took it");
         }
     }
 
@@ -381,17 +381,17 @@
             finish(
                     mErrorResponse.get().response(),
                     mErrorResponse.get().status(),
-                    "the target returned a server error");
+                    "the target's own failure");
         } else if (mayHaveExecuted) {
             finish(
                     mResponses.timedOut(),
                     GatewayResponses.TIMEOUT,
-                    "the deadline passed while a target had the request");
+                    "the time is over");
         } else {
             finish(
                     mResponses.refused(0),
                     GatewayResponses.UNAVAILABLE,
-                    "the deadline passed before a slot was free");
+                    "no slot came free in time");
         }
     }
 
@@ -404,7 +404,7 @@
         if (mFinished) {
             return;
         }
-        finish(null, 0, "the caller disconnected");
+        finish(null, 0, "the caller left");
     }
 
     private void abortAttempts(FailureKind kind) {
@@ -416,7 +416,7 @@
         mRunningAttempts.clear();
         releaseDigestLock();
         for (TargetAttempt attempt : aborted) {
-            recordAttempt(attempt, "aborted: " + kind);
+            recordAttempt(attempt, "stopped: " + kind);
             attempt.abort(kind);
         }
     }
--- a/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
+++ b/traffic/src/main/java/org/dahliapass/traffic/RefusedException.java
@@ -35,10 +35,10 @@
                 refused.reason() == RefusalReason.NO_TARGET ? Reason.NO_TARGET : Reason.OVERLOADED;
         String message =
                 switch (refused.reason()) {
-                    case NO_TARGET -> "No target of the service accepts requests of this kind now.";
+                    case NO_TARGET -> "No target of the service takes work of this kind now.";
                     case QUEUE_FULL -> "The queue, or this customer's part of it, is full.";
-                    case TOO_LATE -> "No slot is expected to become free in time.";
-                    case WAIT_TIMED_OUT -> "No slot became free within the kind's patience.";
+                    case TOO_LATE -> "No slot comes free in time, by the rate measured now.";
+                    case WAIT_TIMED_OUT -> "No slot came free within the kind's patience.";
                 };
         return new RefusedException(reason, message, refused.retryAfterMillis());
     }
@@ -47,7 +47,7 @@
     static RefusedException rateLimited(long waitMillis) {
         return new RefusedException(
                 Reason.RATE_LIMITED,
-                "Requests of this kind exceed the template's rate limit.",
+                "More requests of this kind than the template's rate allows.",
                 waitMillis);
     }
 
