--- a/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/GatewayResponses.java
@@ -91,9 +91,7 @@
     /** Returns the 413 response to a request whose body is too large. */
     CallerResponse bodyTooLarge() {
         return response(
-                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-                0,
-                "The body is larger than allowed.");
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0, "The body is larger than allowed.");
     }
 
     private static CallerResponse response(
--- a/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
+++ b/gateway/src/main/java/org/dahliapass/gateway/ProxyExchange.java
@@ -339,10 +339,7 @@
             AttemptResult.Responded error = mErrorResponse.get();
             finish(error.response(), error.status(), "the target's own failure");
         } else if (mMayHaveExecuted) {
-            finish(
-                    mResponses.failed(),
-                    GatewayResponses.BAD_GATEWAY,
-                    "may have run");
+            finish(mResponses.failed(), GatewayResponses.BAD_GATEWAY, "may have run");
         } else {
             long retryAfter =
                     mResponses.retryAfterMillis(mRequest.remainingMillis(mClock.millis()));
@@ -383,10 +380,7 @@
                     mErrorResponse.get().status(),
                     "the target's own failure");
         } else if (mayHaveExecuted) {
-            finish(
-                    mResponses.timedOut(),
-                    GatewayResponses.TIMEOUT,
-                    "the time is over");
+            finish(mResponses.timedOut(), GatewayResponses.TIMEOUT, "the time is over");
         } else {
             finish(
                     mResponses.refused(0),
