--- a/entry/src/main/java/org/dahliapass/entry/OnceCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceCodec.java
@@ -28,8 +28,8 @@
  * <p>What a newer release may say and this one doesn't know reads as the weakest word: an intent
  * that is not accepted, an outcome that is unknown.
  */
-final class OnceCodec {
-    private OnceCodec() {}
+final class AtMostOnceCodec {
+    private AtMostOnceCodec() {}
 
     static RecordIntent intent(Operation operation) {
         return RecordIntent.newBuilder()
--- a/entry/src/main/java/org/dahliapass/entry/GuardedExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceExchange.java
@@ -26,7 +26,7 @@
  * true of this try alone, while the same key may run through another. A caller that goes away does
  * not end the work, so that its result can be asked for by the key.
  */
-final class GuardedExchange {
+final class AtMostOnceExchange {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
     private final CallerRequest mRequest;
@@ -34,82 +34,82 @@
     private final ServiceRuntime mRuntime;
     private final TargetClients mClients;
     private final Clock mClock;
-    private final OnceService mOnce;
-    private final AnswerObserver mObserver;
-    private final Supplier<String> mFreshToken;
-    private final CompletableFuture<HttpResponse> mAnswer = new CompletableFuture<>();
-    private final Set<Endpoint> mTried = new HashSet<>();
+    private final AtMostOnceService mOperations;
+    private final CallerResponder mResponder;
+    private final Supplier<String> mTokenSupplier;
+    private final CompletableFuture<HttpResponse> mResponse = new CompletableFuture<>();
+    private final Set<Endpoint> mTriedTargets = new HashSet<>();
     private volatile long mRetryAfterMillis = RETRY_AFTER_MILLIS;
 
-    GuardedExchange(
+    AtMostOnceExchange(
             CallerRequest request,
             Operation operation,
             ServiceRuntime runtime,
             TargetClients clients,
             Clock clock,
-            OnceService once,
-            AnswerObserver observer,
+            AtMostOnceService once,
+            CallerResponder observer,
             Supplier<String> freshToken) {
         mRequest = request;
         mOperation = operation;
         mRuntime = runtime;
         mClients = clients;
         mClock = clock;
-        mOnce = once;
-        mObserver = observer;
-        mFreshToken = freshToken;
+        mOperations = once;
+        mResponder = observer;
+        mTokenSupplier = freshToken;
     }
 
     /** Goes on from what the ledger said to the request and returns the caller's answer. */
     HttpResponse start(BeginResult beginning) {
         if (beginning instanceof BeginResult.Answered answered) {
-            return answer(answered.answer());
+            return respond(answered.answer());
         }
         BeginResult.SendIntent ask = (BeginResult.SendIntent) beginning;
-        Futures.whenDone(mOnce.askWitness(ask.witness(), mOperation), this::onAction);
-        return HttpResponse.of(mAnswer);
+        Futures.whenDone(mOperations.requestIntent(ask.witness(), mOperation), this::onAction);
+        return HttpResponse.of(mResponse);
     }
 
     private void onAction(HomeAction action, Throwable failure) {
         if (failure != null) {
-            mAnswer.complete(refuse(RefusalCode.OPERATION_UNKNOWN, failure.getMessage()));
+            mResponse.complete(refuse(RefusalCode.OPERATION_UNKNOWN, failure.getMessage()));
             return;
         }
         if (action instanceof HomeAction.Dispatch dispatch) {
             dispatch(dispatch.attempt());
         } else if (action instanceof HomeAction.Respond settle) {
-            mAnswer.complete(answer(settle.answer()));
+            mResponse.complete(respond(settle.answer()));
         }
     }
 
     private void dispatch(int attempt) {
-        TargetTry next = new TargetTry(mRequest, mRuntime, mClients, mClock);
+        TargetAttempt next = new TargetAttempt(mRequest, mRuntime, mClients, mClock);
         Futures.whenDone(
-                next.start(mRuntime.acquire(mRequest, mTried)),
-                (result, failure) -> onTry(attempt, result));
+                next.start(mRuntime.acquire(mRequest, mTriedTargets)),
+                (result, failure) -> onAttemptResult(attempt, result));
     }
 
-    private void onTry(int attempt, TryResult result) {
-        if (result instanceof TryResult.Answered answered) {
-            mAnswer.complete(passOn(attempt, answered));
-        } else if (result instanceof TryResult.Refused refused) {
+    private void onAttemptResult(int attempt, AttemptResult result) {
+        if (result instanceof AttemptResult.Responded answered) {
+            mResponse.complete(relay(attempt, answered));
+        } else if (result instanceof AttemptResult.Refused refused) {
             mRetryAfterMillis = refused.refusal().retryAfterMillis();
-            Futures.whenDone(mOnce.targetRefused(mOperation, attempt, false), this::onAction);
-        } else if (result instanceof TryResult.Failed failed && !failed.kind().mayHaveRun()) {
-            mTried.add(failed.target());
-            Futures.whenDone(mOnce.targetRefused(mOperation, attempt, true), this::onAction);
+            Futures.whenDone(mOperations.targetRefused(mOperation, attempt, false), this::onAction);
+        } else if (result instanceof AttemptResult.Failed failed && !failed.kind().mayHaveRun()) {
+            mTriedTargets.add(failed.target());
+            Futures.whenDone(mOperations.targetRefused(mOperation, attempt, true), this::onAction);
         } else {
-            Futures.whenDone(mOnce.lostTouch(mOperation, attempt), this::onAction);
+            Futures.whenDone(mOperations.responseLost(mOperation, attempt), this::onAction);
         }
     }
 
-    private HttpResponse passOn(int attempt, TryResult.Answered answered) {
+    private HttpResponse relay(int attempt, AttemptResult.Responded answered) {
         ResultRecorder recorder = new ResultRecorder(answered.headers());
         StreamMessage<HttpData> body = answered.body().peek(recorder::add);
         HttpResponse response =
-                mObserver.passOn(
+                mResponder.relay(
                         mRequest,
-                        new TryResult.Answered(answered.target(), answered.headers(), body));
+                        new AttemptResult.Responded(answered.target(), answered.headers(), body));
         Futures.whenDone(
                 response.whenComplete(),
                 (ignored, failure) -> finish(attempt, recorder.result(failure == null)));
@@ -118,24 +118,24 @@
 
     private void finish(int attempt, RecordedResult result) {
         Futures.whenDone(
-                mOnce.finished(mOperation, attempt, result), (ignoredAction, ignored) -> {});
+                mOperations.finished(mOperation, attempt, result), (ignoredAction, ignored) -> {});
     }
 
-    private HttpResponse answer(OperationAnswer answer) {
+    private HttpResponse respond(OperationAnswer answer) {
         if (answer instanceof OperationAnswer.Result result) {
             return replay(result.result());
         }
-        Refusal refusal = refusal(answer, mFreshToken.get()).withRetryAfter(mRetryAfterMillis);
-        return mObserver.refuse(mRequest, refusal);
+        Refusal refusal = refusal(answer, mTokenSupplier.get()).withRetryAfter(mRetryAfterMillis);
+        return mResponder.refuse(mRequest, refusal);
     }
 
     private HttpResponse replay(RecordedResult result) {
-        mObserver.onReplayed(mRequest);
-        return replayed(mRequest.id(), result);
+        mResponder.onReplayed(mRequest);
+        return replayResponse(mRequest.id(), result);
     }
 
     /** Returns a recorded result as an answer; a body that wasn't kept is said to be missing. */
-    static HttpResponse replayed(String requestId, RecordedResult result) {
+    static HttpResponse replayResponse(String requestId, RecordedResult result) {
         ResponseHeadersBuilder headers =
                 ResponseHeaders.builder(result.status())
                         .set(CallerHeaders.REQUEST_ID, requestId)
@@ -176,6 +176,6 @@
     }
 
     private HttpResponse refuse(RefusalCode code, String message) {
-        return mObserver.refuse(mRequest, Refusal.of(code, message, RETRY_AFTER_MILLIS));
+        return mResponder.refuse(mRequest, Refusal.of(code, message, RETRY_AFTER_MILLIS));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/OnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceService.java
@@ -25,19 +25,19 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Holds this VM's records of guarded operations on the control thread and talks to the peers. */
-public final class OnceService implements KernelService {
+public final class AtMostOnceService implements KernelService {
     /** The name under which the kernel holds the service. */
     public static final String NAME = "once";
 
     private static final ComponentLog LOG = ComponentLog.of("once");
-    private static final int TARGETS_OFFERED = 3;
+    private static final int MAX_TARGET_ATTEMPTS = 3;
     private static final long CLOCK_MARGIN_MILLIS = 60_000;
-    private static final int MOST_BODY_BYTES = 16 * 1024;
+    private static final int MAX_BODY_BYTES = 16 * 1024;
 
     /** A record with a small answer; larger answers make the table full before its capacity. */
     private static final long BYTES_PER_RECORD = 1536;
 
-    private static final int NOTICE_TRIES = 3;
+    private static final int MAX_NOTICE_ATTEMPTS = 3;
 
     private final Clock mClock;
     private ControlLoop mLoop;
@@ -45,25 +45,25 @@
     private final HomeLedger mLedger;
     private final WitnessRegister mRegister;
     private final Resolver mResolver;
-    private final WitnessReach mReach = new WitnessReach();
+    private final WitnessReachability mReachability = new WitnessReachability();
 
     /** Creates empty records for this life of this VM. */
-    OnceService(VmIdentity self, VmSettings settings, Clock clock) {
+    AtMostOnceService(VmIdentity self, VmSettings settings, Clock clock) {
         RetentionWindow window =
                 new RetentionWindow(CLOCK_MARGIN_MILLIS, settings.operationWindow().toMillis());
         int capacity = settings.operationCapacity();
         TableLimits limits =
                 new TableLimits(
-                        capacity, capacity / 10, capacity * BYTES_PER_RECORD, MOST_BODY_BYTES);
+                        capacity, capacity / 10, capacity * BYTES_PER_RECORD, MAX_BODY_BYTES);
         mClock = clock;
-        mLedger = new HomeLedger(self, TARGETS_OFFERED, window, limits);
+        mLedger = new HomeLedger(self, MAX_TARGET_ATTEMPTS, window, limits);
         mRegister = new WitnessRegister(self, window, limits);
         mResolver = new Resolver(self, mRegister);
     }
 
     /** Returns which witnesses lately gave no word. */
-    WitnessReach reach() {
-        return mReach;
+    WitnessReachability witnessReachability() {
+        return mReachability;
     }
 
     /** Begins with a guarded request that has arrived. */
@@ -73,108 +73,108 @@
     }
 
     /** Asks the witness for its acknowledgement and returns what the home does on its reply. */
-    CompletableFuture<HomeAction> askWitness(VmIdentity witness, Operation operation) {
+    CompletableFuture<HomeAction> requestIntent(VmIdentity witness, Operation operation) {
         return mPeers.recordIntent(witness, operation)
                 .<Optional<IntentReply>>thenApply(Optional::of)
-                .exceptionally(failure -> noWord(operation, failure))
-                .thenCompose(reply -> onWitness(operation, reply));
+                .exceptionally(failure -> onWitnessUnreachable(operation, failure))
+                .thenCompose(reply -> onIntentReply(operation, reply));
     }
 
-    private Optional<IntentReply> noWord(Operation operation, Throwable failure) {
-        mReach.onSilence(operation.key().witness(), mClock.millis());
+    private Optional<IntentReply> onWitnessUnreachable(Operation operation, Throwable failure) {
+        mReachability.onTimeout(operation.key().witness(), mClock.millis());
         LOG.info("No word from the witness of " + operation.key() + ": " + failure.getMessage());
         return Optional.empty();
     }
 
-    private CompletableFuture<HomeAction> onWitness(
+    private CompletableFuture<HomeAction> onIntentReply(
             Operation operation, Optional<IntentReply> reply) {
         if (reply.isEmpty()) {
-            return act(() -> mLedger.witnessTimedOut(operation, mClock.millis()));
+            return applyDecision(() -> mLedger.witnessTimedOut(operation, mClock.millis()));
         }
-        mReach.onWord(operation.key().witness());
-        return act(() -> mLedger.witnessReplied(operation, reply.get(), mClock.millis()));
+        mReachability.onReply(operation.key().witness());
+        return applyDecision(() -> mLedger.witnessReplied(operation, reply.get(), mClock.millis()));
     }
 
     /** Takes the proof that an attempt ran nothing. */
     CompletableFuture<HomeAction> targetRefused(
             Operation operation, int attempt, boolean anotherTarget) {
-        return act(() -> mLedger.targetRefused(operation, attempt, anotherTarget, mClock.millis()));
+        return applyDecision(() -> mLedger.targetRefused(operation, attempt, anotherTarget, mClock.millis()));
     }
 
     /** Takes that an attempt may have run and its answer is lost. */
-    CompletableFuture<HomeAction> lostTouch(Operation operation, int attempt) {
-        return act(() -> mLedger.responseLost(operation, attempt, mClock.millis()));
+    CompletableFuture<HomeAction> responseLost(Operation operation, int attempt) {
+        return applyDecision(() -> mLedger.responseLost(operation, attempt, mClock.millis()));
     }
 
     /** Takes the end of an attempt that ran. */
     CompletableFuture<HomeAction> finished(
             Operation operation, int attempt, RecordedResult result) {
-        return act(() -> mLedger.finished(operation, attempt, result, mClock.millis()));
+        return applyDecision(() -> mLedger.finished(operation, attempt, result, mClock.millis()));
     }
 
-    private CompletableFuture<HomeAction> act(Supplier<HomeAction> decision) {
+    private CompletableFuture<HomeAction> applyDecision(Supplier<HomeAction> decision) {
         return mLoop.submit(decision)
                 .thenApply(
                         action -> {
                             if (action instanceof HomeAction.Respond settle) {
-                                settle.notice().ifPresent(notice -> tell(notice, NOTICE_TRIES));
+                                settle.notice().ifPresent(notice -> notifyWitness(notice, MAX_NOTICE_ATTEMPTS));
                             }
                             return action;
                         });
     }
 
     /** A notice that is lost leaves the witness with "unknown", which is true but less helpful. */
-    private void tell(OutcomeNotice notice, int triesLeft) {
+    private void notifyWitness(OutcomeNotice notice, int triesLeft) {
         VmIdentity witness = notice.operation().key().witness();
         Futures.whenDone(
                 mPeers.recordOutcome(witness, notice),
                 (ignored, failure) -> {
                     if (failure != null && triesLeft > 1) {
-                        tell(notice, triesLeft - 1);
+                        notifyWitness(notice, triesLeft - 1);
                     }
                 });
     }
 
     /** Finds the answer for a key whose home is another life than this one. */
-    CompletableFuture<OperationAnswer> resolveAfterHome(Operation operation) {
+    CompletableFuture<OperationAnswer> resolveWithoutHome(Operation operation) {
         return mLoop.submit(() -> mResolver.homeUnavailable(operation, mClock.millis()))
-                .thenCompose(step -> follow(operation, step));
+                .thenCompose(step -> runStep(operation, step));
     }
 
     /** Finds the answer for a key whichever VM is its home. */
-    CompletableFuture<OperationAnswer> outcome(Operation operation) {
+    CompletableFuture<OperationAnswer> queryOutcome(Operation operation) {
         return mLoop.submit(() -> mLedger.query(operation, mClock.millis()))
                 .thenCompose(
                         own ->
                                 own.isPresent()
                                         ? CompletableFuture.completedFuture(own.get())
-                                        : startResolve(operation));
+                                        : startResolution(operation));
     }
 
-    private CompletableFuture<OperationAnswer> startResolve(Operation operation) {
+    private CompletableFuture<OperationAnswer> startResolution(Operation operation) {
         return mLoop.submit(() -> mResolver.start(operation, mClock.millis()))
-                .thenCompose(step -> follow(operation, step));
+                .thenCompose(step -> runStep(operation, step));
     }
 
-    private CompletableFuture<OperationAnswer> follow(Operation operation, ResolverStep step) {
+    private CompletableFuture<OperationAnswer> runStep(Operation operation, ResolverStep step) {
         if (step instanceof ResolverStep.Answer answer) {
             return CompletableFuture.completedFuture(answer.answer());
         }
         if (step instanceof ResolverStep.ForwardToHome forward) {
             return mPeers.resolve(forward.home(), operation)
-                    .<Optional<PeerClient.Word>>thenApply(Optional::of)
+                    .<Optional<PeerClient.ResolveReply>>thenApply(Optional::of)
                     .exceptionally(failure -> Optional.empty())
-                    .thenCompose(word -> onHome(operation, word))
-                    .thenCompose(next -> follow(operation, next));
+                    .thenCompose(word -> onHomeReply(operation, word))
+                    .thenCompose(next -> runStep(operation, next));
         }
         ResolverStep.QueryWitness ask = (ResolverStep.QueryWitness) step;
         return mPeers.resolve(ask.witness(), operation)
-                .handle((word, failure) -> onWitnessWord(operation, word, failure))
-                .thenCompose(next -> follow(operation, next));
+                .handle((word, failure) -> onWitnessReply(operation, word, failure))
+                .thenCompose(next -> runStep(operation, next));
     }
 
-    private CompletableFuture<ResolverStep> onHome(
-            Operation operation, Optional<PeerClient.Word> word) {
+    private CompletableFuture<ResolverStep> onHomeReply(
+            Operation operation, Optional<PeerClient.ResolveReply> word) {
         return mLoop.submit(
                 () ->
                         word.map(
@@ -190,8 +190,8 @@
                                                         operation, mClock.millis())));
     }
 
-    private ResolverStep onWitnessWord(
-            Operation operation, PeerClient.Word word, Throwable failure) {
+    private ResolverStep onWitnessReply(
+            Operation operation, PeerClient.ResolveReply word, Throwable failure) {
         return failure != null
                 ? mResolver.witnessUnavailable()
                 : mResolver.witnessAnswered(operation, word.from(), word.answer());
@@ -217,7 +217,7 @@
     }
 
     /** Returns how many keys this VM keeps as home and as witness. */
-    CompletableFuture<int[]> sizes() {
+    CompletableFuture<int[]> recordCounts() {
         return mLoop.submit(() -> new int[] {mLedger.size(), mRegister.size()});
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/TryResult.java
+++ b/entry/src/main/java/org/dahliapass/entry/AttemptResult.java
@@ -9,7 +9,7 @@
 import org.dahliapass.model.Endpoint;
 
 /** How one try at a target ended, as far as the answer's head tells. */
-public sealed interface TryResult {
+public sealed interface AttemptResult {
 
     /**
      * The target's answer has begun.
@@ -18,8 +18,8 @@
      * @param headers the answer's head
      * @param body the answer's body as it arrives; fails visibly if it breaks off
      */
-    record Answered(Endpoint target, ResponseHeaders headers, StreamMessage<HttpData> body)
-            implements TryResult {}
+    record Responded(Endpoint target, ResponseHeaders headers, StreamMessage<HttpData> body)
+            implements AttemptResult {}
 
     /**
      * The try failed.
@@ -28,17 +28,17 @@
      * @param kind what the failure proves
      * @param message what happened
      */
-    record Failed(Endpoint target, FailureKind kind, String message) implements TryResult {}
+    record Failed(Endpoint target, FailureKind kind, String message) implements AttemptResult {}
 
     /**
      * No target was tried.
      *
      * @param refusal the answer for the caller
      */
-    record Refused(Refusal refusal) implements TryResult {}
+    record Refused(Refusal refusal) implements AttemptResult {}
 
     /** Returns the targets of failed tries joined with this one's, for exclusion. */
-    static Set<Endpoint> join(Set<Endpoint> tried, Endpoint target) {
+    static Set<Endpoint> union(Set<Endpoint> tried, Endpoint target) {
         Set<Endpoint> joined = new HashSet<>(tried);
         joined.add(target);
         return Set.copyOf(joined);
--- a/entry/src/main/java/org/dahliapass/entry/RequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerRequestHandler.java
@@ -12,32 +12,32 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /** Matches callers' requests with templates and hands them to the exchange that serves them. */
-final class RequestHandler implements HttpService {
+final class CallerRequestHandler implements HttpService {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
     private final Clock mClock;
-    private final RequestIds mIds;
+    private final RequestIdGenerator mIds;
     private final Readiness mReadiness;
     private final ConfigurationService mConfiguration;
     private final ServiceTable mServices;
     private final Forwarder mForwarder;
-    private final ExchangeFactory mExchanges;
+    private final RequestDispatcher mDispatcher;
 
-    RequestHandler(
+    CallerRequestHandler(
             Clock clock,
-            RequestIds ids,
+            RequestIdGenerator ids,
             Readiness readiness,
             ConfigurationService configuration,
             ServiceTable services,
             Forwarder forwarder,
-            ExchangeFactory exchanges) {
+            RequestDispatcher exchanges) {
         mClock = clock;
         mIds = ids;
         mReadiness = readiness;
         mConfiguration = configuration;
         mServices = services;
         mForwarder = forwarder;
-        mExchanges = exchanges;
+        mDispatcher = exchanges;
     }
 
     @Override
@@ -61,7 +61,7 @@
         Optional<Route> found = mConfiguration.table().find(path.customer(), path.service());
         if (found.isEmpty()) {
             return mForwarder
-                    .toCell(request, path)
+                    .forwardToCell(request, path)
                     .orElseGet(
                             () ->
                                     refuse(
@@ -78,7 +78,7 @@
         Optional<ServiceRuntime> runtime = mServices.find(route.provided().id());
         if (runtime.isEmpty()) {
             return mForwarder
-                    .toCell(request, path)
+                    .forwardToCell(request, path)
                     .orElseGet(() -> refuse(request, id, RefusalCode.WRONG_VM, "Ask again."));
         }
         // 0 would mean "no limit" here; the exact limit is checked once the body is there.
@@ -116,14 +116,14 @@
                     request, id, RefusalCode.BODY_TOO_LARGE, "The template allows a smaller body.");
         }
         long now = mClock.millis();
-        long patience = callersTimeout(message, kind.deadline().toMillis());
+        long patience = timeoutMillis(message, kind.deadline().toMillis());
         CallerRequest matched =
                 new CallerRequest(
                         id, route, kind, path.pathAndQuery(), message, now, now + patience);
-        return mExchanges.serve(matched);
+        return mDispatcher.dispatch(matched);
     }
 
-    private static long callersTimeout(AggregatedHttpRequest message, long most) {
+    private static long timeoutMillis(AggregatedHttpRequest message, long most) {
         String text = message.headers().get(CallerHeaders.REQUEST_TIMEOUT);
         if (text == null) {
             return most;
@@ -149,7 +149,7 @@
      */
     private static HttpResponse refuse(HttpRequest request, String id, Refusal refusal) {
         boolean keyed = request.headers().contains(CallerHeaders.IDEMPOTENCY_KEY);
-        return keyed ? refusal.toResponseOfThisTry(id) : refusal.toResponse(id);
+        return keyed ? refusal.toResponseWithUnknownOutcome(id) : refusal.toResponse(id);
     }
 
     private static String noSuchService(ServicePath path) {
--- a/entry/src/main/java/org/dahliapass/entry/AnswerObserver.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerResponder.java
@@ -13,18 +13,18 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /** Gives callers their answers and accounts for each of them once. */
-final class AnswerObserver {
-    private static final int SERVER_ERROR = 500;
+final class CallerResponder {
+    private static final int MIN_SERVER_ERROR = 500;
 
     private final Clock mClock;
     private final EntryMetrics mMetrics;
-    private final OutcomeHistory mBurn;
+    private final OutcomeHistory mOutcomes;
     private final RefusalLog mRefusals;
 
-    AnswerObserver(Clock clock, EntryMetrics metrics, OutcomeHistory burn, RefusalLog refusals) {
+    CallerResponder(Clock clock, EntryMetrics metrics, OutcomeHistory burn, RefusalLog refusals) {
         mClock = clock;
         mMetrics = metrics;
-        mBurn = burn;
+        mOutcomes = burn;
         mRefusals = refusals;
     }
 
@@ -34,14 +34,14 @@
      * <p>The end is that of the returned message, not of the target's: the latter may come first,
      * while pieces are still on their way to the caller's thread.
      */
-    HttpResponse passOn(CallerRequest request, TryResult.Answered answered) {
+    HttpResponse relay(CallerRequest request, AttemptResult.Responded answered) {
         boolean late = isLate(request);
-        boolean error = answered.headers().status().code() >= SERVER_ERROR;
+        boolean error = answered.headers().status().code() >= MIN_SERVER_ERROR;
         HttpResponse response =
                 HttpResponse.of(headers(request, answered.headers()), answered.body());
         Futures.whenDone(
                 response.whenComplete(),
-                (ignored, failure) -> account(request, outcome(failure, error, late)));
+                (ignored, failure) -> recordOutcome(request, outcome(failure, error, late)));
         return response;
     }
 
@@ -51,7 +51,7 @@
      */
     HttpResponse refuse(CallerRequest request, Refusal refusal) {
         if (refusal.code() != RefusalCode.IN_PROGRESS) {
-            account(request, outcomeOf(refusal));
+            recordOutcome(request, outcomeOf(refusal));
         }
         mRefusals.add(mClock.millis(), request.id(), request.route().customer(), refusal);
         return refusal.toResponse(request.id());
@@ -59,7 +59,7 @@
 
     /** Accounts for an answer that was recorded earlier. */
     void onReplayed(CallerRequest request) {
-        account(request, Outcome.GOOD);
+        recordOutcome(request, Outcome.GOOD);
     }
 
     /** Accounts for a caller that went away before its answer began: nobody's failure. */
@@ -76,12 +76,12 @@
         return latency > request.kind().lateAfter().toMillis();
     }
 
-    private void account(CallerRequest request, Outcome outcome) {
+    private void recordOutcome(CallerRequest request, Outcome outcome) {
         RequestKind kind = request.kind();
         String customer = request.route().customer();
         String service = request.route().own().name();
         mMetrics.onAnswer(customer, service, kind.name(), outcome.name().toLowerCase(Locale.ROOT));
-        mBurn.record(
+        mOutcomes.record(
                 customer,
                 service,
                 kind.name(),
--- a/entry/src/main/java/org/dahliapass/entry/CallerServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerServer.java
@@ -22,12 +22,12 @@
     public static final String NAME = "caller-server";
 
     private static final Duration QUIET_PERIOD = Duration.ofMillis(200);
-    private static final Duration DRAIN_LIMIT = Duration.ofMinutes(10);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofMinutes(10);
 
     private final VmSettings mSettings;
     private final VmIdentity mIdentity;
     private final Clock mClock;
-    private final AnswerObserver mObserver;
+    private final CallerResponder mResponder;
     private final Readiness mReadiness;
     private Server mServer;
 
@@ -35,62 +35,62 @@
             VmSettings settings,
             VmIdentity identity,
             Clock clock,
-            AnswerObserver observer,
+            CallerResponder observer,
             Readiness readiness) {
         mSettings = settings;
         mIdentity = identity;
         mClock = clock;
-        mObserver = observer;
+        mResponder = observer;
         mReadiness = readiness;
     }
 
     private Server newServer(Kernel kernel) {
         FleetService fleet = kernel.find(FleetService.NAME, FleetService.class);
-        OnceService once = kernel.find(OnceService.NAME, OnceService.class);
-        RequestIds ids = new RequestIds(mIdentity);
-        Tokens tokens = new Tokens(mClock, fleet, once.reach());
+        AtMostOnceService once = kernel.find(AtMostOnceService.NAME, AtMostOnceService.class);
+        RequestIdGenerator ids = new RequestIdGenerator(mIdentity);
+        TokenIssuer tokens = new TokenIssuer(mClock, fleet, once.witnessReachability());
         ConfigurationService configuration =
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class);
-        AskHandler asks = new AskHandler(mSettings, ids, fleet, configuration, tokens, mReadiness);
+        DiscoveryHandler asks = new DiscoveryHandler(mSettings, ids, fleet, configuration, tokens, mReadiness);
         return Server.builder()
                 .port(
                         new InetSocketAddress(mSettings.address(), mSettings.callersPort()),
                         SessionProtocol.HTTP)
                 .service("/ask", asks)
                 .service("/outcomes/{customer}/{key}", new OutcomeHandler(ids, once, tokens))
-                .serviceUnder(ServicePath.PREFIX, requests(kernel, ids, tokens))
-                .workerGroup(kernel.find(TargetClients.NAME, TargetClients.class).loops(), false)
+                .serviceUnder(ServicePath.PREFIX, newRequestHandler(kernel, ids, tokens))
+                .workerGroup(kernel.find(TargetClients.NAME, TargetClients.class).eventLoops(), false)
                 .requestTimeoutMillis(0)
                 .maxRequestLength(0)
                 .gracefulShutdown(
                         GracefulShutdown.builder()
                                 .quietPeriod(QUIET_PERIOD)
-                                .timeout(DRAIN_LIMIT)
+                                .timeout(DRAIN_TIMEOUT)
                                 .build())
                 .decorator(
                         (delegate, context, request) ->
-                                signed(context, delegate.serve(context, request)))
+                                withVmIdentity(context, delegate.serve(context, request)))
                 .build();
     }
 
-    private RequestHandler requests(Kernel kernel, RequestIds ids, Tokens tokens) {
+    private CallerRequestHandler newRequestHandler(Kernel kernel, RequestIdGenerator ids, TokenIssuer tokens) {
         FleetService fleet = kernel.find(FleetService.NAME, FleetService.class);
         TargetClients clients = kernel.find(TargetClients.NAME, TargetClients.class);
         ServiceTable services = kernel.find(ServiceTable.NAME, ServiceTable.class);
         ConfigurationService configuration =
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class);
         Forwarder forwarder = new Forwarder(mClock, clients, fleet, configuration);
-        ExchangeFactory exchanges =
-                new ExchangeFactory(
+        RequestDispatcher exchanges =
+                new RequestDispatcher(
                         mClock,
                         kernel.find(ControlLoop.NAME, ControlLoop.class),
                         clients,
                         services,
-                        kernel.find(OnceService.NAME, OnceService.class),
+                        kernel.find(AtMostOnceService.NAME, AtMostOnceService.class),
                         tokens,
                         forwarder,
-                        mObserver);
-        return new RequestHandler(
+                        mResponder);
+        return new CallerRequestHandler(
                 mClock, ids, mReadiness, configuration, services, forwarder, exchanges);
     }
 
@@ -100,7 +100,7 @@
      * <p>Guards against a caller that keeps a connection to a VM that is leaving, longer than the
      * answer to its ask holds: the connection is closed after the answers in flight.
      */
-    private HttpResponse signed(ServiceRequestContext context, HttpResponse response) {
+    private HttpResponse withVmIdentity(ServiceRequestContext context, HttpResponse response) {
         if (mReadiness.state() == Readiness.State.LEAVING) {
             Futures.whenDone(context.initiateConnectionShutdown(), (done, failure) -> {});
         }
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationPeers.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationPeers.java
@@ -16,7 +16,7 @@
 
 /** Tells the configuration's follower which members to ask; control thread only. */
 final class ConfigurationPeers implements FollowerPeers {
-    private static final int SOURCES = 4;
+    private static final int MAX_SOURCES = 4;
 
     private final FleetService mFleet;
     private final Supplier<Map<ServiceId, Integer>> mCellSizes;
@@ -45,7 +45,7 @@
         List<VmIdentity> members = members();
         List<VmIdentity> chosen = new ArrayList<>();
         int start = members.isEmpty() ? 0 : Math.floorMod(self().hashCode(), members.size());
-        for (int step = 0; step < Math.min(SOURCES, members.size()); step++) {
+        for (int step = 0; step < Math.min(MAX_SOURCES, members.size()); step++) {
             chosen.add(members.get((start + step) % members.size()));
         }
         return chosen;
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -44,23 +44,23 @@
     public static final String NAME = "configuration";
 
     private static final ComponentLog LOG = ComponentLog.of("configuration");
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
 
     private final StoreClient mStore;
     private final RandomGenerator mRandom;
     private final Readiness mReadiness;
     private final List<Runnable> mListeners = new ArrayList<>();
-    private final Map<String, InForce> mInForce = new HashMap<>();
+    private final Map<String, ActiveRevision> mActiveRevisions = new HashMap<>();
     private ControlLoop mLoop;
     private FleetService mFleet;
     private PeerLink mPeers;
     private EntryMetrics mMetrics;
     private ExplanationLog mExplanations;
     private ConfigurationFollower mFollower;
-    private StoreWatch mWatch;
+    private StoreHeadWatcher mWatch;
     private volatile RoutingTable mTable = RoutingTable.EMPTY;
     private volatile Map<ServiceId, Integer> mDirectory = Map.of();
-    private volatile long mNumber;
+    private volatile long mHeadNumber;
 
     /**
      * The revision of a template that is in force here.
@@ -68,7 +68,7 @@
      * @param number the change's number
      * @param digest the text's digest
      */
-    record InForce(long number, String digest) {}
+    record ActiveRevision(long number, String digest) {}
 
     ConfigurationService(StoreClient store, RandomGenerator random, Readiness readiness) {
         mStore = store;
@@ -82,8 +82,8 @@
     }
 
     /** Returns the number up to which this VM knows all changes. */
-    long number() {
-        return mNumber;
+    long headNumber() {
+        return mHeadNumber;
     }
 
     /**
@@ -92,7 +92,7 @@
      * @param provider the customer that provides it, or null: then the customer's own service of
      *     that name, or else the only one of that name
      */
-    Optional<CellOfService> directory(String customer, String service, String provider) {
+    Optional<ServiceCell> findCell(String customer, String service, String provider) {
         Map<ServiceId, Integer> directory = mDirectory;
         Optional<Route> route = mTable.find(customer, service);
         ServiceId id = new ServiceId(provider == null ? customer : provider, service);
@@ -100,12 +100,12 @@
             id = route.get().provided().id();
         }
         if (directory.containsKey(id)) {
-            return Optional.of(new CellOfService(id, directory.get(id)));
+            return Optional.of(new ServiceCell(id, directory.get(id)));
         }
         List<ServiceId> named =
                 directory.keySet().stream().filter(key -> key.name().equals(service)).toList();
         return provider == null && named.size() == 1
-                ? Optional.of(new CellOfService(named.get(0), directory.get(named.get(0))))
+                ? Optional.of(new ServiceCell(named.get(0), directory.get(named.get(0))))
                 : Optional.empty();
     }
 
@@ -115,11 +115,11 @@
      * @param service the service
      * @param size how many VMs serve it
      */
-    record CellOfService(ServiceId service, int size) {}
+    record ServiceCell(ServiceId service, int size) {}
 
     /** Returns the revision of a customer's template that is in force here. */
-    synchronized Optional<InForce> inForce(String customer) {
-        return Optional.ofNullable(mInForce.get(customer));
+    synchronized Optional<ActiveRevision> activeRevision(String customer) {
+        return Optional.ofNullable(mActiveRevisions.get(customer));
     }
 
     /** Adds what is run on the control thread after each change in force; before the start. */
@@ -129,17 +129,17 @@
 
     /** Takes changes that a member passed on; control thread only. */
     void onRumor(List<ChangeRecord> records) {
-        carryOut(mFollower.onRumor(records, mLoop.nowMillis()));
+        execute(mFollower.onRumor(records, mLoop.nowMillis()));
     }
 
     /** Takes the head number that a member's datagram carries; control thread only. */
     void onPing(VmIdentity peer, long headNumber) {
-        carryOut(mFollower.onPing(peer, headNumber, mLoop.nowMillis()));
+        execute(mFollower.onPing(peer, headNumber, mLoop.nowMillis()));
     }
 
     /** Takes the head that this VM read; control thread only. */
     void onHead(Head head) {
-        carryOut(mFollower.onHead(head, mLoop.nowMillis()));
+        execute(mFollower.onHead(head, mLoop.nowMillis()));
     }
 
     /** Answers a peer that asks for changes. */
@@ -153,8 +153,8 @@
     }
 
     /** Returns when the store last answered, in milliseconds; control thread only. */
-    long storeHeardMillis() {
-        return mWatch.heardMillis();
+    long lastStoreResponseMillis() {
+        return mWatch.lastResponseMillis();
     }
 
     /** Reads the head now, whether or not this VM is a watcher. */
@@ -162,7 +162,7 @@
         mWatch.probe();
     }
 
-    private void carryOut(List<FollowerAction> actions) {
+    private void execute(List<FollowerAction> actions) {
         for (FollowerAction action : actions) {
             if (action instanceof FollowerAction.SendRumor passOn) {
                 passOn.members().forEach(member -> mPeers.sendRumor(member, passOn.records()));
@@ -173,13 +173,13 @@
             } else if (action instanceof FollowerAction.ReadStore read) {
                 read(read);
             } else {
-                force(action);
+                executeRevisionAction(action);
             }
         }
         publish();
     }
 
-    private void force(FollowerAction action) {
+    private void executeRevisionAction(FollowerAction action) {
         if (action instanceof FollowerAction.Apply apply) {
             apply(apply);
         } else if (action instanceof FollowerAction.Release release) {
@@ -195,7 +195,7 @@
                 (answer, failure) -> {
                     if (failure == null) {
                         mLoop.execute(
-                                () -> carryOut(mFollower.onAnswer(answer, mLoop.nowMillis())));
+                                () -> execute(mFollower.onAnswer(answer, mLoop.nowMillis())));
                     }
                 });
     }
@@ -206,7 +206,7 @@
                 (text, failure) ->
                         mLoop.execute(
                                 () ->
-                                        carryOut(
+                                        execute(
                                                 mFollower.onText(
                                                         fetch.customer(),
                                                         fetch.digest(),
@@ -226,7 +226,7 @@
                             value.map(
                                     found -> ConfigurationCodec.decode(read.key(), found.value()));
                     mLoop.execute(
-                            () -> carryOut(mFollower.onStoreItem(read, item, mLoop.nowMillis())));
+                            () -> execute(mFollower.onStoreItem(read, item, mLoop.nowMillis())));
                 });
     }
 
@@ -234,7 +234,7 @@
         mTable = mTable.with(TemplateParser.parse(apply.customer(), apply.text()));
         String digest = new TemplateText(apply.text()).digest();
         synchronized (this) {
-            mInForce.put(apply.customer(), new InForce(apply.number(), digest));
+            mActiveRevisions.put(apply.customer(), new ActiveRevision(apply.number(), digest));
         }
         explain(
                 Action.REVISION_APPLIED,
@@ -247,7 +247,7 @@
     private void release(String customer) {
         mTable = mTable.without(customer);
         synchronized (this) {
-            mInForce.remove(customer);
+            mActiveRevisions.remove(customer);
         }
         mListeners.forEach(Runnable::run);
     }
@@ -266,18 +266,18 @@
     }
 
     private void publish() {
-        mNumber = mFollower.headNumber();
+        mHeadNumber = mFollower.headNumber();
         mDirectory = mFollower.cellSizes();
-        mFleet.setHeadNumber(mNumber);
-        mMetrics.onConfigurationNumber(mNumber);
+        mFleet.setHeadNumber(mHeadNumber);
+        mMetrics.onConfigurationNumber(mHeadNumber);
         if (mFollower.isReady()
-                && mWatch.hasAsked()
-                && mReadiness.move(Readiness.State.STARTING, serving())) {
+                && mWatch.hasProbed()
+                && mReadiness.transition(Readiness.State.STARTING, servingState())) {
             LOG.info("All templates of this VM's services are in force; serving.");
         }
     }
 
-    private static Readiness.State serving() {
+    private static Readiness.State servingState() {
         return Readiness.State.SERVING;
     }
 
@@ -286,7 +286,7 @@
         return mFollower.counters();
     }
 
-    private static Optional<String> check(String text) {
+    private static Optional<String> validate(String text) {
         try {
             TemplateParser.parse("accepted template", text);
             return Optional.empty();
@@ -306,18 +306,18 @@
                 new ConfigurationFollower(
                         FollowerSettings.DEFAULTS,
                         new ConfigurationPeers(mFleet, () -> mFollower.cellSizes()),
-                        ConfigurationService::check,
+                        ConfigurationService::validate,
                         mRandom);
-        mWatch = new StoreWatch(mStore, mLoop, mFleet, this::onHead);
+        mWatch = new StoreHeadWatcher(mStore, mLoop, mFleet, this::onHead);
         mFleet.onChange(this::onMembersChanged);
         mLoop.execute(mWatch::probe);
         mLoop.execute(mWatch::refresh);
-        mLoop.scheduleWithFixedDelay(TICK, () -> carryOut(mFollower.onTick(mLoop.nowMillis())));
+        mLoop.scheduleWithFixedDelay(TICK_PERIOD, () -> execute(mFollower.onTick(mLoop.nowMillis())));
         return CompletableFuture.completedFuture(null);
     }
 
     private void onMembersChanged() {
-        carryOut(mFollower.onMembersChanged(mLoop.nowMillis()));
+        execute(mFollower.onMembersChanged(mLoop.nowMillis()));
         mWatch.refresh();
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/AskHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/DiscoveryHandler.java
@@ -19,35 +19,35 @@
 import org.dahliapass.model.Vm;
 
 /** Answers callers who ask which addresses to use for a customer's service. */
-final class AskHandler implements HttpService {
+final class DiscoveryHandler implements HttpService {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String NO_SUCH_SERVICE =
             "No such service here. Name its provider by &provider=CUSTOMER if it isn't the asker.";
-    private static final int MOST_ADDRESSES = 4;
+    private static final int MAX_ADDRESSES = 4;
     private static final long RETRY_AFTER_MILLIS = 1000;
 
-    private final RequestIds mIds;
+    private final RequestIdGenerator mIds;
     private final FleetService mFleet;
     private final ConfigurationService mConfiguration;
-    private final Tokens mTokens;
+    private final TokenIssuer mTokenIssuer;
     private final Readiness mReadiness;
-    private final AddressSelector mPolicy;
+    private final AddressSelector mSelector;
 
-    AskHandler(
+    DiscoveryHandler(
             VmSettings settings,
-            RequestIds ids,
+            RequestIdGenerator ids,
             FleetService fleet,
             ConfigurationService configuration,
-            Tokens tokens,
+            TokenIssuer tokens,
             Readiness readiness) {
         mIds = ids;
         mFleet = fleet;
         mConfiguration = configuration;
-        mTokens = tokens;
+        mTokenIssuer = tokens;
         mReadiness = readiness;
-        mPolicy =
+        mSelector =
                 new AddressSelector(
-                        MOST_ADDRESSES, settings.askTimeToLive(), new SplittableRandom());
+                        MAX_ADDRESSES, settings.discoveryTimeToLive(), new SplittableRandom());
     }
 
     @Override
@@ -64,26 +64,26 @@
         if (standDown.isPresent()) {
             return standDown.get().toResponse(mIds.next());
         }
-        Optional<ConfigurationService.CellOfService> found =
-                mConfiguration.directory(customer, service, context.queryParam("provider"));
+        Optional<ConfigurationService.ServiceCell> found =
+                mConfiguration.findCell(customer, service, context.queryParam("provider"));
         if (found.isEmpty()) {
             return Refusal.of(RefusalCode.NO_SUCH_SERVICE, NO_SUCH_SERVICE, 0)
                     .toResponse(mIds.next());
         }
         List<MemberUpdate> cell = mFleet.membersOf(found.get().service(), found.get().size());
         SelectedAddresses answer;
-        synchronized (mPolicy) {
-            answer = mPolicy.select(cell, Optional.ofNullable(context.queryParam("zone")));
+        synchronized (mSelector) {
+            answer = mSelector.select(cell, Optional.ofNullable(context.queryParam("zone")));
         }
         if (answer.vms().isEmpty()) {
             return Refusal.of(RefusalCode.NOT_SERVING, "No VM serves now.", RETRY_AFTER_MILLIS)
                     .toResponse(mIds.next());
         }
         return HttpResponse.of(
-                HttpStatus.OK, MediaType.JSON, written(customer, service, answer, cell) + "\n");
+                HttpStatus.OK, MediaType.JSON, toJson(customer, service, answer, cell) + "\n");
     }
 
-    private String written(
+    private String toJson(
             String customer, String service, SelectedAddresses answer, List<MemberUpdate> cell) {
         List<Vm> witnesses =
                 cell.stream()
@@ -99,7 +99,7 @@
             ObjectNode address = addresses.addObject();
             address.put("address", vm.callerEndpoint().toString());
             address.put("availabilityZone", vm.availabilityZone());
-            address.put("token", mTokens.of(vm, witnesses));
+            address.put("token", mTokenIssuer.issue(vm, witnesses));
         }
         return root.toString();
     }
--- a/entry/src/main/java/org/dahliapass/entry/EntryMain.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryMain.java
@@ -17,7 +17,7 @@
 /** The binary {@code dahliapass-vm}: one entry VM. */
 public final class EntryMain extends Program {
     private static final ComponentLog LOG = ComponentLog.of("vm");
-    private static final Duration STOP_LIMIT = Duration.ofMinutes(15);
+    private static final Duration STOP_TIMEOUT = Duration.ofMinutes(15);
 
     private final CountDownLatch mStopRequested = new CountDownLatch(1);
     private final CountDownLatch mStopped = new CountDownLatch(1);
@@ -68,8 +68,8 @@
     private void onSignal() {
         mStopRequested.countDown();
         try {
-            if (!mStopped.await(STOP_LIMIT.toMillis(), TimeUnit.MILLISECONDS)) {
-                LOG.warn("Draining took longer than " + STOP_LIMIT.toMinutes() + " minutes.");
+            if (!mStopped.await(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+                LOG.warn("Draining took longer than " + STOP_TIMEOUT.toMinutes() + " minutes.");
             }
         } catch (InterruptedException failure) {
             Thread.currentThread().interrupt();
--- a/entry/src/main/java/org/dahliapass/entry/EntryVm.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryVm.java
@@ -20,9 +20,9 @@
 /** One entry VM, put together from its services; a process holds one, tests hold several. */
 public final class EntryVm {
     private static final ComponentLog LOG = ComponentLog.of("vm");
-    private static final int BURN_SERIES = 1000;
-    private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration ANNOUNCE_RETRY = Duration.ofSeconds(2);
+    private static final int MAX_OUTCOME_SERIES = 1000;
+    private static final Duration PLATFORM_CALL_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration REGISTER_RETRY_DELAY = Duration.ofSeconds(2);
     private static final int INCARNATION_RANDOM_BITS = 20;
 
     /** How many gossip periods pass until no VM names one that is leaving. */
@@ -57,19 +57,19 @@
         mLoop = new ControlLoop(clock);
         EntryMetrics metrics = new EntryMetrics();
         RefusalLog refusals = new RefusalLog();
-        OutcomeHistory burn = new OutcomeHistory(BURN_SERIES);
+        OutcomeHistory burn = new OutcomeHistory(MAX_OUTCOME_SERIES);
         mPeers = new PeerLink(mIdentity, settings, filter);
         mCallers =
                 new CallerServer(
                         settings,
                         mIdentity,
                         clock,
-                        new AnswerObserver(clock, metrics, burn, refusals),
+                        new CallerResponder(clock, metrics, burn, refusals),
                         mReadiness);
         mOperators =
                 new OperatorServer(
                         settings,
-                        kernel -> answers(kernel, clock, refusals, burn),
+                        kernel -> newResponses(kernel, clock, refusals, burn),
                         mReadiness,
                         stopRequested);
         mFleet =
@@ -77,39 +77,39 @@
                         mIdentity,
                         settings,
                         random,
-                        new HttpVmListClient(settings.vmList(), PLATFORM_TIMEOUT),
+                        new HttpVmListClient(settings.vmList(), PLATFORM_CALL_TIMEOUT),
                         stopRequested);
         mKernel.register(ControlLoop.NAME, mLoop)
                 .register(EntryMetrics.NAME, metrics)
                 .register(ExplanationLog.NAME, new ExplanationLog(metrics))
                 .register(TargetClients.NAME, new TargetClients(clock))
                 .register(PeerLink.NAME, mPeers)
-                .register(OnceService.NAME, new OnceService(mIdentity, settings, clock))
+                .register(AtMostOnceService.NAME, new AtMostOnceService(mIdentity, settings, clock))
                 .register(CallerServer.NAME, mCallers)
                 .register(OperatorServer.NAME, mOperators)
                 .register(FleetService.NAME, mFleet)
                 .register(
                         ConfigurationService.NAME,
                         new ConfigurationService(
-                                new HttpStoreClient(settings.store(), PLATFORM_TIMEOUT),
+                                new HttpStoreClient(settings.store(), PLATFORM_CALL_TIMEOUT),
                                 random,
                                 mReadiness))
                 .register(ServiceTable.NAME, new ServiceTable(clock, random, settings))
                 .register(EvidenceExchange.NAME, new EvidenceExchange(settings))
                 .register(HealthPoller.NAME, new HealthPoller())
-                .register(IsolationGuard.NAME, new IsolationGuard(mReadiness));
+                .register(IsolationDetector.NAME, new IsolationDetector(mReadiness));
     }
 
-    private OperatorAnswers answers(
+    private OperatorResponses newResponses(
             Kernel kernel, Clock clock, RefusalLog refusals, OutcomeHistory burn) {
-        return new OperatorAnswers(
+        return new OperatorResponses(
                 clock,
                 mLoop,
                 mFleet,
                 mReadiness,
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class),
                 kernel.find(ServiceTable.NAME, ServiceTable.class),
-                kernel.find(OnceService.NAME, OnceService.class),
+                kernel.find(AtMostOnceService.NAME, AtMostOnceService.class),
                 kernel.find(ExplanationLog.NAME, ExplanationLog.class),
                 refusals,
                 burn);
@@ -127,7 +127,7 @@
 
     /** Starts all services; requests are served once configuration is there. */
     public CompletableFuture<Void> start() {
-        return mKernel.start().thenRun(this::announce);
+        return mKernel.start().thenRun(this::register);
     }
 
     /**
@@ -136,35 +136,35 @@
      * refused meanwhile, so the periodic events go on until the callers' server has drained.
      */
     public CompletableFuture<Void> leaveAndStop() {
-        mReadiness.move(Readiness.State.SERVING, Readiness.State.LEAVING);
+        mReadiness.transition(Readiness.State.SERVING, Readiness.State.LEAVING);
         LOG.info("Leaving; serving on until answers to asks have run out.");
         return mFleet.leave()
-                .thenCompose(ignored -> announceLeaving())
-                .thenCompose(ignored -> afterAsks())
+                .thenCompose(ignored -> registerLeaving())
+                .thenCompose(ignored -> awaitDiscoveryExpiry())
                 .thenCompose(ignored -> mCallers.stop())
                 .thenCompose(ignored -> stopNow());
     }
 
     /** The VM list may be slow or away; the VM serves all the same and tries again. */
-    private void announce() {
+    private void register() {
         if (!mSettings.announce() || mFleet.isLeaving()) {
             return;
         }
         Futures.whenDone(
-                mFleet.announce(false),
+                mFleet.register(false),
                 (ignored, failure) -> {
                     if (failure != null) {
                         LOG.info("The VM list gave no word: " + failure.getMessage());
-                        mLoop.schedule(ANNOUNCE_RETRY, this::announce);
+                        mLoop.schedule(REGISTER_RETRY_DELAY, this::register);
                     }
                 });
     }
 
-    private CompletableFuture<Void> announceLeaving() {
+    private CompletableFuture<Void> registerLeaving() {
         if (!mSettings.announce()) {
             return CompletableFuture.completedFuture(null);
         }
-        return mFleet.announce(true)
+        return mFleet.register(true)
                 .exceptionally(
                         failure -> {
                             LOG.warn("The VM list didn't take the leave: " + failure.getMessage());
@@ -172,10 +172,10 @@
                         });
     }
 
-    private CompletableFuture<Void> afterAsks() {
+    private CompletableFuture<Void> awaitDiscoveryExpiry() {
         CompletableFuture<Void> over = new CompletableFuture<>();
         Duration spread = mSettings.gossipPeriod().multipliedBy(GOSSIP_SPREAD_PERIODS);
-        mLoop.schedule(mSettings.askTimeToLive().plus(spread), () -> over.complete(null));
+        mLoop.schedule(mSettings.discoveryTimeToLive().plus(spread), () -> over.complete(null));
         return over;
     }
 
@@ -190,12 +190,12 @@
     }
 
     /** Returns where callers reach the VM; valid once started. */
-    public Endpoint callers() {
+    public Endpoint callerEndpoint() {
         return mCallers.endpoint();
     }
 
     /** Returns where operators reach the VM; valid once started. */
-    public Endpoint operators() {
+    public Endpoint operatorEndpoint() {
         return mOperators.endpoint();
     }
 
@@ -204,10 +204,10 @@
         return "ready vm="
                 + mIdentity.name()
                 + " callers="
-                + callers()
+                + callerEndpoint()
                 + " peers="
                 + mPeers.endpoint()
                 + " operators="
-                + operators();
+                + operatorEndpoint();
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
@@ -30,14 +30,14 @@
     static final String NAME = "evidence";
 
     /** An idle cell's members still tell each other that they are there; see IsolationGuard. */
-    private static final Duration HEARTBEAT = Duration.ofMillis(1500);
+    private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(1500);
 
     private static final ServiceId NO_SERVICE = new ServiceId("", "");
 
     private final Duration mPeriod;
     private final long mBytesPerSecond;
     private final Map<ServiceId, ReportPacer> mPacers = new HashMap<>();
-    private final Map<ServiceId, Long> mToldMillis = new HashMap<>();
+    private final Map<ServiceId, Long> mLastSentMillis = new HashMap<>();
     private ControlLoop mLoop;
     private ServiceTable mServices;
     private FleetService mFleet;
@@ -48,8 +48,8 @@
         mBytesPerSecond = settings.evidenceBytesPerSecond();
     }
 
-    private void share() {
-        List<ServiceTemplate> served = mServices.served();
+    private void sendReports() {
+        List<ServiceTemplate> served = mServices.servedTemplates();
         mPacers.keySet().retainAll(served.stream().map(ServiceTemplate::id).toList());
         Set<Vm> unheard = new LinkedHashSet<>();
         for (ServiceTemplate template : served) {
@@ -58,18 +58,18 @@
                     mPacers.computeIfAbsent(
                             template.id(), id -> new ReportPacer(budget, mPeriod.toMillis()));
             if (pacer.isDue(mLoop.nowMillis())) {
-                share(template, pacer);
-            } else if (isSilent(template.id())) {
+                sendReports(template, pacer);
+            } else if (isHeartbeatDue(template.id())) {
                 unheard.addAll(peers(template));
-                mToldMillis.put(template.id(), mLoop.nowMillis());
+                mLastSentMillis.put(template.id(), mLoop.nowMillis());
             }
         }
-        sayAlive(List.copyOf(unheard));
+        sendHeartbeat(List.copyOf(unheard));
     }
 
-    private boolean isSilent(ServiceId service) {
-        long told = mToldMillis.getOrDefault(service, 0L);
-        return mLoop.nowMillis() - told >= HEARTBEAT.toMillis();
+    private boolean isHeartbeatDue(ServiceId service) {
+        long told = mLastSentMillis.getOrDefault(service, 0L);
+        return mLoop.nowMillis() - told >= HEARTBEAT_PERIOD.toMillis();
     }
 
     /**
@@ -77,7 +77,7 @@
      * hear each other; with the store away it would stand down as a whole. An empty report of no
      * service costs little; the receivers take it for nothing but a sign of life.
      */
-    private void sayAlive(List<Vm> peers) {
+    private void sendHeartbeat(List<Vm> peers) {
         if (peers.isEmpty()) {
             return;
         }
@@ -88,19 +88,19 @@
         mLink.report(peers, empty, List.of());
     }
 
-    private void share(ServiceTemplate template, ReportPacer pacer) {
-        Optional<EvidenceReport> report = mServices.takeReport(template.id());
+    private void sendReports(ServiceTemplate template, ReportPacer pacer) {
+        Optional<EvidenceReport> report = mServices.drainReport(template.id());
         Optional<ServiceRuntime> runtime = mServices.find(template.id());
         if (report.isEmpty() || runtime.isEmpty()) {
             return;
         }
         List<TargetInFlight> inFlight = runtime.get().inFlight();
         boolean idle = report.get().evidence().isEmpty() && inFlight.isEmpty();
-        if (idle && !isSilent(template.id())) {
+        if (idle && !isHeartbeatDue(template.id())) {
             return;
         }
         long now = mLoop.nowMillis();
-        mToldMillis.put(template.id(), now);
+        mLastSentMillis.put(template.id(), now);
         pacer.onReported(mLink.report(peers(template), report.get(), inFlight), now);
     }
 
@@ -115,9 +115,9 @@
         mServices = kernel.find(ServiceTable.NAME, ServiceTable.class);
         mFleet = kernel.find(FleetService.NAME, FleetService.class);
         mLink = kernel.find(PeerLink.NAME, PeerLink.class);
-        mServices.onUrgentReport(
+        mServices.setUrgentReportSender(
                 (template, report) -> mLink.report(peers(template), report, List.of()));
-        mLoop.scheduleWithFixedDelay(mPeriod, this::share);
+        mLoop.scheduleWithFixedDelay(mPeriod, this::sendReports);
         return CompletableFuture.completedFuture(null);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ExplanationQuery.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExplanationQuery.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns whether a subject is one that is asked for. */
-    boolean wants(String subject) {
+    boolean matches(String subject) {
         boolean targetFits = target == null || subject.contains(target);
         boolean customerFits = customer == null || subject.contains(customer);
         return targetFits && customerFits;
--- a/entry/src/main/java/org/dahliapass/entry/FleetMember.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetMember.java
@@ -7,7 +7,7 @@
  * A VM as operators see it.
  *
  * @param vm the VM
- * @param operators where operators reach it
+ * @param operatorEndpoint where operators reach it
  * @param state its state in the membership, in lower case
  */
-public record FleetMember(Vm vm, Endpoint operators, String state) {}
+public record FleetMember(Vm vm, Endpoint operatorEndpoint, String state) {}
--- a/entry/src/main/java/org/dahliapass/entry/FleetService.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetService.java
@@ -40,7 +40,7 @@
     public static final String NAME = "fleet";
 
     private static final ComponentLog LOG = ComponentLog.of("fleet");
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
 
     private final VmIdentity mIdentity;
     private final VmSettings mSettings;
@@ -50,11 +50,11 @@
     private GossipLink mLink;
     private final VmListClient mVmList;
     private EntryMetrics mMetrics;
-    private final Runnable mReplaced;
+    private final Runnable mOnReplaced;
     private final List<Runnable> mListeners = new ArrayList<>();
     private volatile FleetView mView;
     private CellMembership mCells;
-    private volatile Planned mPlanned = new Planned(List.of(), Map.of());
+    private volatile CellPlan mCellPlan = new CellPlan(List.of(), Map.of());
     private volatile Set<VmIdentity> mIdentities = Set.of();
     private boolean mChanged;
     private VmListReader mListReader;
@@ -66,7 +66,7 @@
      * @param members the members
      * @param cells the cells planned so far
      */
-    private record Planned(List<MemberUpdate> members, Map<CellKey, List<MemberUpdate>> cells) {}
+    private record CellPlan(List<MemberUpdate> members, Map<CellKey, List<MemberUpdate>> cells) {}
 
     /**
      * A cell of a certain size.
@@ -86,7 +86,7 @@
         mSettings = settings;
         mRandom = random;
         mVmList = vmList;
-        mReplaced = replaced;
+        mOnReplaced = replaced;
     }
 
     /** Adds what is run on the control thread after each change of the fleet; before the start. */
@@ -116,7 +116,7 @@
 
     /** Returns the cell of a service with the members' states; planned once for each fleet. */
     List<MemberUpdate> membersOf(ServiceId service, int size) {
-        Planned planned = mPlanned;
+        CellPlan planned = mCellPlan;
         return planned.cells()
                 .computeIfAbsent(
                         new CellKey(service, size),
@@ -129,7 +129,7 @@
     }
 
     /** Returns this VM's rank in a service's cell; -1 if it isn't in it. */
-    int placeInCell(ServiceTemplate template) {
+    int rankInCell(ServiceTemplate template) {
         List<Vm> cell = cellOf(template);
         for (int place = 0; place < cell.size(); place++) {
             if (cell.get(place).identity().equals(mView.self().identity())) {
@@ -140,7 +140,7 @@
     }
 
     /** Returns which share of the VMs was heard within the window; control thread only. */
-    double heardFromShare(List<VmIdentity> vms, Duration window) {
+    double heardFraction(List<VmIdentity> vms, Duration window) {
         return mMembership.heardFraction(vms, mLoop.nowMillis(), window.toMillis());
     }
 
@@ -156,7 +156,7 @@
 
     /** Takes a datagram; control thread only. */
     void onGossip(GossipMessage message) {
-        carryOut(mMembership.onGossip(message, mLoop.nowMillis()));
+        execute(mMembership.onGossip(message, mLoop.nowMillis()));
     }
 
     /** Notes that a VM was heard by a request or reply; control thread only. */
@@ -167,18 +167,18 @@
     /** Answers another VM's request for the member list; control thread only. */
     List<MemberUpdate> onJoin(JoinRequest request) {
         JoinResponse answer = mMembership.onJoinRequest(request, mLoop.nowMillis());
-        carryOut(answer.actions());
+        execute(answer.actions());
         return answer.members();
     }
 
     /** Enters this VM into the platform's list, for platforms that leave that to the VM. */
-    CompletableFuture<Void> announce(boolean leaving) {
+    CompletableFuture<Void> register(boolean leaving) {
         MemberUpdate self = mMembership.self();
         return mVmList.register(new ListedVm(self.vm(), self.operators(), leaving));
     }
 
     /** Takes this VM out of the platform's list. */
-    CompletableFuture<Void> withdraw() {
+    CompletableFuture<Void> deregister() {
         return mVmList.deregister(mView.self().identity().name());
     }
 
@@ -187,7 +187,7 @@
         return mLoop.submit(
                 () -> {
                     mLeaving = true;
-                    carryOut(mMembership.leave(mLoop.nowMillis()));
+                    execute(mMembership.leave(mLoop.nowMillis()));
                     publish();
                     mListeners.forEach(Runnable::run);
                     return null;
@@ -195,11 +195,11 @@
     }
 
     private void tick() {
-        carryOut(mMembership.onTick(mLoop.nowMillis()));
+        execute(mMembership.onTick(mLoop.nowMillis()));
         publishChanges();
     }
 
-    private void carryOut(List<MembershipAction> actions) {
+    private void execute(List<MembershipAction> actions) {
         boolean changed = false;
         for (MembershipAction action : actions) {
             if (action instanceof MembershipAction.SendGossip gossip) {
@@ -211,7 +211,7 @@
                 changed = true;
             } else if (action instanceof MembershipAction.Replaced replaced) {
                 LOG.warn("Replaced by " + replaced.successor() + ". Stopping.");
-                mReplaced.run();
+                mOnReplaced.run();
             }
         }
         mChanged |= changed;
@@ -243,7 +243,7 @@
     }
 
     private void onExchanged(List<MemberUpdate> members) {
-        carryOut(mMembership.onJoinReply(members, mLoop.nowMillis()));
+        execute(mMembership.onJoinReply(members, mLoop.nowMillis()));
     }
 
     private static void log(MembershipAction.MemberChanged change) {
@@ -270,8 +270,8 @@
             String state = member.state().name().toLowerCase(Locale.ROOT);
             all.add(new FleetMember(member.vm(), member.operators(), state));
         }
-        mPlanned = new Planned(List.copyOf(members), new ConcurrentHashMap<>());
-        mCells.updateMembers(zonesOf(members));
+        mCellPlan = new CellPlan(List.copyOf(members), new ConcurrentHashMap<>());
+        mCells.updateMembers(zonesByVm(members));
         mIdentities = PeerLink.identities(members);
         mView = new FleetView(mMembership.self().vm(), usable, all);
         for (MemberState state : MemberState.values()) {
@@ -281,7 +281,7 @@
     }
 
     /** A VM that leaves is in no cell for the others, but keeps what it serves until it stops. */
-    private Map<String, String> zonesOf(List<MemberUpdate> members) {
+    private Map<String, String> zonesByVm(List<MemberUpdate> members) {
         Map<String, String> zones = new HashMap<>();
         zones.put(mIdentity.name(), mSettings.availabilityZone());
         for (MemberUpdate member : members) {
@@ -314,7 +314,7 @@
                         mLoop.nowMillis());
         mCells = new CellMembership(mIdentity.name(), mSettings.availabilityZone());
         publish();
-        mLoop.scheduleWithFixedDelay(TICK, this::tick);
+        mLoop.scheduleWithFixedDelay(TICK_PERIOD, this::tick);
         mListReader =
                 new VmListReader(
                         mVmList,
@@ -322,7 +322,7 @@
                         mRandom,
                         () -> mView.all().size() <= 1,
                         mMembership::setSeeds);
-        mListReader.read();
+        mListReader.poll();
         return CompletableFuture.completedFuture(null);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/Forwarder.java
+++ b/entry/src/main/java/org/dahliapass/entry/Forwarder.java
@@ -16,7 +16,7 @@
 /** Sends a request that reached the wrong VM to the right one, once. */
 final class Forwarder {
     private static final ComponentLog LOG = ComponentLog.of("forward");
-    private static final Duration MOST = Duration.ofMinutes(10);
+    private static final Duration CELL_TIMEOUT = Duration.ofMinutes(10);
 
     private final Clock mClock;
     private final TargetClients mClients;
@@ -39,12 +39,12 @@
      *
      * @return empty if it was forwarded already or the cell has no other VM
      */
-    Optional<HttpResponse> toCell(HttpRequest request, ServicePath path) {
+    Optional<HttpResponse> forwardToCell(HttpRequest request, ServicePath path) {
         if (request.headers().contains(CallerHeaders.FORWARDED_BY)) {
             return Optional.empty();
         }
         String self = mFleet.view().self().identity().name();
-        return mConfiguration.directory(path.customer(), path.service(), null).stream()
+        return mConfiguration.findCell(path.customer(), path.service(), null).stream()
                 .flatMap(found -> mFleet.cellOf(found.service(), found.size()).stream())
                 .filter(vm -> !vm.identity().name().equals(self))
                 .findFirst()
@@ -56,7 +56,7 @@
                 request.headers().toBuilder()
                         .set(CallerHeaders.FORWARDED_BY, mFleet.view().self().identity().name())
                         .build();
-        return mClients.send(vm.callerEndpoint(), request.withHeaders(headers), MOST).response();
+        return mClients.send(vm.callerEndpoint(), request.withHeaders(headers), CELL_TIMEOUT).response();
     }
 
     /**
@@ -64,7 +64,7 @@
      *
      * @return empty if the home gave no word: it is unknown here, didn't answer, or is another life
      */
-    CompletableFuture<Optional<HttpResponse>> toHome(CallerRequest request, Operation operation) {
+    CompletableFuture<Optional<HttpResponse>> forwardToHome(CallerRequest request, Operation operation) {
         Optional<Vm> home = mFleet.view().find(operation.key().home());
         boolean forwarded = request.message().headers().contains(CallerHeaders.FORWARDED_BY);
         if (home.isEmpty() || forwarded) {
@@ -81,10 +81,10 @@
                                 HttpRequest.of(headers, request.message().content()),
                                 Duration.ofMillis(remaining))
                         .response();
-        return headOf(response, operation);
+        return responseFromHome(response, operation);
     }
 
-    private static CompletableFuture<Optional<HttpResponse>> headOf(
+    private static CompletableFuture<Optional<HttpResponse>> responseFromHome(
             HttpResponse response, Operation operation) {
         SplitHttpResponse split = response.split();
         return split.headers()
--- a/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
+++ b/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
@@ -42,9 +42,9 @@
 
     private void poll() {
         mRound++;
-        for (ServiceTemplate template : mServices.served()) {
+        for (ServiceTemplate template : mServices.servedTemplates()) {
             int cell = Math.max(1, mFleet.cellOf(template).size());
-            int place = mFleet.placeInCell(template);
+            int place = mFleet.rankInCell(template);
             List<Target> targets = template.targets();
             for (int index = 0; index < targets.size(); index++) {
                 if (Math.floorMod(index + mRound, cell) == place) {
--- a/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
@@ -22,20 +22,20 @@
  */
 final class IdempotentExchange {
     private static final long RETRY_AFTER_MILLIS = 1000;
-    private static final int SERVER_ERROR = 500;
-    private static final int MOST_TRIES = 3;
+    private static final int MIN_SERVER_ERROR = 500;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final CallerRequest mRequest;
     private final ServiceRuntime mRuntime;
     private final TargetClients mClients;
     private final Clock mClock;
     private final ControlLoop mLoop;
-    private final AnswerObserver mObserver;
-    private final CompletableFuture<HttpResponse> mAnswer = new CompletableFuture<>();
-    private final List<TargetTry> mRunning = new ArrayList<>();
-    private Set<Endpoint> mTried = Set.of();
-    private int mTries;
-    private int mOpen;
+    private final CallerResponder mResponder;
+    private final CompletableFuture<HttpResponse> mResponse = new CompletableFuture<>();
+    private final List<TargetAttempt> mRunning = new ArrayList<>();
+    private Set<Endpoint> mTriedTargets = Set.of();
+    private int mAttempts;
+    private int mInFlight;
     private boolean mHedged;
     private boolean mDone;
 
@@ -45,36 +45,36 @@
             TargetClients clients,
             ControlLoop loop,
             Clock clock,
-            AnswerObserver observer) {
+            CallerResponder observer) {
         mRequest = request;
         mRuntime = runtime;
         mClients = clients;
         mLoop = loop;
         mClock = clock;
-        mObserver = observer;
+        mResponder = observer;
     }
 
     /** Starts the exchange and returns the caller's answer. */
     synchronized HttpResponse start() {
-        startTry(mRuntime.acquire(mRequest, mTried));
+        startAttempt(mRuntime.acquire(mRequest, mTriedTargets));
         if (!mRequest.kind().hedgeAfter().isZero()) {
             mLoop.schedule(mRequest.kind().hedgeAfter(), this::hedge);
         }
-        HttpResponse response = HttpResponse.of(mAnswer);
+        HttpResponse response = HttpResponse.of(mResponse);
         Futures.whenDone(response.whenComplete(), (ignored, failure) -> onCallerDone(failure));
         return response;
     }
 
-    private void startTry(CompletableFuture<Slot> slot) {
-        TargetTry next = new TargetTry(mRequest, mRuntime, mClients, mClock);
-        mTries++;
-        mOpen++;
+    private void startAttempt(CompletableFuture<Slot> slot) {
+        TargetAttempt next = new TargetAttempt(mRequest, mRuntime, mClients, mClock);
+        mAttempts++;
+        mInFlight++;
         mRunning.add(next);
         Futures.whenDone(next.start(slot), (result, failure) -> onResult(next, result, failure));
     }
 
     private synchronized void hedge() {
-        if (mDone || mHedged || mOpen != 1) {
+        if (mDone || mHedged || mInFlight != 1) {
             return;
         }
         Optional<Slot> slot = mRuntime.hedge(mRequest, inFlightTargets());
@@ -82,11 +82,11 @@
             return;
         }
         mHedged = true;
-        startTry(CompletableFuture.completedFuture(slot.get()));
+        startAttempt(CompletableFuture.completedFuture(slot.get()));
     }
 
-    private synchronized void onResult(TargetTry from, TryResult result, Throwable failure) {
-        mOpen--;
+    private synchronized void onResult(TargetAttempt from, AttemptResult result, Throwable failure) {
+        mInFlight--;
         mRunning.remove(from);
         if (mDone) {
             discard(result);
@@ -96,32 +96,32 @@
             finish(refuse(RefusalCode.TARGET_FAILED, failure.toString()));
             return;
         }
-        if (result instanceof TryResult.Answered answered) {
-            onAnswered(answered);
-        } else if (result instanceof TryResult.Refused refused) {
+        if (result instanceof AttemptResult.Responded answered) {
+            onResponse(answered);
+        } else if (result instanceof AttemptResult.Refused refused) {
             onRefused(refused);
-        } else if (result instanceof TryResult.Failed failed) {
+        } else if (result instanceof AttemptResult.Failed failed) {
             onFailed(failed);
         }
     }
 
-    private void onAnswered(TryResult.Answered answered) {
-        boolean error = answered.headers().status().code() >= SERVER_ERROR;
+    private void onResponse(AttemptResult.Responded answered) {
+        boolean error = answered.headers().status().code() >= MIN_SERVER_ERROR;
         if (error && retry(answered.target(), FailureKind.SERVER_ERROR)) {
             answered.body().abort();
             return;
         }
-        finish(mObserver.passOn(mRequest, answered));
+        finish(mResponder.relay(mRequest, answered));
     }
 
-    private void onRefused(TryResult.Refused refused) {
-        if (mOpen == 0) {
-            finish(mObserver.refuse(mRequest, refused.refusal()));
+    private void onRefused(AttemptResult.Refused refused) {
+        if (mInFlight == 0) {
+            finish(mResponder.refuse(mRequest, refused.refusal()));
         }
     }
 
-    private void onFailed(TryResult.Failed failed) {
-        if (retry(failed.target(), failed.kind()) || mOpen > 0 || waitAgain(failed.kind())) {
+    private void onFailed(AttemptResult.Failed failed) {
+        if (retry(failed.target(), failed.kind()) || mInFlight > 0 || requeue(failed.kind())) {
             return;
         }
         RefusalCode reason =
@@ -134,38 +134,38 @@
     }
 
     private boolean retry(Endpoint target, FailureKind kind) {
-        mTried = TryResult.join(mTried, target);
+        mTriedTargets = AttemptResult.union(mTriedTargets, target);
         FailedAttempt failed =
                 new FailedAttempt(
-                        mRequest.kind(), kind, true, mTried, mTries, mRequest.deadlineMillis());
-        Optional<Slot> slot = mOpen > 0 ? Optional.empty() : mRuntime.retry(mRequest, failed);
-        slot.ifPresent(found -> startTry(CompletableFuture.completedFuture(found)));
+                        mRequest.kind(), kind, true, mTriedTargets, mAttempts, mRequest.deadlineMillis());
+        Optional<Slot> slot = mInFlight > 0 ? Optional.empty() : mRuntime.retry(mRequest, failed);
+        slot.ifPresent(found -> startAttempt(CompletableFuture.completedFuture(found)));
         return slot.isPresent();
     }
 
     /** Puts a request back into the queue whose try ran nothing; false if it tried often enough. */
-    private boolean waitAgain(FailureKind kind) {
-        if (kind.mayHaveRun() || mTries >= MOST_TRIES) {
+    private boolean requeue(FailureKind kind) {
+        if (kind.mayHaveRun() || mAttempts >= MAX_ATTEMPTS) {
             return false;
         }
-        startTry(mRuntime.reacquire(mRequest, mTried));
+        startAttempt(mRuntime.reacquire(mRequest, mTriedTargets));
         return true;
     }
 
     private Set<Endpoint> inFlightTargets() {
-        Set<Endpoint> targets = new HashSet<>(mTried);
+        Set<Endpoint> targets = new HashSet<>(mTriedTargets);
         mRunning.forEach(running -> running.target().ifPresent(targets::add));
         return targets;
     }
 
     private HttpResponse refuse(RefusalCode reason, String message) {
-        return mObserver.refuse(mRequest, Refusal.of(reason, message, RETRY_AFTER_MILLIS));
+        return mResponder.refuse(mRequest, Refusal.of(reason, message, RETRY_AFTER_MILLIS));
     }
 
     private void finish(HttpResponse response) {
         mDone = true;
-        mAnswer.complete(response);
-        new ArrayList<>(mRunning).forEach(TargetTry::cancel);
+        mResponse.complete(response);
+        new ArrayList<>(mRunning).forEach(TargetAttempt::cancel);
     }
 
     private synchronized void onCallerDone(Throwable failure) {
@@ -173,12 +173,12 @@
             return;
         }
         mDone = true;
-        mObserver.onCallerGone(mRequest);
-        new ArrayList<>(mRunning).forEach(TargetTry::cancel);
+        mResponder.onCallerGone(mRequest);
+        new ArrayList<>(mRunning).forEach(TargetAttempt::cancel);
     }
 
-    private static void discard(TryResult result) {
-        if (result instanceof TryResult.Answered answered) {
+    private static void discard(AttemptResult result) {
+        if (result instanceof AttemptResult.Responded answered) {
             answered.body().abort();
         }
     }
--- a/entry/src/main/java/org/dahliapass/entry/IsolationGuard.java
+++ b/entry/src/main/java/org/dahliapass/entry/IsolationDetector.java
@@ -22,13 +22,13 @@
  * other addresses as the way out. A store outage alone doesn't trigger it, since the cell is heard.
  * Standing down takes {@link #WINDOW}, less than the time within which an accept is in force.
  */
-final class IsolationGuard implements KernelService {
+final class IsolationDetector implements KernelService {
     /** The name under which the kernel holds the guard. */
     static final String NAME = "isolation-guard";
 
     private static final Duration WINDOW = Duration.ofSeconds(4);
     private static final Duration PERIOD = Duration.ofMillis(250);
-    private static final double LEAST_SHARE = 0.5;
+    private static final double MIN_HEARD_FRACTION = 0.5;
 
     private final Readiness mReadiness;
     private ControlLoop mLoop;
@@ -37,30 +37,30 @@
     private ConfigurationService mConfiguration;
     private ExplanationLog mExplanations;
 
-    IsolationGuard(Readiness readiness) {
+    IsolationDetector(Readiness readiness) {
         mReadiness = readiness;
     }
 
     private void check() {
         List<VmIdentity> peers = cellPeers();
-        double share = mFleet.heardFromShare(peers, WINDOW);
+        double share = mFleet.heardFraction(peers, WINDOW);
         boolean storeHeard =
-                mLoop.nowMillis() - mConfiguration.storeHeardMillis() < WINDOW.toMillis();
-        boolean isolated = !peers.isEmpty() && share < LEAST_SHARE && !storeHeard;
-        if (!peers.isEmpty() && share < LEAST_SHARE) {
+                mLoop.nowMillis() - mConfiguration.lastStoreResponseMillis() < WINDOW.toMillis();
+        boolean isolated = !peers.isEmpty() && share < MIN_HEARD_FRACTION && !storeHeard;
+        if (!peers.isEmpty() && share < MIN_HEARD_FRACTION) {
             mConfiguration.probeStore();
         }
-        if (isolated && mReadiness.move(Readiness.State.SERVING, Readiness.State.ISOLATED)) {
+        if (isolated && mReadiness.transition(Readiness.State.SERVING, Readiness.State.ISOLATED)) {
             explain(Action.STOOD_DOWN, "it hears neither the store nor most of its cells", share);
         }
-        if (!isolated && mReadiness.move(Readiness.State.ISOLATED, Readiness.State.SERVING)) {
+        if (!isolated && mReadiness.transition(Readiness.State.ISOLATED, Readiness.State.SERVING)) {
             explain(Action.RESUMED, "it hears its cells or the store again", share);
         }
     }
 
     private List<VmIdentity> cellPeers() {
         Set<VmIdentity> peers = new LinkedHashSet<>();
-        for (ServiceTemplate template : mServices.served()) {
+        for (ServiceTemplate template : mServices.servedTemplates()) {
             mFleet.cellOf(template).stream().map(Vm::identity).forEach(peers::add);
         }
         peers.remove(mFleet.view().self().identity());
--- a/entry/src/main/java/org/dahliapass/entry/OperatorAnswers.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorResponses.java
@@ -17,7 +17,7 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /** Puts what operators ask a VM for into JSON. */
-final class OperatorAnswers {
+final class OperatorResponses {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Clock mClock;
@@ -26,20 +26,20 @@
     private final Readiness mReadiness;
     private final ConfigurationService mConfiguration;
     private final ServiceTable mServices;
-    private final OnceService mOnce;
+    private final AtMostOnceService mOperations;
     private final ExplanationLog mExplanations;
     private final RefusalLog mRefusals;
-    private final OutcomeHistory mBurn;
+    private final OutcomeHistory mOutcomes;
     private final long mStartedMillis;
 
-    OperatorAnswers(
+    OperatorResponses(
             Clock clock,
             ControlLoop loop,
             FleetService fleet,
             Readiness readiness,
             ConfigurationService configuration,
             ServiceTable services,
-            OnceService once,
+            AtMostOnceService once,
             ExplanationLog explanations,
             RefusalLog refusals,
             OutcomeHistory burn) {
@@ -49,25 +49,25 @@
         mReadiness = readiness;
         mConfiguration = configuration;
         mServices = services;
-        mOnce = once;
+        mOperations = once;
         mExplanations = explanations;
         mRefusals = refusals;
-        mBurn = burn;
+        mOutcomes = burn;
         mStartedMillis = clock.millis();
     }
 
     /** Returns this VM's state. */
     CompletableFuture<String> status() {
-        return mOnce.sizes()
+        return mOperations.recordCounts()
                 .thenApply(
                         sizes -> {
                             ObjectNode root = MAPPER.createObjectNode();
                             Vm self = mFleet.view().self();
                             root.put("vm", self.identity().toString());
                             root.put("availabilityZone", self.availabilityZone());
-                            root.put("state", written(mReadiness.state().name()));
+                            root.put("state", toJsonName(mReadiness.state().name()));
                             root.put("sinceMillis", mStartedMillis);
-                            root.put("configurationNumber", mConfiguration.number());
+                            root.put("configurationNumber", mConfiguration.headNumber());
                             root.put("members", mFleet.view().all().size());
                             root.put("keysAsHome", sizes[0]);
                             root.put("keysAsWitness", sizes[1]);
@@ -92,7 +92,7 @@
                     Long.toString(member.vm().identity().incarnation(), Character.MAX_RADIX));
             node.put("availabilityZone", member.vm().availabilityZone());
             node.put("callers", member.vm().callerEndpoint().toString());
-            node.put("operators", member.operators().toString());
+            node.put("operators", member.operatorEndpoint().toString());
             node.put("state", member.state());
         }
         return root.toString();
@@ -101,7 +101,7 @@
     /** Returns which revision of a customer's template is in force here. */
     Optional<String> template(String customer) {
         return mConfiguration
-                .inForce(customer)
+                .activeRevision(customer)
                 .map(
                         revision -> {
                             ObjectNode node = MAPPER.createObjectNode();
@@ -114,7 +114,7 @@
 
     /** Returns up to which change this VM knows all, for a customer that it holds nothing of. */
     String headNumber() {
-        return MAPPER.createObjectNode().put("headNumber", mConfiguration.number()).toString();
+        return MAPPER.createObjectNode().put("headNumber", mConfiguration.headNumber()).toString();
     }
 
     /** Returns the health of all targets of the services that this VM serves. */
@@ -122,12 +122,12 @@
         return mLoop.submit(
                 () -> {
                     ArrayNode root = MAPPER.createArrayNode();
-                    for (ServiceTemplate template : mServices.served()) {
+                    for (ServiceTemplate template : mServices.servedTemplates()) {
                         for (TargetStatus status : mServices.statuses(template.id())) {
                             ObjectNode node = root.addObject();
                             node.put("service", template.id().toString());
                             node.put("target", status.target().endpoint().toString());
-                            node.put("state", written(status.state().name()));
+                            node.put("state", toJsonName(status.state().name()));
                             node.put("weight", status.weight());
                         }
                     }
@@ -147,7 +147,7 @@
                 .find(
                         explanation ->
                                 explanation.atMillis() >= query.sinceMillis()
-                                        && query.wants(explanation.subject()))
+                                        && query.matches(explanation.subject()))
                 .forEach(explanation -> addExplanation(root, vm, explanation));
         return root.toString();
     }
@@ -156,7 +156,7 @@
         ObjectNode node = root.addObject();
         node.put("atMillis", explanation.atMillis());
         node.put("vm", vm);
-        node.put("action", written(explanation.action().name()));
+        node.put("action", toJsonName(explanation.action().name()));
         node.put("subject", explanation.subject());
         node.put("cause", explanation.cause());
         node.put("evidence", explanation.evidence());
@@ -170,24 +170,24 @@
         node.put("action", "refused");
         node.put("subject", entry.requestId() + " of " + entry.customer());
         node.put("cause", entry.refusal().message());
-        node.put("evidence", written(entry.refusal().code().name()));
+        node.put("evidence", toJsonName(entry.refusal().code().name()));
         node.put("setting", "");
     }
 
     /** Returns this VM's share of the burn report. */
-    String burn(String customer) {
+    String errorBudget(String customer) {
         long now = mClock.millis();
         ErrorBudgetSnapshot snapshot =
                 new ErrorBudgetSnapshot(
                         mFleet.view().self().identity().toString(),
                         mStartedMillis,
                         now,
-                        mBurn.uncounted(),
-                        mBurn.buckets(now, name -> customer == null || name.equals(customer)));
+                        mOutcomes.uncounted(),
+                        mOutcomes.buckets(now, name -> customer == null || name.equals(customer)));
         return MAPPER.valueToTree(snapshot).toString();
     }
 
-    private static String written(String constant) {
+    private static String toJsonName(String constant) {
         return constant.toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
@@ -23,20 +23,20 @@
     public static final String NAME = "operator-server";
 
     private final VmSettings mSettings;
-    private final Function<Kernel, OperatorAnswers> mAnswersOf;
+    private final Function<Kernel, OperatorResponses> mResponsesFactory;
     private final Readiness mReadiness;
     private final Runnable mDrain;
-    private OperatorAnswers mAnswers;
+    private OperatorResponses mResponses;
     private EntryMetrics mMetrics;
     private Server mServer;
 
     OperatorServer(
             VmSettings settings,
-            Function<Kernel, OperatorAnswers> answersOf,
+            Function<Kernel, OperatorResponses> answersOf,
             Readiness readiness,
             Runnable drain) {
         mSettings = settings;
-        mAnswersOf = answersOf;
+        mResponsesFactory = answersOf;
         mReadiness = readiness;
         mDrain = drain;
     }
@@ -48,19 +48,19 @@
                         SessionProtocol.HTTP)
                 .service("/health", (context, request) -> health())
                 .service("/metrics", (context, request) -> metrics())
-                .service("/operations/status", (context, request) -> json(mAnswers.status()))
+                .service("/operations/status", (context, request) -> json(mResponses.status()))
                 .service(
-                        "/operations/members", (context, request) -> json(done(mAnswers.members())))
+                        "/operations/members", (context, request) -> json(completed(mResponses.members())))
                 .service(
                         "/operations/templates/{customer}", (context, request) -> template(context))
-                .service("/operations/targets", (context, request) -> json(mAnswers.targets()))
+                .service("/operations/targets", (context, request) -> json(mResponses.targets()))
                 .service(
                         "/operations/explanations",
-                        (context, request) -> json(done(explanations(context))))
+                        (context, request) -> json(completed(explanations(context))))
                 .service(
                         "/operations/burn",
                         (context, request) ->
-                                json(done(mAnswers.burn(context.queryParam("customer")))))
+                                json(completed(mResponses.errorBudget(context.queryParam("customer")))))
                 .service("/operations/drain", (context, request) -> drain(request.method()))
                 .build();
     }
@@ -86,18 +86,18 @@
     }
 
     private HttpResponse template(ServiceRequestContext context) {
-        return mAnswers.template(context.pathParam("customer"))
-                .map(text -> json(done(text)))
+        return mResponses.template(context.pathParam("customer"))
+                .map(text -> json(completed(text)))
                 .orElseGet(
                         () ->
                                 HttpResponse.of(
                                         HttpStatus.NOT_FOUND,
                                         MediaType.JSON,
-                                        mAnswers.headNumber() + "\n"));
+                                        mResponses.headNumber() + "\n"));
     }
 
     private String explanations(ServiceRequestContext context) {
-        return mAnswers.explanations(
+        return mResponses.explanations(
                 new ExplanationQuery(
                         context.queryParam("target"),
                         context.queryParam("request"),
@@ -114,7 +114,7 @@
         return HttpResponse.of(HttpStatus.ACCEPTED, MediaType.PLAIN_TEXT_UTF_8, "draining\n");
     }
 
-    private static CompletableFuture<String> done(String text) {
+    private static CompletableFuture<String> completed(String text) {
         return CompletableFuture.completedFuture(text);
     }
 
@@ -126,7 +126,7 @@
 
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
-        mAnswers = mAnswersOf.apply(kernel);
+        mResponses = mResponsesFactory.apply(kernel);
         mMetrics = kernel.find(EntryMetrics.NAME, EntryMetrics.class);
         mServer = newServer();
         return mServer.start();
--- a/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
@@ -13,14 +13,14 @@
 
 /** Answers callers who ask what became of a guarded operation. */
 final class OutcomeHandler implements HttpService {
-    private final RequestIds mIds;
-    private final OnceService mOnce;
-    private final Tokens mTokens;
+    private final RequestIdGenerator mIds;
+    private final AtMostOnceService mOperations;
+    private final TokenIssuer mTokenIssuer;
 
-    OutcomeHandler(RequestIds ids, OnceService once, Tokens tokens) {
+    OutcomeHandler(RequestIdGenerator ids, AtMostOnceService once, TokenIssuer tokens) {
         mIds = ids;
-        mOnce = once;
-        mTokens = tokens;
+        mOperations = once;
+        mTokenIssuer = tokens;
     }
 
     @Override
@@ -34,13 +34,13 @@
                     "The path must end in a whole Idempotency-Key.\n");
         }
         Operation operation = new Operation(context.pathParam("customer"), key.get());
-        return HttpResponse.of(mOnce.outcome(operation).thenApply(answer -> tell(id, answer)));
+        return HttpResponse.of(mOperations.queryOutcome(operation).thenApply(answer -> toResponse(id, answer)));
     }
 
-    private HttpResponse tell(String id, OperationAnswer answer) {
+    private HttpResponse toResponse(String id, OperationAnswer answer) {
         if (answer instanceof OperationAnswer.Result result) {
-            return GuardedExchange.replayed(id, result.result());
+            return AtMostOnceExchange.replayResponse(id, result.result());
         }
-        return GuardedExchange.refusal(answer, mTokens.forSelf()).toResponse(id);
+        return AtMostOnceExchange.refusal(answer, mTokenIssuer.issueForSelf()).toResponse(id);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/PeerClient.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerClient.java
@@ -15,7 +15,7 @@
      * @param from the life of the peer that answered
      * @param answer what it says
      */
-    record Word(VmIdentity from, OperationAnswer answer) {}
+    record ResolveReply(VmIdentity from, OperationAnswer answer) {}
 
     /** Asks the witness to record an intent. */
     CompletableFuture<IntentReply> recordIntent(VmIdentity witness, Operation operation);
@@ -24,5 +24,5 @@
     CompletableFuture<Void> recordOutcome(VmIdentity witness, OutcomeNotice notice);
 
     /** Asks a peer what became of an operation. */
-    CompletableFuture<Word> resolve(VmIdentity peer, Operation operation);
+    CompletableFuture<ResolveReply> resolve(VmIdentity peer, Operation operation);
 }
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -44,10 +44,10 @@
     private static final Duration FETCH_TIMEOUT = Duration.ofMillis(900);
 
     /** The transport adds the sender and the fleet's name to it. */
-    private static final int MOST_RUMOR_BYTES = 1000;
+    private static final int MAX_RUMOR_BYTES = 1000;
 
     /** What a small message costs on the way, its reply included: headers and stamps. */
-    private static final int FRAME_BYTES = 200;
+    private static final int OVERHEAD_BYTES = 200;
 
     private static final Duration EVIDENCE_TIMEOUT = Duration.ofSeconds(1);
 
@@ -94,24 +94,24 @@
     @Override
     public CompletableFuture<IntentReply> recordIntent(VmIdentity witness, Operation operation) {
         PeerRequest.Builder request =
-                PeerRequest.newBuilder().setRecordIntent(OnceCodec.intent(operation));
-        return ask(witness, "record intent", request, OPERATION_TIMEOUT)
-                .thenApply(reply -> OnceCodec.decode(reply.getRecordIntent().getStatus()));
+                PeerRequest.newBuilder().setRecordIntent(AtMostOnceCodec.intent(operation));
+        return request(witness, "record intent", request, OPERATION_TIMEOUT)
+                .thenApply(reply -> AtMostOnceCodec.decode(reply.getRecordIntent().getStatus()));
     }
 
     @Override
     public CompletableFuture<Void> recordOutcome(VmIdentity witness, OutcomeNotice notice) {
         PeerRequest.Builder request =
-                PeerRequest.newBuilder().setRecordOutcome(OnceCodec.outcome(notice));
-        return ask(witness, "record outcome", request, OPERATION_TIMEOUT).thenApply(reply -> null);
+                PeerRequest.newBuilder().setRecordOutcome(AtMostOnceCodec.outcome(notice));
+        return request(witness, "record outcome", request, OPERATION_TIMEOUT).thenApply(reply -> null);
     }
 
     @Override
-    public CompletableFuture<Word> resolve(VmIdentity peer, Operation operation) {
+    public CompletableFuture<ResolveReply> resolve(VmIdentity peer, Operation operation) {
         PeerRequest.Builder request =
-                PeerRequest.newBuilder().setResolveKey(OnceCodec.resolve(operation));
-        return ask(peer, "resolve key", request, OPERATION_TIMEOUT)
-                .thenApply(reply -> new Word(peer, OnceCodec.decode(reply.getResolveKey())));
+                PeerRequest.newBuilder().setResolveKey(AtMostOnceCodec.resolve(operation));
+        return request(peer, "resolve key", request, OPERATION_TIMEOUT)
+                .thenApply(reply -> new ResolveReply(peer, AtMostOnceCodec.decode(reply.getResolveKey())));
     }
 
     @Override
@@ -124,7 +124,7 @@
             Futures.whenDone(
                     send(peer, message.toBuilder(), EVIDENCE_TIMEOUT), (reply, failure) -> {});
         }
-        return (long) peers.size() * (message.getSerializedSize() + FRAME_BYTES);
+        return (long) peers.size() * (message.getSerializedSize() + OVERHEAD_BYTES);
     }
 
     /** Sends changes to a member; they may get lost, and pings then show the gap. */
@@ -140,7 +140,7 @@
                             .setRecipientIncarnation(member.incarnation())
                             .setHeadNumber(record.number())
                             .addChanges(ChangeCodec.encode(record));
-            if (gossip.build().getSerializedSize() <= MOST_RUMOR_BYTES) {
+            if (gossip.build().getSerializedSize() <= MAX_RUMOR_BYTES) {
                 mTransport.sendDatagram(peer.get().peerEndpoint(), gossip.build());
             }
         }
@@ -150,7 +150,7 @@
     CompletableFuture<RecordsResponse> fetchChanges(VmIdentity peer, RecordsRequest request) {
         PeerRequest.Builder message =
                 PeerRequest.newBuilder().setFetchChanges(ChangeCodec.encode(request));
-        return ask(peer, "fetch changes", message, FETCH_TIMEOUT)
+        return request(peer, "fetch changes", message, FETCH_TIMEOUT)
                 .thenApply(reply -> ChangeCodec.decode(reply.getFetchChanges()));
     }
 
@@ -158,7 +158,7 @@
     CompletableFuture<Optional<String>> fetchText(VmIdentity peer, String customer, String digest) {
         FetchText fetch = FetchText.newBuilder().setCustomer(customer).setDigest(digest).build();
         PeerRequest.Builder message = PeerRequest.newBuilder().setFetchText(fetch);
-        return ask(peer, "fetch text", message, FETCH_TIMEOUT)
+        return request(peer, "fetch text", message, FETCH_TIMEOUT)
                 .thenApply(
                         reply ->
                                 reply.getFetchText().getFound()
@@ -167,7 +167,7 @@
     }
 
     /** Asks a VM that is known by its identity only. */
-    CompletableFuture<PeerReply> ask(
+    CompletableFuture<PeerReply> request(
             VmIdentity identity, String step, PeerRequest.Builder request, Duration timeout) {
         Optional<Vm> peer = mFleet.view().find(identity);
         if (peer.isEmpty()) {
--- a/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
@@ -28,14 +28,14 @@
 final class PeerRequestHandler implements RequestHandler {
     private final ControlLoop mLoop;
     private final Supplier<FleetService> mFleet;
-    private final Supplier<OnceService> mOnce;
+    private final Supplier<AtMostOnceService> mOperations;
     private final Supplier<ServiceTable> mServices;
     private final Supplier<ConfigurationService> mConfiguration;
 
     PeerRequestHandler(Kernel kernel, ControlLoop loop) {
         mLoop = loop;
         mFleet = () -> kernel.find(FleetService.NAME, FleetService.class);
-        mOnce = () -> kernel.find(OnceService.NAME, OnceService.class);
+        mOperations = () -> kernel.find(AtMostOnceService.NAME, AtMostOnceService.class);
         mServices = () -> kernel.find(ServiceTable.NAME, ServiceTable.class);
         mConfiguration = () -> kernel.find(ConfigurationService.NAME, ConfigurationService.class);
     }
@@ -100,15 +100,15 @@
 
     private CompletableFuture<PeerReply> onIntent(VmIdentity sender, PeerRequest request) {
         Optional<Operation> operation =
-                OnceCodec.operation(
+                AtMostOnceCodec.operation(
                         request.getRecordIntent().getCustomer(),
                         request.getRecordIntent().getKey());
         if (operation.isEmpty()) {
-            return done(intentReply(IntentStatus.INTENT_REFUSED));
+            return completed(intentReply(IntentStatus.INTENT_REFUSED));
         }
-        return mOnce.get()
+        return mOperations.get()
                 .onIntent(sender, operation.get())
-                .thenApply(reply -> intentReply(OnceCodec.encode(reply)));
+                .thenApply(reply -> intentReply(AtMostOnceCodec.encode(reply)));
     }
 
     private static PeerReply intentReply(IntentStatus status) {
@@ -118,8 +118,8 @@
     }
 
     private CompletableFuture<PeerReply> onOutcome(VmIdentity sender, RecordOutcome message) {
-        OnceCodec.decode(message).ifPresent(notice -> mOnce.get().onOutcome(sender, notice));
-        return done(
+        AtMostOnceCodec.decode(message).ifPresent(notice -> mOperations.get().onOutcome(sender, notice));
+        return completed(
                 PeerReply.newBuilder()
                         .setRecordOutcome(RecordOutcomeReply.getDefaultInstance())
                         .build());
@@ -127,18 +127,18 @@
 
     private CompletableFuture<PeerReply> onResolve(PeerRequest request) {
         Optional<Operation> operation =
-                OnceCodec.operation(
+                AtMostOnceCodec.operation(
                         request.getResolveKey().getCustomer(), request.getResolveKey().getKey());
         CompletableFuture<OperationAnswer> answer =
                 operation
-                        .map(found -> mOnce.get().onResolve(found))
+                        .map(found -> mOperations.get().onResolve(found))
                         .orElseGet(
                                 () ->
                                         CompletableFuture.completedFuture(
                                                 new OperationAnswer.Unknown(
                                                         UnknownReason.NO_WORD)));
         return answer.thenApply(
-                found -> PeerReply.newBuilder().setResolveKey(OnceCodec.encode(found)).build());
+                found -> PeerReply.newBuilder().setResolveKey(AtMostOnceCodec.encode(found)).build());
     }
 
     private CompletableFuture<PeerReply> onEvidence(EvidenceReport report) {
@@ -149,13 +149,13 @@
                                 .onPeerReport(
                                         EvidenceCodec.decode(report),
                                         EvidenceCodec.inFlight(report)));
-        return done(
+        return completed(
                 PeerReply.newBuilder()
                         .setEvidenceReport(EvidenceReportReply.getDefaultInstance())
                         .build());
     }
 
-    private static CompletableFuture<PeerReply> done(PeerReply reply) {
+    private static CompletableFuture<PeerReply> completed(PeerReply reply) {
         return CompletableFuture.completedFuture(reply);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/Readiness.java
+++ b/entry/src/main/java/org/dahliapass/entry/Readiness.java
@@ -40,7 +40,7 @@
     }
 
     /** Moves from one state to another; does nothing if the state is another by now. */
-    public boolean move(State from, State to) {
+    public boolean transition(State from, State to) {
         return mState.compareAndSet(from, to);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/Refusal.java
+++ b/entry/src/main/java/org/dahliapass/entry/Refusal.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the HTTP answer to a try whose operation may have run by another one. */
-    HttpResponse toResponseOfThisTry(String requestId) {
+    HttpResponse toResponseWithUnknownOutcome(String requestId) {
         return toResponse(requestId, RefusalCode.Outcome.UNKNOWN);
     }
 
@@ -55,7 +55,7 @@
                         .contentType(MediaType.JSON)
                         .set(CallerHeaders.OUTCOME, outcome.text())
                         .set(CallerHeaders.REQUEST_ID, requestId);
-        if (code.worthRetrying()) {
+        if (code.isRetryable()) {
             headers.set(HttpHeaderNames.RETRY_AFTER, Long.toString(retryAfterSeconds()));
         }
         token.ifPresent(text -> headers.set(CallerHeaders.OPERATION_TOKEN, text));
@@ -72,7 +72,7 @@
         node.put("reason", code.name().toLowerCase(Locale.ROOT).replace('_', '-'));
         node.put("outcome", outcome.text());
         node.put("message", message);
-        if (code.worthRetrying()) {
+        if (code.isRetryable()) {
             node.put("retryAfterSeconds", retryAfterSeconds());
         }
         token.ifPresent(text -> node.put("token", text));
--- a/entry/src/main/java/org/dahliapass/entry/RefusalCode.java
+++ b/entry/src/main/java/org/dahliapass/entry/RefusalCode.java
@@ -58,12 +58,12 @@
 
     private final int mStatus;
     private final Outcome mOutcome;
-    private final boolean mRetryAfter;
+    private final boolean mRetryable;
 
     RefusalCode(HttpStatus status, Outcome outcome, boolean retryAfter) {
         mStatus = status.code();
         mOutcome = outcome;
-        mRetryAfter = retryAfter;
+        mRetryable = retryAfter;
     }
 
     /** Returns the HTTP status. */
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether asking again later makes sense, so that Retry-After is sent. */
-    public boolean worthRetrying() {
-        return mRetryAfter;
+    public boolean isRetryable() {
+        return mRetryable;
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ExchangeFactory.java
+++ b/entry/src/main/java/org/dahliapass/entry/RequestDispatcher.java
@@ -17,110 +17,110 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /** Chooses the exchange that serves a matched request. */
-final class ExchangeFactory {
+final class RequestDispatcher {
     private final Clock mClock;
     private final ControlLoop mLoop;
     private final TargetClients mClients;
     private final ServiceTable mServices;
-    private final OnceService mOnce;
-    private final Tokens mTokens;
+    private final AtMostOnceService mOperations;
+    private final TokenIssuer mTokenIssuer;
     private final Forwarder mForwarder;
-    private final AnswerObserver mObserver;
+    private final CallerResponder mResponder;
 
-    ExchangeFactory(
+    RequestDispatcher(
             Clock clock,
             ControlLoop loop,
             TargetClients clients,
             ServiceTable services,
-            OnceService once,
-            Tokens tokens,
+            AtMostOnceService once,
+            TokenIssuer tokens,
             Forwarder forwarder,
-            AnswerObserver observer) {
+            CallerResponder observer) {
         mClock = clock;
         mLoop = loop;
         mClients = clients;
         mServices = services;
-        mOnce = once;
-        mTokens = tokens;
+        mOperations = once;
+        mTokenIssuer = tokens;
         mForwarder = forwarder;
-        mObserver = observer;
+        mResponder = observer;
     }
 
     /** Serves a request. */
-    HttpResponse serve(CallerRequest request) {
+    HttpResponse dispatch(CallerRequest request) {
         if (request.kind().idempotency() == Idempotency.AT_MOST_ONCE) {
-            return serveGuarded(request);
+            return dispatchAtMostOnce(request);
         }
         ServiceRuntime runtime = runtime(request);
-        return new IdempotentExchange(request, runtime, mClients, mLoop, mClock, mObserver).start();
+        return new IdempotentExchange(request, runtime, mClients, mLoop, mClock, mResponder).start();
     }
 
     private ServiceRuntime runtime(CallerRequest request) {
         return mServices.find(request.route().provided().id()).orElseThrow();
     }
 
-    private HttpResponse serveGuarded(CallerRequest request) {
+    private HttpResponse dispatchAtMostOnce(CallerRequest request) {
         String text = request.message().headers().get(CallerHeaders.IDEMPOTENCY_KEY);
         Optional<OperationKey> key =
-                text == null ? Optional.empty() : OperationKey.parse(unquoted(text));
+                text == null ? Optional.empty() : OperationKey.parse(unquote(text));
         if (key.isEmpty()) {
-            return mObserver.refuse(request, keyRequired());
+            return mResponder.refuse(request, keyRequired());
         }
         Operation operation = new Operation(request.route().customer(), key.get());
         return HttpResponse.of(
-                mOnce.begin(operation, digest(request), request.deadlineMillis())
-                        .thenApply(beginning -> goOn(request, operation, beginning)));
+                mOperations.begin(operation, digest(request), request.deadlineMillis())
+                        .thenApply(beginning -> startExchange(request, operation, beginning)));
     }
 
-    private HttpResponse goOn(CallerRequest request, Operation operation, BeginResult beginning) {
+    private HttpResponse startExchange(CallerRequest request, Operation operation, BeginResult beginning) {
         if (beginning instanceof BeginResult.WrongHome) {
             return HttpResponse.of(
                     mForwarder
-                            .toHome(request, operation)
+                            .forwardToHome(request, operation)
                             .thenCompose(
                                     forwarded ->
                                             forwarded.isPresent()
                                                     ? CompletableFuture.completedFuture(
                                                             forwarded.get())
-                                                    : askWitness(request, operation)));
+                                                    : resolveWithoutHome(request, operation)));
         }
-        return new GuardedExchange(
+        return new AtMostOnceExchange(
                         request,
                         operation,
                         runtime(request),
                         mClients,
                         mClock,
-                        mOnce,
-                        mObserver,
-                        mTokens::forSelf)
+                        mOperations,
+                        mResponder,
+                        mTokenIssuer::issueForSelf)
                 .start(beginning);
     }
 
-    private CompletableFuture<HttpResponse> askWitness(CallerRequest request, Operation operation) {
-        return mOnce.resolveAfterHome(operation)
+    private CompletableFuture<HttpResponse> resolveWithoutHome(CallerRequest request, Operation operation) {
+        return mOperations.resolveWithoutHome(operation)
                 .thenApply(
                         answer ->
                                 answer instanceof OperationAnswer.Result result
                                         ? replay(request, result)
-                                        : mObserver.refuse(
+                                        : mResponder.refuse(
                                                 request,
-                                                GuardedExchange.refusal(
-                                                        answer, mTokens.forSelf())));
+                                                AtMostOnceExchange.refusal(
+                                                        answer, mTokenIssuer.issueForSelf())));
     }
 
     private HttpResponse replay(CallerRequest request, OperationAnswer.Result result) {
-        mObserver.onReplayed(request);
-        return GuardedExchange.replayed(request.id(), result.result());
+        mResponder.onReplayed(request);
+        return AtMostOnceExchange.replayResponse(request.id(), result.result());
     }
 
     private Refusal keyRequired() {
         String message =
                 "This kind runs at most once. Send an Idempotency-Key header: the token of an ask,"
                         + " a dot, and a part of your own that is unique to the operation.";
-        return Refusal.of(RefusalCode.KEY_REQUIRED, message, 0).withToken(mTokens.forSelf());
+        return Refusal.of(RefusalCode.KEY_REQUIRED, message, 0).withToken(mTokenIssuer.issueForSelf());
     }
 
-    private static String unquoted(String text) {
+    private static String unquote(String text) {
         boolean quoted = text.length() > 1 && text.startsWith("\"") && text.endsWith("\"");
         return quoted ? text.substring(1, text.length() - 1) : text;
     }
--- a/entry/src/main/java/org/dahliapass/entry/RequestIds.java
+++ b/entry/src/main/java/org/dahliapass/entry/RequestIdGenerator.java
@@ -4,11 +4,11 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Makes request ids that name the VM's life which gave them, so that any id can be looked up. */
-final class RequestIds {
+final class RequestIdGenerator {
     private final VmIdentity mSelf;
     private final AtomicLong mNext = new AtomicLong();
 
-    RequestIds(VmIdentity self) {
+    RequestIdGenerator(VmIdentity self) {
         mSelf = self;
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/ResultRecorder.java
+++ b/entry/src/main/java/org/dahliapass/entry/ResultRecorder.java
@@ -12,7 +12,7 @@
 
 /** Copies a target's answer as it passes by, as far as it is worth keeping. */
 final class ResultRecorder {
-    private static final int MOST_BYTES = 16 * 1024;
+    private static final int MAX_BODY_BYTES = 16 * 1024;
 
     private final ResponseHeaders mHeaders;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
@@ -24,7 +24,7 @@
 
     /** Copies a piece of the body. */
     synchronized void add(HttpData piece) {
-        if (mTooLarge || mBody.size() + piece.length() > MOST_BYTES) {
+        if (mTooLarge || mBody.size() + piece.length() > MAX_BODY_BYTES) {
             mTooLarge = true;
             return;
         }
--- a/entry/src/main/java/org/dahliapass/entry/SameLoopScheduler.java
+++ b/entry/src/main/java/org/dahliapass/entry/SameLoopScheduler.java
@@ -29,7 +29,7 @@
     }
 
     /** A loop that is lent without a count of its users. */
-    private record Held(EventLoop loop) implements ReleasableHolder<EventLoop> {
+    private record UncountedHolder(EventLoop loop) implements ReleasableHolder<EventLoop> {
         @Override
         public EventLoop get() {
             return loop;
@@ -45,10 +45,10 @@
             SessionProtocol protocol, EndpointGroup endpoints, Endpoint endpoint) {
         for (EventLoop loop : mLoops) {
             if (loop.inEventLoop()) {
-                return new Held(loop);
+                return new UncountedHolder(loop);
             }
         }
         int place = Math.floorMod(Objects.hashCode(endpoint), mLoops.size());
-        return new Held(mLoops.get(place));
+        return new UncountedHolder(mLoops.get(place));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ServicePath.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServicePath.java
@@ -26,7 +26,7 @@
      * reads {@code /sign%2Doffs} or {@code /x/../sign-offs} as {@code /sign-offs}. Such paths have
      * a plain spelling, so they are refused.
      */
-    private static boolean isNormal(String path) {
+    private static boolean isUnambiguous(String path) {
         return !AMBIGUOUS.matcher(path).find();
     }
 
@@ -45,7 +45,7 @@
         }
         String rest = pathAndQuery.substring(afterService);
         int query = rest.indexOf('?');
-        if (!isNormal(query < 0 ? rest : rest.substring(0, query))) {
+        if (!isUnambiguous(query < 0 ? rest : rest.substring(0, query))) {
             return Optional.empty();
         }
         return Optional.of(
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -52,7 +52,7 @@
     private final Map<ServiceId, TargetHealth> mHealth = new HashMap<>();
     private final Map<ServiceId, ServiceTemplate> mTemplates = new HashMap<>();
     private final Map<ServiceId, ServiceView> mPublished = new HashMap<>();
-    private BiConsumer<ServiceTemplate, EvidenceReport> mUrgent = (template, report) -> {};
+    private BiConsumer<ServiceTemplate, EvidenceReport> mUrgentReportSender = (template, report) -> {};
     private volatile Map<ServiceId, ServiceRuntime> mRuntimes = Map.of();
 
     ServiceTable(Clock clock, RandomGenerator random, VmSettings settings) {
@@ -74,32 +74,32 @@
     @Override
     public void onOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latencyMillis) {
-        mLoop.execute(() -> takeOutcome(service, target, kind, outcome, latencyMillis));
+        mLoop.execute(() -> recordOutcome(service, target, kind, outcome, latencyMillis));
     }
 
-    private void takeOutcome(
+    private void recordOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latencyMillis) {
         long now = mClock.millis();
         withHealth(service, health -> health.onOutcome(target, kind, outcome, latencyMillis, now));
         if (outcome.isFailure()) {
             publishIfChanged(service);
-            tellUrgently(service);
+            sendUrgentReport(service);
         }
     }
 
     /** A failure is told to the cell at once; successes wait for the next regular report. */
-    private void tellUrgently(ServiceId service) {
+    private void sendUrgentReport(ServiceId service) {
         TargetHealth health = mHealth.get(service);
         if (health == null) {
             return;
         }
         health.takeUrgentReport(mClock.millis())
-                .ifPresent(report -> mUrgent.accept(mTemplates.get(service), report));
+                .ifPresent(report -> mUrgentReportSender.accept(mTemplates.get(service), report));
     }
 
     /** Sets who sends urgent reports to the cell; before the start. */
-    void onUrgentReport(BiConsumer<ServiceTemplate, EvidenceReport> sender) {
-        mUrgent = sender;
+    void setUrgentReportSender(BiConsumer<ServiceTemplate, EvidenceReport> sender) {
+        mUrgentReportSender = sender;
     }
 
     @Override
@@ -148,7 +148,7 @@
     }
 
     /** Takes the delta of a service's evidence for the cell; control thread only. */
-    Optional<EvidenceReport> takeReport(ServiceId service) {
+    Optional<EvidenceReport> drainReport(ServiceId service) {
         return Optional.ofNullable(mHealth.get(service))
                 .map(health -> health.takeReport(mClock.millis()));
     }
@@ -160,7 +160,7 @@
     }
 
     /** Returns the templates of the services that this VM serves; control thread only. */
-    List<ServiceTemplate> served() {
+    List<ServiceTemplate> servedTemplates() {
         return List.copyOf(mTemplates.values());
     }
 
@@ -171,7 +171,7 @@
         for (ServiceTemplate template : mConfiguration.table().provided()) {
             if (mFleet.isInCell(template.id(), template.cellSize())) {
                 List<VmIdentity> cell = mFleet.cellOf(template).stream().map(Vm::identity).toList();
-                runtimes.put(template.id(), keep(template, self, cell));
+                runtimes.put(template.id(), updateRuntime(template, self, cell));
             }
         }
         mHealth.keySet().retainAll(runtimes.keySet());
@@ -181,7 +181,7 @@
         runtimes.keySet().forEach(this::publish);
     }
 
-    private ServiceRuntime keep(ServiceTemplate template, VmIdentity self, List<VmIdentity> cell) {
+    private ServiceRuntime updateRuntime(ServiceTemplate template, VmIdentity self, List<VmIdentity> cell) {
         ServiceTemplate before = mTemplates.put(template.id(), template);
         ServiceRuntime runtime = mRuntimes.get(template.id());
         if (runtime == null || !runtime.isCompatibleWith(template)) {
--- a/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
+++ b/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
@@ -6,7 +6,7 @@
 /** Turns slots that were not given into callers' answers. */
 final class SlotRefusals {
     /** What a caller waits whose request was taken back on its way, in milliseconds. */
-    private static final long WITHDRAWN_WAIT_MILLIS = 1_000;
+    private static final long WITHDRAWN_RETRY_AFTER_MILLIS = 1_000;
 
     private SlotRefusals() {}
 
@@ -16,7 +16,7 @@
             return Refusal.of(codeOf(refused), refused.detail(), refused.retryAfterMillis());
         }
         return Refusal.of(
-                RefusalCode.OVERLOADED, "The request was withdrawn.", WITHDRAWN_WAIT_MILLIS);
+                RefusalCode.OVERLOADED, "The request was withdrawn.", WITHDRAWN_RETRY_AFTER_MILLIS);
     }
 
     private static RefusalCode codeOf(RefusedException refused) {
--- a/entry/src/main/java/org/dahliapass/entry/StallGuard.java
+++ b/entry/src/main/java/org/dahliapass/entry/StalledResponseMonitor.java
@@ -15,26 +15,26 @@
  * waits for ever and a slot that is never free. One sweep over the answers in flight does it: a
  * timer for each request, moved with each piece, outlives short requests and keeps all they hold.
  */
-final class StallGuard {
+final class StalledResponseMonitor {
     private final Clock mClock;
-    private final Set<Watched> mWatched = ConcurrentHashMap.newKeySet();
+    private final Set<WatchedResponse> mWatched = ConcurrentHashMap.newKeySet();
 
-    StallGuard(Clock clock) {
+    StalledResponseMonitor(Clock clock) {
         mClock = clock;
     }
 
     /** An answer that is watched until it is done. */
-    static final class Watched {
+    static final class WatchedResponse {
         private final HttpResponse mResponse;
         private final long mStallMillis;
         private final Clock mClock;
         private volatile long mProgressMillis;
 
-        private Watched(HttpResponse response, long stallMillis, Clock clock) {
+        private WatchedResponse(HttpResponse response, long stallMillis, Clock clock) {
             mResponse = response;
             mStallMillis = stallMillis;
             mClock = clock;
-            progress();
+            onProgress();
         }
 
         private boolean hasStalled(long nowMillis) {
@@ -42,38 +42,38 @@
         }
 
         /** Notes that a piece has gone on to the caller. */
-        void progress() {
+        void onProgress() {
             mProgressMillis = mClock.millis();
         }
     }
 
     /** Watches an answer; it may pause for as long as {@code stall}. */
-    Watched watch(HttpResponse response, Duration stall) {
-        Watched watched = new Watched(response, stall.toMillis(), mClock);
+    WatchedResponse watch(HttpResponse response, Duration stall) {
+        WatchedResponse watched = new WatchedResponse(response, stall.toMillis(), mClock);
         mWatched.add(watched);
         return watched;
     }
 
     /** Ends watching an answer that is done. */
-    void done(Watched watched) {
+    void unwatch(WatchedResponse watched) {
         mWatched.remove(watched);
     }
 
     /** Breaks off what has stalled; called about once a second. */
-    void sweep() {
+    void abortStalled() {
         long now = mClock.millis();
-        List<Watched> stalled =
+        List<WatchedResponse> stalled =
                 mWatched.stream().filter(watched -> watched.hasStalled(now)).toList();
-        for (Watched watched : stalled) {
-            done(watched);
-            watched.mResponse.abort(stalled());
+        for (WatchedResponse watched : stalled) {
+            unwatch(watched);
+            watched.mResponse.abort(stallFailure());
         }
     }
 
     /**
      * A cause of its own: a plain abort would look like the caller's doing, no fault of a target.
      */
-    private static OperationException stalled() {
+    private static OperationException stallFailure() {
         return new OperationException(
                 "receive body", "target", "It made no progress for too long.");
     }
--- a/entry/src/main/java/org/dahliapass/entry/StoreWatch.java
+++ b/entry/src/main/java/org/dahliapass/entry/StoreHeadWatcher.java
@@ -19,11 +19,11 @@
  * <p>A waiting read counts as a call, so only two VMs of each zone hold one, whatever the fleet's
  * size.
  */
-final class StoreWatch {
+final class StoreHeadWatcher {
     private static final ComponentLog LOG = ComponentLog.of("configuration");
-    private static final Duration WAIT = Duration.ofSeconds(55);
-    private static final Duration RETRY = Duration.ofMillis(500);
-    private static final Duration PROBE_PAUSE = Duration.ofSeconds(1);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(55);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
+    private static final Duration MIN_PROBE_INTERVAL = Duration.ofSeconds(1);
 
     private final StoreClient mStore;
     private final ControlLoop mLoop;
@@ -31,21 +31,21 @@
     private final Consumer<Head> mOnHead;
     private boolean mWatching;
     private boolean mStopped;
-    private boolean mAsked;
-    private long mHeardMillis;
-    private long mProbedMillis;
+    private boolean mProbed;
+    private long mLastResponseMillis;
+    private long mLastProbeMillis;
 
-    StoreWatch(StoreClient store, ControlLoop loop, FleetService fleet, Consumer<Head> onHead) {
+    StoreHeadWatcher(StoreClient store, ControlLoop loop, FleetService fleet, Consumer<Head> onHead) {
         mStore = store;
         mLoop = loop;
         mFleet = fleet;
         mOnHead = onHead;
-        mHeardMillis = loop.nowMillis();
+        mLastResponseMillis = loop.nowMillis();
     }
 
     /** Returns when the store last answered, in milliseconds; control thread only. */
-    long heardMillis() {
-        return mHeardMillis;
+    long lastResponseMillis() {
+        return mLastResponseMillis;
     }
 
     /** Begins to watch if this VM has become a watcher; control thread only. */
@@ -66,16 +66,16 @@
             return;
         }
         Futures.whenDone(
-                mStore.watch(StoreKey.HEAD.path(), index, WAIT),
+                mStore.watch(StoreKey.HEAD.path(), index, WATCH_TIMEOUT),
                 (watched, failure) ->
                         mLoop.execute(
                                 () -> {
                                     if (failure != null) {
                                         LOG.info("The store gave no word: " + message(failure));
-                                        mLoop.schedule(RETRY, () -> watch(0));
+                                        mLoop.schedule(RETRY_DELAY, () -> watch(0));
                                         return;
                                     }
-                                    take(watched.value());
+                                    onResponse(watched.value());
                                     watch(watched.index());
                                 }));
     }
@@ -83,18 +83,18 @@
     /** Reads the head once, to learn whether the store can be heard; control thread only. */
     void probe() {
         long now = mLoop.nowMillis();
-        if (mStopped || now - mProbedMillis < PROBE_PAUSE.toMillis()) {
+        if (mStopped || now - mLastProbeMillis < MIN_PROBE_INTERVAL.toMillis()) {
             return;
         }
-        mProbedMillis = now;
+        mLastProbeMillis = now;
         Futures.whenDone(
                 mStore.read(StoreKey.HEAD.path()),
                 (value, failure) ->
                         mLoop.execute(
                                 () -> {
-                                    mAsked = true;
+                                    mProbed = true;
                                     if (failure == null) {
-                                        take(value);
+                                        onResponse(value);
                                     }
                                 }));
     }
@@ -106,12 +106,12 @@
      * fresh VM that serves an older revision than the fleet. With the store there, it knows the
      * newest number before it serves; with the store away, its peers' word is the best there is.
      */
-    boolean hasAsked() {
-        return mAsked;
+    boolean hasProbed() {
+        return mProbed;
     }
 
-    private void take(Optional<StoredValue> value) {
-        mHeardMillis = mLoop.nowMillis();
+    private void onResponse(Optional<StoredValue> value) {
+        mLastResponseMillis = mLoop.nowMillis();
         value.map(found -> (Head) ConfigurationCodec.decode(StoreKey.HEAD, found.value()))
                 .ifPresent(mOnHead);
     }
--- a/entry/src/main/java/org/dahliapass/entry/TargetTry.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetAttempt.java
@@ -32,11 +32,11 @@
  * for this very exchange, on a connection that serves one exchange at a time and is closed when an
  * exchange is cancelled or breaks off. So a late answer can't reach another caller.
  */
-final class TargetTry {
-    private static final int SERVER_ERROR = 500;
+final class TargetAttempt {
+    private static final int MIN_SERVER_ERROR = 500;
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final Duration LEAST_STALL_TIMEOUT = Duration.ofSeconds(30);
-    private static final List<CharSequence> HOP_HEADERS =
+    private static final Duration MIN_STALL_TIMEOUT = Duration.ofSeconds(30);
+    private static final List<CharSequence> HOP_BY_HOP_HEADERS =
             List.of(
                     HttpHeaderNames.CONNECTION,
                     HttpHeaderNames.of("keep-alive"),
@@ -53,14 +53,14 @@
     private final TargetClients mClients;
     private final Clock mClock;
     private final AtomicBoolean mReleased = new AtomicBoolean();
-    private final CompletableFuture<TryResult> mResult = new CompletableFuture<>();
+    private final CompletableFuture<AttemptResult> mResult = new CompletableFuture<>();
     private volatile CompletableFuture<Slot> mSlot;
-    private volatile TargetClients.Sent mSent;
+    private volatile TargetClients.SentRequest mSent;
     private volatile boolean mCancelled;
     private volatile long mSentMillis;
     private volatile long mHeadMillis;
 
-    TargetTry(CallerRequest request, ServiceRuntime runtime, TargetClients clients, Clock clock) {
+    TargetAttempt(CallerRequest request, ServiceRuntime runtime, TargetClients clients, Clock clock) {
         mRequest = request;
         mRuntime = runtime;
         mClients = clients;
@@ -68,7 +68,7 @@
     }
 
     /** Starts the try; the future completes when the answer's head is there or the try failed. */
-    CompletableFuture<TryResult> start(CompletableFuture<Slot> slot) {
+    CompletableFuture<AttemptResult> start(CompletableFuture<Slot> slot) {
         mSlot = slot;
         Futures.whenDone(slot, this::onSlot);
         return mResult;
@@ -85,7 +85,7 @@
     void cancel() {
         mCancelled = true;
         mSlot.cancel(false);
-        TargetClients.Sent sent = mSent;
+        TargetClients.SentRequest sent = mSent;
         if (sent != null) {
             sent.response().abort();
         }
@@ -93,13 +93,13 @@
 
     private void onSlot(Slot slot, Throwable failure) {
         if (failure != null) {
-            mResult.complete(new TryResult.Refused(SlotRefusals.of(failure)));
+            mResult.complete(new AttemptResult.Refused(SlotRefusals.of(failure)));
             return;
         }
         long remaining = mRequest.remainingMillis(mClock.millis());
         if (mCancelled || remaining == 0) {
             release(slot, FailureKind.CANCELLED_BY_CALLER);
-            mResult.complete(new TryResult.Refused(tooLate()));
+            mResult.complete(new AttemptResult.Refused(deadlinePassed()));
             return;
         }
         send(slot, remaining);
@@ -135,30 +135,30 @@
             fail(slot, FailureKind.REFUSED_NOT_PROCESSED, null);
             return;
         }
-        boolean error = headers.status().code() >= SERVER_ERROR;
+        boolean error = headers.status().code() >= MIN_SERVER_ERROR;
         mSent.context().clearResponseTimeout();
-        StallGuard.Watched watched = mClients.stalls().watch(mSent.response(), stallTimeout());
-        StreamMessage<HttpData> body = split.body().peek(piece -> watched.progress());
+        StalledResponseMonitor.WatchedResponse watched = mClients.stallMonitor().watch(mSent.response(), stallTimeout());
+        StreamMessage<HttpData> body = split.body().peek(piece -> watched.onProgress());
         Futures.whenDone(
                 body.whenComplete(),
                 (ignored, failure) -> {
-                    mClients.stalls().done(watched);
-                    release(slot, error ? FailureKind.SERVER_ERROR : cut(failure));
+                    mClients.stallMonitor().unwatch(watched);
+                    release(slot, error ? FailureKind.SERVER_ERROR : bodyFailure(failure));
                 });
-        mResult.complete(new TryResult.Answered(slot.target(), headers, body));
+        mResult.complete(new AttemptResult.Responded(slot.target(), headers, body));
     }
 
     /** An answer that has begun may take as long as it makes progress; one that stalls ends. */
     private Duration stallTimeout() {
         Duration deadline = mRequest.kind().deadline();
-        return deadline.compareTo(LEAST_STALL_TIMEOUT) > 0 ? deadline : LEAST_STALL_TIMEOUT;
+        return deadline.compareTo(MIN_STALL_TIMEOUT) > 0 ? deadline : MIN_STALL_TIMEOUT;
     }
 
-    private FailureKind cut(Throwable failure) {
+    private FailureKind bodyFailure(Throwable failure) {
         if (failure == null) {
             return null;
         }
-        return mCancelled || isCallersDoing(failure)
+        return mCancelled || isCallerCancellation(failure)
                 ? FailureKind.CANCELLED_BY_CALLER
                 : FailureKind.CUT_SHORT;
     }
@@ -166,7 +166,7 @@
     private void fail(Slot slot, FailureKind kind, Throwable failure) {
         release(slot, kind);
         String cause = failure == null ? "refused by the target" : describe(failure);
-        mResult.complete(new TryResult.Failed(slot.target(), kind, cause));
+        mResult.complete(new AttemptResult.Failed(slot.target(), kind, cause));
     }
 
     private void release(Slot slot, FailureKind kind) {
@@ -206,7 +206,7 @@
         return FailureKind.RESET_AFTER_SEND;
     }
 
-    private static boolean isCallersDoing(Throwable failure) {
+    private static boolean isCallerCancellation(Throwable failure) {
         Throwable cause = Exceptions.peel(failure);
         return cause instanceof com.linecorp.armeria.common.stream.CancelledSubscriptionException
                 || cause instanceof com.linecorp.armeria.common.stream.AbortedStreamException;
@@ -219,7 +219,7 @@
 
     private RequestHeaders headersFor(long remaining) {
         RequestHeadersBuilder headers = mRequest.message().headers().toBuilder();
-        HOP_HEADERS.forEach(headers::remove);
+        HOP_BY_HOP_HEADERS.forEach(headers::remove);
         return headers.path(mRequest.path())
                 .scheme("http")
                 .set(CallerHeaders.REQUEST_TIMEOUT, Long.toString(remaining))
@@ -227,7 +227,7 @@
                 .build();
     }
 
-    private static Refusal tooLate() {
+    private static Refusal deadlinePassed() {
         return Refusal.of(RefusalCode.OVERLOADED, "No slot came free before the deadline.", 1000);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/TargetClients.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetClients.java
@@ -28,39 +28,39 @@
     public static final String NAME = "target-clients";
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
-    private static final long STOP_SECONDS = 5;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-    private static final Duration SWEEP = Duration.ofSeconds(1);
+    private static final Duration STALL_CHECK_PERIOD = Duration.ofSeconds(1);
 
-    private final StallGuard mStalls;
+    private final StalledResponseMonitor mStallMonitor;
 
     /**
      * Each loop keeps connections of its own to each target, so their number bounds those that a
      * target gets from this VM.
      */
-    private static final int MOST_LOOPS = 8;
+    private static final int MAX_EVENT_LOOPS = 8;
 
-    private final EventLoopGroup mLoops =
+    private final EventLoopGroup mEventLoops =
             EventLoopGroups.newEventLoopGroup(
-                    Math.min(MOST_LOOPS, Runtime.getRuntime().availableProcessors()), "traffic");
+                    Math.min(MAX_EVENT_LOOPS, Runtime.getRuntime().availableProcessors()), "traffic");
     private final Map<Endpoint, WebClient> mClients = new ConcurrentHashMap<>();
     private final ClientFactory mFactory =
             ClientFactory.builder()
                     .connectTimeout(CONNECT_TIMEOUT)
                     .idleTimeout(IDLE_TIMEOUT)
                     .useHttp1Pipelining(false)
-                    .workerGroup(mLoops, false)
+                    .workerGroup(mEventLoops, false)
                     .eventLoopSchedulerFactory(SameLoopScheduler::new)
                     .build();
 
     TargetClients(Clock clock) {
-        mStalls = new StallGuard(clock);
+        mStallMonitor = new StalledResponseMonitor(clock);
     }
 
     /** Returns what breaks off answers that stall. */
-    StallGuard stalls() {
-        return mStalls;
+    StalledResponseMonitor stallMonitor() {
+        return mStallMonitor;
     }
 
     /**
@@ -69,22 +69,22 @@
      * @param response the answer as it arrives
      * @param context the request's context, by which its timeout is moved
      */
-    public record Sent(HttpResponse response, ClientRequestContext context) {}
+    public record SentRequest(HttpResponse response, ClientRequestContext context) {}
 
     /** Sends a request; its timeout runs until {@code timeout} unless it is moved. */
-    public Sent send(Endpoint endpoint, HttpRequest request, Duration timeout) {
+    public SentRequest send(Endpoint endpoint, HttpRequest request, Duration timeout) {
         WebClient client = mClients.computeIfAbsent(endpoint, this::newClient);
         try (ClientRequestContextCaptor captor = Clients.newContextCaptor()) {
             HttpResponse response = client.execute(request);
             ClientRequestContext context = captor.get();
             context.setResponseTimeout(timeout);
-            return new Sent(response, context);
+            return new SentRequest(response, context);
         }
     }
 
     /** Returns the event loops on which traffic is served and sent. */
-    EventLoopGroup loops() {
-        return mLoops;
+    EventLoopGroup eventLoops() {
+        return mEventLoops;
     }
 
     private WebClient newClient(Endpoint endpoint) {
@@ -98,7 +98,7 @@
     @Override
     public CompletableFuture<Void> start(Kernel kernel) {
         kernel.find(ControlLoop.NAME, ControlLoop.class)
-                .scheduleWithFixedDelay(SWEEP, mStalls::sweep);
+                .scheduleWithFixedDelay(STALL_CHECK_PERIOD, mStallMonitor::abortStalled);
         return CompletableFuture.completedFuture(null);
     }
 
@@ -111,7 +111,7 @@
 
     private void shutDown(CompletableFuture<Void> stopped) {
         Future<?> unused =
-                mLoops.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS)
+                mEventLoops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                         .addListener(done -> stopped.complete(null));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/Tokens.java
+++ b/entry/src/main/java/org/dahliapass/entry/TokenIssuer.java
@@ -8,20 +8,20 @@
 import org.dahliapass.model.VmIdentity;
 
 /** Mints the tokens with which the keys of guarded operations begin. */
-final class Tokens {
+final class TokenIssuer {
     private final Clock mClock;
     private final FleetService mFleet;
-    private final WitnessReach mReach;
+    private final WitnessReachability mReachability;
 
-    Tokens(Clock clock, FleetService fleet, WitnessReach reach) {
+    TokenIssuer(Clock clock, FleetService fleet, WitnessReachability reach) {
         mClock = clock;
         mFleet = fleet;
-        mReach = reach;
+        mReachability = reach;
     }
 
     /** Returns a token whose home is this VM; empty text while there is no second VM. */
-    String forSelf() {
-        return of(mFleet.view().self(), mFleet.view().members());
+    String issueForSelf() {
+        return issue(mFleet.view().self(), mFleet.view().members());
     }
 
     /**
@@ -31,13 +31,13 @@
      * availability zone if there is one, so that one zone's loss doesn't take both. Which VM it is
      * matters for availability only: the key names it, and nobody else's word counts.
      */
-    String of(Vm home, List<Vm> cell) {
+    String issue(Vm home, List<Vm> cell) {
         long now = mClock.millis();
         return cell.stream()
                 .filter(vm -> !vm.identity().name().equals(home.identity().name()))
                 .min(
                         Comparator.comparingLong(
-                                        (Vm vm) -> mReach.silentAtMillis(vm.identity(), now))
+                                        (Vm vm) -> mReachability.lastTimeoutMillis(vm.identity(), now))
                                 .thenComparing(vm -> sameZone(vm, home))
                                 .thenComparing(vm -> distance(home, vm)))
                 .map(witness -> token(home.identity(), witness.identity()))
--- a/entry/src/main/java/org/dahliapass/entry/VmListReader.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmListReader.java
@@ -19,15 +19,15 @@
  * list to each at each change; members tell each other of changes sooner.
  */
 final class VmListReader {
-    private static final Duration PAUSE_ALONE = Duration.ofMillis(500);
-    private static final Duration PAUSE_YOUNG = Duration.ofSeconds(10);
-    private static final Duration PAUSE = Duration.ofMinutes(5);
-    private static final Duration YOUNG = Duration.ofMinutes(2);
+    private static final Duration ALONE_PERIOD = Duration.ofMillis(500);
+    private static final Duration STARTUP_PERIOD = Duration.ofSeconds(10);
+    private static final Duration PERIOD = Duration.ofMinutes(5);
+    private static final Duration STARTUP_DURATION = Duration.ofMinutes(2);
 
     private final VmListClient mClient;
     private final ControlLoop mLoop;
     private final RandomGenerator mRandom;
-    private final BooleanSupplier mAlone;
+    private final BooleanSupplier mIsAlone;
     private final Consumer<List<Endpoint>> mOnAddresses;
     private final long mStartedMillis;
     private volatile boolean mStopped;
@@ -47,41 +47,41 @@
         mClient = client;
         mLoop = loop;
         mRandom = random;
-        mAlone = alone;
+        mIsAlone = alone;
         mOnAddresses = onAddresses;
         mStartedMillis = loop.nowMillis();
     }
 
     /** Reads the list now and goes on by itself until it is stopped. */
-    void read() {
+    void poll() {
         if (mStopped) {
             return;
         }
         Futures.whenDone(
                 mClient.watch(0, Duration.ZERO),
-                (list, failure) -> mLoop.execute(() -> onAnswer(list, failure)));
+                (list, failure) -> mLoop.execute(() -> onResponse(list, failure)));
     }
 
-    private void onAnswer(VmList list, Throwable failure) {
+    private void onResponse(VmList list, Throwable failure) {
         if (failure == null) {
             mOnAddresses.accept(
                     list.vms().stream().map(entry -> entry.vm().peerEndpoint()).toList());
         }
-        Duration pause = pause();
+        Duration pause = period();
         // Spread, so that VMs that started together don't call together for ever.
-        mLoop.schedule(pause.plusMillis(mRandom.nextLong(pause.toMillis())), this::read);
+        mLoop.schedule(pause.plusMillis(mRandom.nextLong(pause.toMillis())), this::poll);
     }
 
     /**
      * Guards against a fleet that starts all at once with a list that lags: its VMs may find each
      * other in separate groups, which only a later look at the list brings together.
      */
-    private Duration pause() {
-        if (mAlone.getAsBoolean()) {
-            return PAUSE_ALONE;
+    private Duration period() {
+        if (mIsAlone.getAsBoolean()) {
+            return ALONE_PERIOD;
         }
-        boolean young = mLoop.nowMillis() - mStartedMillis < YOUNG.toMillis();
-        return young ? PAUSE_YOUNG : PAUSE;
+        boolean young = mLoop.nowMillis() - mStartedMillis < STARTUP_DURATION.toMillis();
+        return young ? STARTUP_PERIOD : PERIOD;
     }
 
     /** Stops reading. */
--- a/entry/src/main/java/org/dahliapass/entry/VmSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmSettings.java
@@ -22,7 +22,7 @@
  * @param store where the platform's key-value service is reached
  * @param vmList where the platform's VM list is reached
  * @param announce whether the VM enters itself into the VM list; no if the platform does it
- * @param askTimeToLive how long a caller may use an ask's answer
+ * @param discoveryTimeToLive how long a caller may use an ask's answer
  * @param gossipPeriod the period of the failure detector
  * @param controlPeriod the period of evidence, queue and snapshot upkeep
  * @param evidenceBytesPerSecond what regular evidence to the cells may cost, in bytes a second
@@ -40,7 +40,7 @@
         Endpoint store,
         Endpoint vmList,
         boolean announce,
-        Duration askTimeToLive,
+        Duration discoveryTimeToLive,
         Duration gossipPeriod,
         Duration controlPeriod,
         long evidenceBytesPerSecond,
@@ -48,10 +48,10 @@
         int operationCapacity) {
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,40}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
-    private static final int HIGHEST_PORT = 65_535;
-    private static final long LEAST_EVIDENCE = 512;
-    private static final long MOST_EVIDENCE = 1024 * 1024;
-    private static final long EVIDENCE = 16 * 1024;
+    private static final int MAX_PORT = 65_535;
+    private static final long MIN_EVIDENCE_BYTES_PER_SECOND = 512;
+    private static final long MAX_EVIDENCE_BYTES_PER_SECOND = 1024 * 1024;
+    private static final long DEFAULT_EVIDENCE_BYTES_PER_SECOND = 16 * 1024;
     private static final String NAME_RULE = "lower-case letters, digits and hyphens, 41 at most";
 
     /**
@@ -78,9 +78,9 @@
                         name(vm, "name"),
                         name(vm, "availability-zone"),
                         vm.value("address", "an IP number", VmSettings::address, "127.0.0.1"),
-                        (int) vm.number("callers-port", 0, HIGHEST_PORT),
-                        (int) vm.number("peers-port", 0, HIGHEST_PORT),
-                        (int) vm.number("operators-port", 0, HIGHEST_PORT),
+                        (int) vm.number("callers-port", 0, MAX_PORT),
+                        (int) vm.number("peers-port", 0, MAX_PORT),
+                        (int) vm.number("operators-port", 0, MAX_PORT),
                         endpoint(platform, "store"),
                         endpoint(platform, "vm-list"),
                         platform.yesNo("announce", false),
@@ -99,7 +99,7 @@
                                 Duration.ofMillis(20),
                                 Duration.ofSeconds(2),
                                 Duration.ofMillis(250)),
-                        control.size("evidence-budget", LEAST_EVIDENCE, MOST_EVIDENCE, EVIDENCE),
+                        control.size("evidence-budget", MIN_EVIDENCE_BYTES_PER_SECOND, MAX_EVIDENCE_BYTES_PER_SECOND, DEFAULT_EVIDENCE_BYTES_PER_SECOND),
                         control.duration(
                                 "operation-window",
                                 Duration.ofMinutes(1),
--- a/entry/src/main/java/org/dahliapass/entry/WitnessReach.java
+++ b/entry/src/main/java/org/dahliapass/entry/WitnessReachability.java
@@ -12,26 +12,26 @@
  * A witness that gave no word is passed over for a while; if there is no other, the one whose
  * silence is longest ago is named all the same. Safe for use by several threads.
  */
-final class WitnessReach {
+final class WitnessReachability {
     /** Then one operation tries the witness again. */
-    static final long REMEMBERED_MILLIS = 30_000;
+    static final long RETENTION_MILLIS = 30_000;
 
-    private final Map<VmIdentity, Long> mSilentAt = new ConcurrentHashMap<>();
+    private final Map<VmIdentity, Long> mTimeoutMillis = new ConcurrentHashMap<>();
 
     /** Takes that a witness answered. */
-    void onWord(VmIdentity witness) {
-        mSilentAt.remove(witness);
+    void onReply(VmIdentity witness) {
+        mTimeoutMillis.remove(witness);
     }
 
     /** Takes that a witness gave no word in time, and forgets those whose silence is long past. */
-    void onSilence(VmIdentity witness, long nowMillis) {
-        mSilentAt.values().removeIf(silentAt -> silentAt + REMEMBERED_MILLIS <= nowMillis);
-        mSilentAt.put(witness, nowMillis);
+    void onTimeout(VmIdentity witness, long nowMillis) {
+        mTimeoutMillis.values().removeIf(silentAt -> silentAt + RETENTION_MILLIS <= nowMillis);
+        mTimeoutMillis.put(witness, nowMillis);
     }
 
     /** Returns when a witness last gave no word, in milliseconds; 0 if not lately. */
-    long silentAtMillis(VmIdentity witness, long nowMillis) {
-        long silentAt = mSilentAt.getOrDefault(witness, 0L);
-        return nowMillis < silentAt + REMEMBERED_MILLIS ? silentAt : 0;
+    long lastTimeoutMillis(VmIdentity witness, long nowMillis) {
+        long silentAt = mTimeoutMillis.getOrDefault(witness, 0L);
+        return nowMillis < silentAt + RETENTION_MILLIS ? silentAt : 0;
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/OnceCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/AtMostOnceCodecTest.java
@@ -20,23 +20,23 @@
 import org.testng.annotations.Test;
 
 /** Checks that words on guarded operations keep their meaning on the way to another VM. */
-public final class OnceCodecTest {
+public final class AtMostOnceCodecTest {
     private static final Operation OPERATION =
-            OnceCodec.operation("himal", "vm-1~a.vm-2~b.mn3k5a7q.op-1").orElseThrow();
+            AtMostOnceCodec.operation("himal", "vm-1~a.vm-2~b.mn3k5a7q.op-1").orElseThrow();
     private static final RecordedResult RESULT =
             new RecordedResult(
                     201,
                     List.of(new RecordedHeader("content-type", "text/plain")),
                     Optional.of(RecordedBody.copyOf("done".getBytes(StandardCharsets.UTF_8))));
 
-    private static OperationAnswer there(OperationAnswer answer) {
-        return OnceCodec.decode(OnceCodec.encode(answer));
+    private static OperationAnswer roundTrip(OperationAnswer answer) {
+        return AtMostOnceCodec.decode(AtMostOnceCodec.encode(answer));
     }
 
     @Test
     public void resultsKeepStatusHeadersAndBody() {
         OperationAnswer answer = new OperationAnswer.Result(RESULT);
-        assertEquals(there(answer), answer);
+        assertEquals(roundTrip(answer), answer);
     }
 
     @Test
@@ -45,22 +45,22 @@
         RecordedResult empty =
                 new RecordedResult(200, List.of(), Optional.of(RecordedBody.copyOf(new byte[0])));
         OperationAnswer answer = new OperationAnswer.Result(without);
-        assertEquals(there(answer), answer);
-        assertEquals(there(new OperationAnswer.Result(empty)), new OperationAnswer.Result(empty));
+        assertEquals(roundTrip(answer), answer);
+        assertEquals(roundTrip(new OperationAnswer.Result(empty)), new OperationAnswer.Result(empty));
     }
 
     @Test
     public void notRunKeepsItsProof() {
         for (NotRunReason reason : NotRunReason.values()) {
             OperationAnswer answer = new OperationAnswer.NotRun(reason);
-            assertEquals(there(answer), answer);
+            assertEquals(roundTrip(answer), answer);
         }
     }
 
     @Test
     public void intentRepliesKeepTheirMeaning() {
         for (IntentReply reply : IntentReply.values()) {
-            assertEquals(OnceCodec.decode(OnceCodec.encode(reply)), reply);
+            assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.encode(reply)), reply);
         }
     }
 
@@ -68,17 +68,17 @@
     // dispatch, nor as "not run".
     @Test
     public void unknownWordsReadAsTheWeakest() {
-        assertEquals(OnceCodec.decode(IntentStatus.UNRECOGNIZED), IntentReply.REFUSED);
+        assertEquals(AtMostOnceCodec.decode(IntentStatus.UNRECOGNIZED), IntentReply.REFUSED);
         ResolveKeyReply newer = ResolveKeyReply.newBuilder().setAnswerValue(99).build();
-        assertEquals(OnceCodec.decode(newer), new OperationAnswer.Unknown(UnknownReason.NO_WORD));
+        assertEquals(AtMostOnceCodec.decode(newer), new OperationAnswer.Unknown(UnknownReason.NO_WORD));
     }
 
     @Test
     public void outcomesComeBackAndMalformedKeysDoNot() {
         OutcomeNotice ran = new OutcomeNotice(OPERATION, Optional.of(RESULT));
         OutcomeNotice givenUp = new OutcomeNotice(OPERATION, Optional.empty());
-        assertEquals(OnceCodec.decode(OnceCodec.outcome(ran)), Optional.of(ran));
-        assertEquals(OnceCodec.decode(OnceCodec.outcome(givenUp)), Optional.of(givenUp));
-        assertTrue(OnceCodec.operation("himal", "no key").isEmpty());
+        assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.outcome(ran)), Optional.of(ran));
+        assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.outcome(givenUp)), Optional.of(givenUp));
+        assertTrue(AtMostOnceCodec.operation("himal", "no key").isEmpty());
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/StallGuardTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/StalledResponseMonitorTest.java
@@ -15,39 +15,39 @@
 import org.testng.annotations.Test;
 
 /** Checks that answers end that stall, and only those. */
-public final class StallGuardTest {
+public final class StalledResponseMonitorTest {
     private static final Duration STALL = Duration.ofSeconds(30);
 
     private final ManualClock mClock = new ManualClock(Instant.EPOCH);
-    private final StallGuard mGuard = new StallGuard(mClock);
+    private final StalledResponseMonitor mMonitor = new StalledResponseMonitor(mClock);
 
     // A target stops in the middle of a body. The caller would wait for ever; the answer is broken
     // off once it has made no progress for the stall time.
     @Test
     public void answerWithoutProgressIsBrokenOff() {
         HttpResponseWriter response = HttpResponse.streaming();
-        mGuard.watch(response, STALL);
+        mMonitor.watch(response, STALL);
         mClock.advance(STALL.plusMillis(1));
-        mGuard.sweep();
+        mMonitor.abortStalled();
         Throwable cause =
                 expectThrows(CompletionException.class, () -> response.whenComplete().join())
                         .getCause();
         // Any other cause is taken for the caller's doing, and the target would never be suspected.
         assertTrue(cause instanceof OperationException, cause.toString());
-        assertEquals(mGuard.size(), 0);
+        assertEquals(mMonitor.size(), 0);
     }
 
     @Test
     public void slowAnswerThatMakesProgressGoesOn() {
         HttpResponseWriter response = HttpResponse.streaming();
-        StallGuard.Watched watched = mGuard.watch(response, STALL);
+        StalledResponseMonitor.WatchedResponse watched = mMonitor.watch(response, STALL);
         for (int piece = 0; piece < 10; piece++) {
             mClock.advance(Duration.ofSeconds(20));
-            watched.progress();
-            mGuard.sweep();
+            watched.onProgress();
+            mMonitor.abortStalled();
         }
         assertFalse(response.whenComplete().isDone());
-        mGuard.done(watched);
+        mMonitor.unwatch(watched);
         response.close();
     }
 
@@ -55,10 +55,10 @@
     // all that it held, until the memory was full; an answer that is done must leave nothing.
     @Test
     public void answerThatIsDoneLeavesNothing() {
-        int before = mGuard.size();
+        int before = mMonitor.size();
         for (int request = 0; request < 1000; request++) {
-            mGuard.done(mGuard.watch(HttpResponse.streaming(), STALL));
+            mMonitor.unwatch(mMonitor.watch(HttpResponse.streaming(), STALL));
         }
-        assertEquals(mGuard.size(), before);
+        assertEquals(mMonitor.size(), before);
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/VmSettingsTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/VmSettingsTest.java
@@ -36,14 +36,14 @@
     public void readsGivenValuesAndDefaults() {
         VmSettings settings = read(GOOD);
         assertEquals(settings.name(), "vm-01");
-        assertEquals(settings.askTimeToLive(), Duration.ofSeconds(20));
+        assertEquals(settings.discoveryTimeToLive(), Duration.ofSeconds(20));
         assertEquals(settings.gossipPeriod(), Duration.ofSeconds(1));
     }
 
     @Test
     public void controlSectionMayBeLeftOut() {
         VmSettings settings = read(GOOD.substring(0, GOOD.indexOf("[control]")));
-        assertEquals(settings.askTimeToLive(), Duration.ofSeconds(30));
+        assertEquals(settings.discoveryTimeToLive(), Duration.ofSeconds(30));
     }
 
     @Test
--- a/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
@@ -27,7 +27,7 @@
     }
 
     private long numberAt(EntryVm vm) {
-        String body = TestFleet.get(vm.operators(), TEMPLATE).contentUtf8();
+        String body = TestFleet.get(vm.operatorEndpoint(), TEMPLATE).contentUtf8();
         int start = body.indexOf("\"number\":");
         return start < 0 ? -1 : Long.parseLong(body.substring(start + 9).split("[,}]", -1)[0]);
     }
--- a/lab/src/test/java/org/dahliapass/lab/FloodTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/FloodTest.java
@@ -24,7 +24,7 @@
     public void floodIsRefusedAtOnceWhileOthersAreServed() {
         try (TestFleet fleet = TestFleet.start(3, 1)) {
             fleet.platform().acceptUser("valley", RATE_PER_SECOND);
-            Endpoint vm = fleet.vms().get(0).callers();
+            Endpoint vm = fleet.vms().get(0).callerEndpoint();
             fleet.await("the template is in force", () -> isKnown(vm));
 
             List<CompletableFuture<AggregatedHttpResponse>> flood = send("valley", FLOOD, vm);
--- a/lab/src/test/java/org/dahliapass/lab/GrayTargetTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GrayTargetTest.java
@@ -51,13 +51,13 @@
     private static void send(TestFleet fleet, int requests) {
         for (int number = 0; number < requests; number++) {
             EntryVm vm = fleet.vms().get(number % fleet.vms().size());
-            HttpCalls.get(vm.callers(), "/services/himal/desk/listings/" + number);
+            HttpCalls.get(vm.callerEndpoint(), "/services/himal/desk/listings/" + number);
         }
     }
 
     private static boolean allTookOut(TestFleet fleet, Endpoint target) {
         return fleet.vms().stream()
-                        .map(vm -> HttpCalls.targetState(vm.operators(), target))
+                        .map(vm -> HttpCalls.targetState(vm.operatorEndpoint(), target))
                         .flatMap(Optional::stream)
                         .filter(OUT::contains)
                         .count()
@@ -69,7 +69,7 @@
         for (EntryVm vm : fleet.vms()) {
             HttpCalls.json(
                             HttpCalls.get(
-                                    vm.operators(), "/operations/explanations?target=" + target))
+                                    vm.operatorEndpoint(), "/operations/explanations?target=" + target))
                     .forEach(found::add);
         }
         found.removeIf(node -> !TAKEN_OUT.contains(node.path("action").asText()));
--- a/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
@@ -27,7 +27,7 @@
 
     private String token() {
         EntryVm home = mFleet.vms().get(0);
-        AggregatedHttpResponse answer = TestFleet.post(home.callers(), SIGN_OFF, "not a key");
+        AggregatedHttpResponse answer = TestFleet.post(home.callerEndpoint(), SIGN_OFF, "not a key");
         assertEquals(answer.status().code(), 428);
         return answer.headers().get("x-operation-token");
     }
@@ -44,10 +44,10 @@
     @Test
     public void repeatedKeyAtAnyVmGetsRecordedAnswer() {
         String key = token() + ".repeated";
-        AggregatedHttpResponse first = TestFleet.post(mFleet.vms().get(0).callers(), SIGN_OFF, key);
+        AggregatedHttpResponse first = TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
         assertEquals(first.status().code(), 200);
         for (EntryVm vm : mFleet.vms()) {
-            AggregatedHttpResponse again = TestFleet.post(vm.callers(), SIGN_OFF, key);
+            AggregatedHttpResponse again = TestFleet.post(vm.callerEndpoint(), SIGN_OFF, key);
             assertEquals(again.contentUtf8(), first.contentUtf8(), again.headers().toString());
         }
         assertEquals(runs(key), 1);
@@ -59,9 +59,9 @@
     public void askedForFirstIsNeverRun() {
         String key = token() + ".asked-first";
         EntryVm other = mFleet.vms().get(1);
-        AggregatedHttpResponse outcome = TestFleet.get(other.callers(), "/outcomes/himal/" + key);
+        AggregatedHttpResponse outcome = TestFleet.get(other.callerEndpoint(), "/outcomes/himal/" + key);
         assertEquals(outcome.headers().get("x-outcome"), "not-run");
-        AggregatedHttpResponse late = TestFleet.post(mFleet.vms().get(0).callers(), SIGN_OFF, key);
+        AggregatedHttpResponse late = TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
         assertEquals(late.headers().get("x-outcome"), "not-run");
         assertEquals(runs(key), 0);
     }
--- a/lab/src/test/java/org/dahliapass/lab/OneWayCutTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/OneWayCutTest.java
@@ -55,7 +55,7 @@
     /** The list names no dead VM, so it is short by one if somebody was taken for dead. */
     private void assertNobodyDead() {
         for (EntryVm vm : mFleet.vms()) {
-            List<String> states = HttpCalls.memberStates(vm.operators());
+            List<String> states = HttpCalls.memberStates(vm.operatorEndpoint());
             assertEquals(states.size(), mFleet.vms().size(), states.toString());
         }
     }
@@ -78,12 +78,12 @@
         String key = mFleet.token(home, witness) + "." + part;
         mFleet.cutOneWay(lostAtHome ? home : witness, lostAtHome ? witness : home);
 
-        AggregatedHttpResponse refused = TestFleet.post(home.callers(), SIGN_OFF, key);
+        AggregatedHttpResponse refused = TestFleet.post(home.callerEndpoint(), SIGN_OFF, key);
         assertEquals(refused.headers().get("x-outcome"), "not-run", refused.contentUtf8());
         assertEquals(mFleet.platform().runs(key), 0);
 
         String fresh = refused.headers().get("x-operation-token") + "." + part;
-        AggregatedHttpResponse repeated = TestFleet.post(home.callers(), SIGN_OFF, fresh);
+        AggregatedHttpResponse repeated = TestFleet.post(home.callerEndpoint(), SIGN_OFF, fresh);
         assertEquals(repeated.status().code(), 200, fresh + ": " + repeated.contentUtf8());
         assertEquals(mFleet.platform().runs(fresh), 1);
         assertEquals(mFleet.platform().runs(key), 0);
--- a/lab/src/test/java/org/dahliapass/lab/OwnAnswerTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/OwnAnswerTest.java
@@ -65,7 +65,7 @@
         mFleet.platform().setFaults(CUT);
         for (EntryVm vm : mFleet.vms()) {
             CompletableFuture<AggregatedHttpResponse> answer =
-                    HttpCalls.getLater(vm.callers(), LISTINGS + path);
+                    HttpCalls.getLater(vm.callerEndpoint(), LISTINGS + path);
             boolean failed =
                     answer.handle((whole, failure) -> failure != null || !isGood(whole)).join();
             assertTrue(failed, "Half a body was passed off as whole.");
@@ -87,8 +87,8 @@
             for (int number = 0; number < CALLERS; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getLater(vm.callers(), "/services/himal/desk" + path));
-                SlowReader.start(vm.callers(), LISTINGS + "left?bytes=" + BYTES)
+                answers.put(path, HttpCalls.getLater(vm.callerEndpoint(), "/services/himal/desk" + path));
+                SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES)
                         .awaitBegun()
                         .cancel();
             }
@@ -109,7 +109,7 @@
             for (int number = 0; number < CROWD; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/crowd-" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getLater(vm.callers(), "/services/himal/desk" + path));
+                answers.put(path, HttpCalls.getLater(vm.callerEndpoint(), "/services/himal/desk" + path));
             }
             leavers.forEach(leaver -> leaver.awaitBegun().cancel());
             served += countOwn(answers);
@@ -119,7 +119,7 @@
 
     private List<SlowReader> startLeavers() {
         return mFleet.vms().stream()
-                .map(vm -> SlowReader.start(vm.callers(), LISTINGS + "left?bytes=" + BYTES))
+                .map(vm -> SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES))
                 .toList();
     }
 
@@ -161,7 +161,7 @@
     public void cancelReachesTarget() {
         long before = mFleet.platform().cancelled();
         SlowReader halfway =
-                SlowReader.start(mFleet.vms().get(0).callers(), LISTINGS + "halfway?bytes=" + BYTES)
+                SlowReader.start(mFleet.vms().get(0).callerEndpoint(), LISTINGS + "halfway?bytes=" + BYTES)
                         .awaitBegun();
         halfway.cancel();
         mFleet.await(
@@ -170,7 +170,7 @@
         mFleet.platform().setFaults(STALL);
         long served = mFleet.platform().served();
         var stalled =
-                HttpCalls.client("h1c", mFleet.vms().get(1).callers()).get(LISTINGS + "stalled");
+                HttpCalls.client("h1c", mFleet.vms().get(1).callerEndpoint()).get(LISTINGS + "stalled");
         CompletableFuture<AggregatedHttpResponse> whole = stalled.aggregate();
         mFleet.await("it has begun", () -> mFleet.platform().served() > served);
         assertFalse(whole.isDone());
--- a/lab/src/test/java/org/dahliapass/lab/StoreAwayTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/StoreAwayTest.java
@@ -43,11 +43,11 @@
             EntryVm witness = fleet.vms().get((index + 1) % fleet.vms().size());
             String path = "/listings/" + round + "-" + index;
             AggregatedHttpResponse listing =
-                    TestFleet.get(home.callers(), "/services/himal/desk" + path);
+                    TestFleet.get(home.callerEndpoint(), "/services/himal/desk" + path);
             assertEquals(listing.status().code(), 200, listing.contentUtf8());
             String key = fleet.token(home, witness) + ".away-" + round;
             AggregatedHttpResponse signOff =
-                    TestFleet.post(home.callers(), "/services/himal/desk/sign-offs/7", key);
+                    TestFleet.post(home.callerEndpoint(), "/services/himal/desk/sign-offs/7", key);
             assertEquals(signOff.status().code(), 200, signOff.contentUtf8());
             assertEquals(fleet.platform().runs(key), 1);
         }
--- a/lab/src/test/java/org/dahliapass/lab/TargetLeaveTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/TargetLeaveTest.java
@@ -37,7 +37,7 @@
             TargetStandIn leaver = fleet.targets().get(0);
             fleet.platform().setFaults(SLOW);
             List<CompletableFuture<AggregatedHttpResponse>> answers =
-                    sendBurst(fleet.vms().get(0).callers());
+                    sendBurst(fleet.vms().get(0).callerEndpoint());
             fleet.await("it has work", () -> leaver.state().served() > 0);
 
             leaver.setDraining(true);
@@ -64,7 +64,7 @@
     private static void sendOneByOne(TestFleet fleet) {
         for (int number = 0; number < REQUESTS; number++) {
             EntryVm vm = fleet.vms().get(number % fleet.vms().size());
-            assertServed(HttpCalls.get(vm.callers(), "/services/himal/desk/listings/" + number));
+            assertServed(HttpCalls.get(vm.callerEndpoint(), "/services/himal/desk/listings/" + number));
         }
     }
 
@@ -75,13 +75,13 @@
     private static boolean allKnow(TestFleet fleet, Endpoint target) {
         Optional<String> leaving = Optional.of("leaving");
         return fleet.vms().stream()
-                .allMatch(vm -> HttpCalls.targetState(vm.operators(), target).equals(leaving));
+                .allMatch(vm -> HttpCalls.targetState(vm.operatorEndpoint(), target).equals(leaving));
     }
 
     private static int refusals(TestFleet fleet) {
         int sum = 0;
         for (EntryVm vm : fleet.vms()) {
-            String metrics = HttpCalls.get(vm.operators(), "/metrics").contentUtf8();
+            String metrics = HttpCalls.get(vm.operatorEndpoint(), "/metrics").contentUtf8();
             Matcher matcher = SHED.matcher(metrics);
             sum += matcher.find() ? (int) Double.parseDouble(matcher.group(1)) : 0;
         }
--- a/lab/src/test/java/org/dahliapass/lab/TestFleet.java
+++ b/lab/src/test/java/org/dahliapass/lab/TestFleet.java
@@ -112,12 +112,12 @@
 
     /** Returns how many VMs a VM sees alive. */
     static int memberCount(EntryVm vm) {
-        return HttpCalls.aliveMembers(vm.operators());
+        return HttpCalls.aliveMembers(vm.operatorEndpoint());
     }
 
     /** Returns whether a VM takes requests. */
     static boolean serves(EntryVm vm) {
-        return get(vm.operators(), "/health").status().code() == 200;
+        return get(vm.operatorEndpoint(), "/health").status().code() == 200;
     }
 
     /** Waits for a condition; fails by name if it doesn't come. */
--- a/lab/src/test/java/org/dahliapass/lab/VmLeaveTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/VmLeaveTest.java
@@ -30,12 +30,12 @@
             EntryVm leaver = fleet.vms().get(0);
             EntryVm other = fleet.vms().get(1);
             String key = fleet.token(leaver, other) + ".leaving";
-            SlowReader listing = startListing(leaver.callers());
+            SlowReader listing = startListing(leaver.callerEndpoint());
             CompletableFuture<AggregatedHttpResponse> signOff = startSignOff(fleet, leaver, key);
 
             CompletableFuture<Void> left = fleet.leave(leaver);
-            Instant lastAsk = awaitUnnamed(fleet, leaver.callers(), other.callers());
-            serveUntil(fleet, leaver.callers(), lastAsk.plus(ASK_TIME_TO_LIVE));
+            Instant lastAsk = awaitUnnamed(fleet, leaver.callerEndpoint(), other.callerEndpoint());
+            serveUntil(fleet, leaver.callerEndpoint(), lastAsk.plus(ASK_TIME_TO_LIVE));
 
             assertEquals(signOff.join().status().code(), 200);
             assertEquals(fleet.platform().runs(key), 1);
@@ -54,7 +54,7 @@
             TestFleet fleet, EntryVm vm, String key) {
         fleet.platform().setFaults(SLOW);
         CompletableFuture<AggregatedHttpResponse> signOff =
-                HttpCalls.post(vm.callers(), "/services/himal/desk/sign-offs/7", key);
+                HttpCalls.post(vm.callerEndpoint(), "/services/himal/desk/sign-offs/7", key);
         fleet.await("the sign-off has begun", () -> fleet.platform().runs(key) == 1);
         fleet.platform().setFaults(TargetFaults.NONE);
         return signOff;
