--- a/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
@@ -20,7 +20,7 @@
 
     AcceptCommand(Invocation invocation) {
         mInvocation = invocation;
-        mDraft = Draft.read(invocation.subject("file"));
+        mDraft = Draft.read(invocation.argument("file"));
         mStore = invocation.store();
     }
 
@@ -35,18 +35,18 @@
                         mInvocation.requiredNumber("base"));
         AcceptProtocol accept = new AcceptProtocol(request, Head.RING_CAPACITY);
         AcceptOutcome outcome =
-                Invocation.await(mStore.run(accept, action -> announce(accept, action)));
+                Invocation.await(mStore.run(accept, action -> printHandle(accept, action)));
         if (outcome instanceof AcceptOutcome.Accepted accepted) {
             return onAccepted(accepted);
         }
         if (outcome instanceof AcceptOutcome.Conflict conflict) {
             return onConflict(request, conflict.current());
         }
-        return print(mInvocation, outcome);
+        return printOutcome(mInvocation, outcome);
     }
 
     /** Prints an outcome that needs no more than its message. */
-    static ExitCode print(Invocation invocation, AcceptOutcome outcome) {
+    static ExitCode printOutcome(Invocation invocation, AcceptOutcome outcome) {
         if (outcome instanceof AcceptOutcome.Accepted accepted) {
             invocation.print("Accepted as change " + accepted.number() + ".");
             return ExitCode.OK;
@@ -72,17 +72,17 @@
      * Guards against this process dying while the accept is under way: the operator would not know
      * what to ask for. It holds because the handle is printed before the swap is sent.
      */
-    private void announce(AcceptProtocol accept, StoreAction action) {
+    private void printHandle(AcceptProtocol accept, StoreAction action) {
         if (action instanceof StoreAction.Swap swap && swap.key().equals(StoreKey.HEAD)) {
             mInvocation.warn("Sending. If this command dies, ask: resolve " + accept.handle());
         }
     }
 
     private ExitCode onAccepted(AcceptOutcome.Accepted accepted) throws InterruptedException {
-        print(mInvocation, accepted);
+        printOutcome(mInvocation, accepted);
         Optional<Endpoint> vm = mInvocation.endpoint("vm");
         if (vm.isPresent()) {
-            new Confirmations(mInvocation, customer(), accepted.number()).gather(vm.get());
+            new RolloutConfirmation(mInvocation, customer(), accepted.number()).awaitAndPrint(vm.get());
         }
         return ExitCode.OK;
     }
@@ -98,7 +98,7 @@
                 String.format(
                         "Not accepted: change %d by %s came first, and you started from %d.",
                         first.number(), first.author(), request.baseNumber()));
-        AcceptedTemplates accepted = AcceptedTemplates.read(mStore, customer());
+        TemplateHistory accepted = TemplateHistory.read(mStore, customer());
         Optional<String> base = baseText(accepted, request.baseNumber());
         mInvocation.print(
                 base.isPresent()
@@ -116,9 +116,9 @@
         return ExitCode.CONFLICT;
     }
 
-    private static Optional<String> baseText(AcceptedTemplates accepted, long number)
+    private static Optional<String> baseText(TemplateHistory accepted, long number)
             throws InterruptedException {
-        Optional<ChangeRecord> base = accepted.ofNumber(number);
+        Optional<ChangeRecord> base = accepted.find(number);
         return base.isPresent() ? accepted.text(base.get()) : Optional.empty();
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/Draft.java
+++ b/operator/src/main/java/org/dahliapass/operator/Draft.java
@@ -20,7 +20,7 @@
  */
 record Draft(TemplateText text, Template template) {
     /** The store's values hold a megabyte; half of it leaves room for its own encoding. */
-    private static final int MAXIMUM_CHARACTERS = 500_000;
+    private static final int MAX_CHARACTERS = 500_000;
 
     /**
      * Reads and checks a file.
@@ -29,18 +29,18 @@
      */
     static Draft read(String file) {
         String text = readText(file);
-        if (text.length() > MAXIMUM_CHARACTERS) {
-            throw problem(file, text.length() + " characters", "at most " + MAXIMUM_CHARACTERS);
+        if (text.length() > MAX_CHARACTERS) {
+            throw problem(file, text.length() + " characters", "at most " + MAX_CHARACTERS);
         }
         return new Draft(new TemplateText(text), TemplateParser.parse(file, text));
     }
 
     /** Returns the services that the template names, with the cell sizes that it sets. */
     List<ServiceUse> services() {
-        return template.services().stream().map(this::use).toList();
+        return template.services().stream().map(this::toServiceUse).toList();
     }
 
-    private ServiceUse use(ServiceTemplate service) {
+    private ServiceUse toServiceUse(ServiceTemplate service) {
         boolean provided = service.provider().equals(template.customer());
         return new ServiceUse(service.id(), provided ? service.cellSize() : 0);
     }
--- a/operator/src/main/java/org/dahliapass/operator/Environment.java
+++ b/operator/src/main/java/org/dahliapass/operator/Environment.java
@@ -11,19 +11,19 @@
 /**
  * What the command works with; tests bring their own.
  *
- * @param stores opens the store at an address
+ * @param storeFactory opens the store at an address
  * @param vms asks VMs
  * @param operationIds names accepts, each name once
  * @param clock the time
- * @param pause how long to wait before something is tried or asked again
+ * @param retryDelay how long to wait before something is tried or asked again
  * @param output where results go
  * @param errors where everything else goes
  */
 record Environment(
-        Function<Endpoint, StoreClient> stores,
-        VmOperations vms,
+        Function<Endpoint, StoreClient> storeFactory,
+        VmClient vms,
         Supplier<String> operationIds,
         Clock clock,
-        Duration pause,
+        Duration retryDelay,
         PrintStream output,
         PrintStream errors) {}
--- a/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
@@ -28,8 +28,8 @@
                         mInvocation.option("target"),
                         mInvocation.option("request"),
                         mInvocation.option("customer"),
-                        mInvocation.option("since").map(this::since));
-        VmOperations vms = mInvocation.environment().vms();
+                        mInvocation.option("since").map(this::sinceMillis));
+        VmClient vms = mInvocation.environment().vms();
         List<Member> members = Invocation.await(vms.members(mInvocation.requiredEndpoint("vm")));
         Map<Member, CompletableFuture<List<Explanation>>> answers = new LinkedHashMap<>();
         for (Member member : members) {
@@ -58,7 +58,7 @@
         return ExitCode.FAILED;
     }
 
-    private long since(String age) {
+    private long sinceMillis(String age) {
         Matcher matcher = AGE.matcher(age);
         if (!matcher.matches()) {
             throw new UsageException("--since is '" + age + "'; write such as 30s, 10m or 2h.");
--- a/operator/src/main/java/org/dahliapass/operator/HttpVmOperations.java
+++ b/operator/src/main/java/org/dahliapass/operator/HttpVmClient.java
@@ -21,15 +21,15 @@
 import org.dahliapass.model.Endpoint;
 
 /** Asks VMs over HTTP; each call has a time-out. */
-public final class HttpVmOperations implements VmOperations {
-    private static final String BASE = "/operations/";
+public final class HttpVmClient implements VmClient {
+    private static final String BASE_PATH = "/operations/";
     private static final ObjectMapper JSON =
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
     private final Duration mTimeout;
 
     /** Creates a client whose calls take at most this long. */
-    public HttpVmOperations(Duration timeout) {
+    public HttpVmClient(Duration timeout) {
         mTimeout = timeout;
     }
 
@@ -37,18 +37,18 @@
     public CompletableFuture<String> status(Endpoint vm) {
         String step = "read status";
         return call(step, vm, HttpMethod.GET, "status")
-                .thenApply(response -> json(step, vm, response).toPrettyString());
+                .thenApply(response -> parseFound(step, vm, response).toPrettyString());
     }
 
     @Override
     public CompletableFuture<List<Member>> members(Endpoint vm) {
         String step = "read members";
         return call(step, vm, HttpMethod.GET, "members")
-                .thenApply(response -> parseMembers(step, vm, json(step, vm, response)));
+                .thenApply(response -> parseMembers(step, vm, parseFound(step, vm, response)));
     }
 
     @Override
-    public CompletableFuture<HeldTemplate> template(Endpoint vm, String customer) {
+    public CompletableFuture<TemplateStatus> template(Endpoint vm, String customer) {
         String step = "read template";
         return call(step, vm, HttpMethod.GET, "templates/" + customer)
                 .thenApply(response -> parseTemplate(step, vm, response));
@@ -82,13 +82,13 @@
                 .build()
                 .prepare()
                 .method(method)
-                .path(BASE + path)
+                .path(BASE_PATH + path)
                 .execute()
                 .aggregate()
-                .handle((response, failure) -> answer(step, vm, response, failure));
+                .handle((response, failure) -> requireUsableResponse(step, vm, response, failure));
     }
 
-    private static AggregatedHttpResponse answer(
+    private static AggregatedHttpResponse requireUsableResponse(
             String step, Endpoint vm, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
             String message = "No answer; check the address and that the VM runs.";
@@ -102,7 +102,7 @@
         return response;
     }
 
-    private static JsonNode json(String step, Endpoint vm, AggregatedHttpResponse response) {
+    private static JsonNode parseFound(String step, Endpoint vm, AggregatedHttpResponse response) {
         if (response.status().equals(HttpStatus.NOT_FOUND)) {
             String message = "The VM doesn't know this path; check that it is a VM's address.";
             throw new OperationException(step, vm.toString(), message);
@@ -141,21 +141,21 @@
         return members;
     }
 
-    private static HeldTemplate parseTemplate(
+    private static TemplateStatus parseTemplate(
             String step, Endpoint vm, AggregatedHttpResponse response) {
         boolean held = response.status().isSuccess();
         if (!held && !response.contentUtf8().startsWith("{")) {
-            return new HeldTemplate(false, 0, 0);
+            return new TemplateStatus(false, 0, 0);
         }
         JsonNode node = parse(step, vm, response);
-        return new HeldTemplate(
+        return new TemplateStatus(
                 held, node.path("number").asLong(), node.path("headNumber").asLong());
     }
 
     private static List<Explanation> parseExplanations(
             String step, Endpoint vm, AggregatedHttpResponse response) {
         try {
-            return JSON.convertValue(json(step, vm, response), new TypeReference<>() {});
+            return JSON.convertValue(parseFound(step, vm, response), new TypeReference<>() {});
         } catch (IllegalArgumentException failure) {
             throw new OperationException(
                     step, vm.toString(), "The answer isn't a list of explanations.", failure);
--- a/operator/src/main/java/org/dahliapass/operator/Invocation.java
+++ b/operator/src/main/java/org/dahliapass/operator/Invocation.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the argument after the subcommand. */
-    String subject(String what) {
+    String argument(String what) {
         if (mOptions.nonOptionArguments().size() != 2) {
             throw new UsageException("Name one " + what + " after the subcommand.");
         }
@@ -78,7 +78,7 @@
 
     ConfigurationStore store() {
         return new ConfigurationStore(
-                mEnvironment.stores().apply(requiredEndpoint("store")), mEnvironment.pause());
+                mEnvironment.storeFactory().apply(requiredEndpoint("store")), mEnvironment.retryDelay());
     }
 
     /** Waits for a call, each of which has its own time-out; rethrows its failure. */
--- a/operator/src/main/java/org/dahliapass/operator/LineDiff.java
+++ b/operator/src/main/java/org/dahliapass/operator/LineDiff.java
@@ -7,16 +7,16 @@
 /** Tells by line, and by section of an INI text, what changed from one text to another. */
 final class LineDiff {
     /** Beyond this many pairs of lines the changed middle is shown whole: removed, then added. */
-    private static final long MAXIMUM_PAIRS = 4_000_000;
+    private static final long MAX_LINE_PAIRS = 4_000_000;
 
-    private final List<String> mBefore;
+    private final List<String> mPrefix;
     private final List<String> mOld;
     private final List<String> mNew;
-    private final List<String> mLines = new ArrayList<>();
+    private final List<String> mOutput = new ArrayList<>();
     private String mSection = "";
 
     private LineDiff(List<String> before, List<String> oldLines, List<String> newLines) {
-        mBefore = before;
+        mPrefix = before;
         mOld = oldLines;
         mNew = newLines;
     }
@@ -51,17 +51,17 @@
     }
 
     private List<String> lines() {
-        if ((long) mOld.size() * mNew.size() > MAXIMUM_PAIRS) {
-            removeFrom(0);
-            addFrom(0);
-            return mLines;
+        if ((long) mOld.size() * mNew.size() > MAX_LINE_PAIRS) {
+            appendRemovedFrom(0);
+            appendAddedFrom(0);
+            return mOutput;
         }
-        walk(commonLengths());
-        return mLines;
+        appendEdits(commonSubsequenceLengths());
+        return mOutput;
     }
 
     /** Returns, for each pair of places, the longest common subsequence from there on. */
-    private int[][] commonLengths() {
+    private int[][] commonSubsequenceLengths() {
         int[][] lengths = new int[mOld.size() + 1][mNew.size() + 1];
         for (int i = mOld.size() - 1; i >= 0; i--) {
             for (int j = mNew.size() - 1; j >= 0; j--) {
@@ -74,7 +74,7 @@
         return lengths;
     }
 
-    private void walk(int[][] lengths) {
+    private void appendEdits(int[][] lengths) {
         int i = 0;
         int j = 0;
         while (i < mOld.size() && j < mNew.size()) {
@@ -82,40 +82,40 @@
                 i++;
                 j++;
             } else if (lengths[i + 1][j] >= lengths[i][j + 1]) {
-                put("-", mOld, i);
+                append("-", mOld, i);
                 i++;
             } else {
-                put("+", mNew, j);
+                append("+", mNew, j);
                 j++;
             }
         }
-        removeFrom(i);
-        addFrom(j);
+        appendRemovedFrom(i);
+        appendAddedFrom(j);
     }
 
-    private void removeFrom(int first) {
+    private void appendRemovedFrom(int first) {
         for (int place = first; place < mOld.size(); place++) {
-            put("-", mOld, place);
+            append("-", mOld, place);
         }
     }
 
-    private void addFrom(int first) {
+    private void appendAddedFrom(int first) {
         for (int place = first; place < mNew.size(); place++) {
-            put("+", mNew, place);
+            append("+", mNew, place);
         }
     }
 
-    private void put(String sign, List<String> lines, int place) {
+    private void append(String sign, List<String> lines, int place) {
         String section = sectionOf(lines.subList(0, place + 1));
         if (!section.equals(mSection)) {
-            mLines.add("in " + section + ":");
+            mOutput.add("in " + section + ":");
             mSection = section;
         }
-        mLines.add(sign + lines.get(place));
+        mOutput.add(sign + lines.get(place));
     }
 
     private String sectionOf(List<String> changed) {
-        return Stream.concat(mBefore.stream(), changed.stream())
+        return Stream.concat(mPrefix.stream(), changed.stream())
                 .filter(line -> line.startsWith("["))
                 .reduce("the beginning", (earlier, later) -> later);
     }
--- a/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
+++ b/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
@@ -14,7 +14,7 @@
 /** The operators' command. */
 public final class OperatorMain extends Program {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
-    private static final Duration PAUSE = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final Environment mEnvironment;
 
@@ -29,7 +29,7 @@
 
     /** Runs the command and ends the process with its exit code. */
     public static void main(String[] arguments) {
-        Environment environment = field(System.out, System.err);
+        Environment environment = productionEnvironment(System.out, System.err);
         OperatorMain program = new OperatorMain(environment);
         System.exit(program.main(arguments, System.out, System.err).code());
     }
@@ -62,7 +62,7 @@
             throw new UsageException("Name a subcommand: " + Subcommand.names() + ".");
         }
         String name = arguments.get(0).toString();
-        return Subcommand.named(name)
+        return Subcommand.find(name)
                 .orElseThrow(
                         () ->
                                 new UsageException(
@@ -77,13 +77,13 @@
         parser.accepts(name, meaning).withRequiredArg();
     }
 
-    private static Environment field(PrintStream output, PrintStream errors) {
+    private static Environment productionEnvironment(PrintStream output, PrintStream errors) {
         return new Environment(
                 store -> new HttpStoreClient(store, CALL_TIMEOUT),
-                new HttpVmOperations(CALL_TIMEOUT),
+                new HttpVmClient(CALL_TIMEOUT),
                 () -> UUID.randomUUID().toString(),
                 new MonotonicClock(),
-                PAUSE,
+                RETRY_DELAY,
                 output,
                 errors);
     }
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -18,7 +18,7 @@
     CHECK {
         @Override
         ExitCode run(Invocation invocation) {
-            Draft draft = Draft.read(invocation.subject("file"));
+            Draft draft = Draft.read(invocation.argument("file"));
             invocation.print(
                     String.format(
                             "Good: customer %s, %d services.",
@@ -37,7 +37,7 @@
     SHOW {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
-            AcceptedTemplates accepted = accepted(invocation);
+            TemplateHistory accepted = readHistory(invocation);
             ChangeRecord newest =
                     accepted.newest()
                             .orElseThrow(
@@ -59,8 +59,8 @@
     HISTORY {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
-            AcceptedTemplates accepted = accepted(invocation);
-            for (PastOperation past : accepted.operations()) {
+            TemplateHistory accepted = readHistory(invocation);
+            for (PastOperation past : accepted.olderOperations()) {
                 invocation.print("change " + past.number() + ", operation " + past.operationId());
             }
             for (ChangeRecord record : accepted.records()) {
@@ -80,7 +80,7 @@
     RESOLVE {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
-            String text = invocation.subject("operation id");
+            String text = invocation.argument("operation id");
             OperationHandle handle =
                     OperationHandle.parse(text)
                             .orElseThrow(
@@ -90,7 +90,7 @@
                                                             + text
                                                             + "' is no operation id; copy the"
                                                             + " one that accept printed."));
-            return AcceptCommand.print(
+            return AcceptCommand.printOutcome(
                     invocation,
                     Invocation.await(
                             invocation.store().run(new ResolveProtocol(handle), action -> {})));
@@ -126,20 +126,20 @@
     abstract ExitCode run(Invocation invocation) throws InterruptedException;
 
     /** Returns the subcommand of this name. */
-    static Optional<Subcommand> named(String name) {
-        return Arrays.stream(values()).filter(one -> one.written().equals(name)).findFirst();
+    static Optional<Subcommand> find(String name) {
+        return Arrays.stream(values()).filter(one -> one.commandName().equals(name)).findFirst();
     }
 
     /** Returns all names, for messages. */
     static String names() {
-        return Arrays.stream(values()).map(Subcommand::written).collect(Collectors.joining(", "));
+        return Arrays.stream(values()).map(Subcommand::commandName).collect(Collectors.joining(", "));
     }
 
-    private String written() {
+    private String commandName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    private static AcceptedTemplates accepted(Invocation invocation) throws InterruptedException {
-        return AcceptedTemplates.read(invocation.store(), invocation.subject("customer"));
+    private static TemplateHistory readHistory(Invocation invocation) throws InterruptedException {
+        return TemplateHistory.read(invocation.store(), invocation.argument("customer"));
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/AcceptedTemplates.java
+++ b/operator/src/main/java/org/dahliapass/operator/TemplateHistory.java
@@ -12,20 +12,20 @@
 import org.dahliapass.registry.ConfigurationStore;
 
 /** Looks up in the store what was accepted for one customer: the head first, then the pointer. */
-final class AcceptedTemplates {
+final class TemplateHistory {
     private final ConfigurationStore mStore;
     private final String mCustomer;
     private final List<ChangeRecord> mRecords = new ArrayList<>();
-    private List<PastOperation> mOperations = List.of();
+    private List<PastOperation> mOlderOperations = List.of();
 
-    private AcceptedTemplates(ConfigurationStore store, String customer) {
+    private TemplateHistory(ConfigurationStore store, String customer) {
         mStore = store;
         mCustomer = customer;
     }
 
-    static AcceptedTemplates read(ConfigurationStore store, String customer)
+    static TemplateHistory read(ConfigurationStore store, String customer)
             throws InterruptedException {
-        AcceptedTemplates found = new AcceptedTemplates(store, customer);
+        TemplateHistory found = new TemplateHistory(store, customer);
         Head head =
                 Invocation.await(store.read(StoreKey.HEAD))
                         .map(Head.class::cast)
@@ -35,7 +35,7 @@
                 .ifPresent(found::addPointer);
         head.ring().stream()
                 .filter(record -> record.customer().equals(customer))
-                .forEach(found::add);
+                .forEach(found::addRecord);
         return found;
     }
 
@@ -45,8 +45,8 @@
     }
 
     /** Returns older accepts of which only the operation and the number are known. */
-    List<PastOperation> operations() {
-        return mOperations;
+    List<PastOperation> olderOperations() {
+        return mOlderOperations;
     }
 
     Optional<ChangeRecord> newest() {
@@ -55,7 +55,7 @@
                 : Optional.of(mRecords.get(mRecords.size() - 1));
     }
 
-    Optional<ChangeRecord> ofNumber(long number) {
+    Optional<ChangeRecord> find(long number) {
         return mRecords.stream().filter(record -> record.number() == number).findFirst();
     }
 
@@ -67,14 +67,14 @@
 
     private void addPointer(Pointer pointer) {
         mRecords.add(pointer.newest());
-        mOperations =
+        mOlderOperations =
                 pointer.operations().stream()
                         .filter(operation -> operation.number() < pointer.newest().number())
                         .toList();
     }
 
     /** The pointer is written before its change leaves the ring, so both may have the change. */
-    private void add(ChangeRecord record) {
+    private void addRecord(ChangeRecord record) {
         if (newest().map(ChangeRecord::number).orElse(0L) < record.number()) {
             mRecords.add(record);
         }
--- a/operator/src/main/java/org/dahliapass/operator/VmOperations.java
+++ b/operator/src/main/java/org/dahliapass/operator/VmClient.java
@@ -9,7 +9,7 @@
  *
  * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException}.
  */
-public interface VmOperations {
+public interface VmClient {
 
     /** Returns the VM's own report as text. */
     CompletableFuture<String> status(Endpoint vm);
@@ -18,7 +18,7 @@
     CompletableFuture<List<Member>> members(Endpoint vm);
 
     /** Returns what the VM holds of a customer's template. */
-    CompletableFuture<HeldTemplate> template(Endpoint vm, String customer);
+    CompletableFuture<TemplateStatus> template(Endpoint vm, String customer);
 
     /** Returns the explanations that the VM still keeps. */
     CompletableFuture<List<Explanation>> explanations(Endpoint vm, ExplanationQuery query);
--- a/operator/src/test/java/org/dahliapass/operator/FakeVms.java
+++ b/operator/src/test/java/org/dahliapass/operator/FakeVmClient.java
@@ -9,9 +9,9 @@
 import org.dahliapass.model.Endpoint;
 
 /** VMs that answer from what a test puts in; a VM without an answer is silent. */
-final class FakeVms implements VmOperations {
+final class FakeVmClient implements VmClient {
     final List<Member> mMembers = new ArrayList<>();
-    final Map<Endpoint, HeldTemplate> mTemplates = new TreeMap<>();
+    final Map<Endpoint, TemplateStatus> mTemplates = new TreeMap<>();
     final Map<Endpoint, List<Explanation>> mExplanations = new TreeMap<>();
 
     @Override
@@ -25,13 +25,13 @@
     }
 
     @Override
-    public CompletableFuture<HeldTemplate> template(Endpoint vm, String customer) {
-        return answer(vm, mTemplates);
+    public CompletableFuture<TemplateStatus> template(Endpoint vm, String customer) {
+        return respond(vm, mTemplates);
     }
 
     @Override
     public CompletableFuture<List<Explanation>> explanations(Endpoint vm, ExplanationQuery query) {
-        return answer(vm, mExplanations);
+        return respond(vm, mExplanations);
     }
 
     @Override
@@ -39,7 +39,7 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    private static <T> CompletableFuture<T> answer(Endpoint vm, Map<Endpoint, T> answers) {
+    private static <T> CompletableFuture<T> respond(Endpoint vm, Map<Endpoint, T> answers) {
         return answers.containsKey(vm)
                 ? CompletableFuture.completedFuture(answers.get(vm))
                 : CompletableFuture.failedFuture(
--- a/operator/src/test/java/org/dahliapass/operator/HttpVmOperationsTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/HttpVmClientTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of the VM client against a small HTTP server. */
-public final class HttpVmOperationsTest {
+public final class HttpVmClientTest {
     private Server mServer;
     private volatile HttpStatus mStatus;
     private volatile String mBody;
@@ -46,10 +46,10 @@
         return new Endpoint("127.0.0.1", mServer.activeLocalPort());
     }
 
-    private HttpVmOperations answering(HttpStatus status, String body) {
+    private HttpVmClient clientFor(HttpStatus status, String body) {
         mStatus = status;
         mBody = body;
-        return new HttpVmOperations(Duration.ofSeconds(10));
+        return new HttpVmClient(Duration.ofSeconds(10));
     }
 
     private static <T> T get(CompletableFuture<T> future) throws Exception {
@@ -62,27 +62,27 @@
                 "[{\"name\":\"vm-1\",\"incarnation\":\"z\",\"operators\":\"10.0.0.1:82\","
                         + "\"state\":\"alive\"}]";
         assertEquals(
-                get(answering(HttpStatus.OK, body).members(vm())),
+                get(clientFor(HttpStatus.OK, body).members(vm())),
                 List.of(new Member("vm-1", new Endpoint("10.0.0.1", 82), "alive")));
     }
 
     @Test
-    public void templateThatIsHeldAndOneThatIsNot() throws Exception {
+    public void templateStatusIsParsed() throws Exception {
         String held = "{\"customer\":\"himal\",\"number\":4,\"digest\":\"ab\"}";
         assertEquals(
-                get(answering(HttpStatus.OK, held).template(vm(), "himal")),
-                new HeldTemplate(true, 4, 0));
+                get(clientFor(HttpStatus.OK, held).template(vm(), "himal")),
+                new TemplateStatus(true, 4, 0));
         assertEquals(mPath, "/operations/templates/himal");
         assertEquals(
-                get(answering(HttpStatus.NOT_FOUND, "{\"headNumber\":9}").template(vm(), "x")),
-                new HeldTemplate(false, 0, 9));
+                get(clientFor(HttpStatus.NOT_FOUND, "{\"headNumber\":9}").template(vm(), "x")),
+                new TemplateStatus(false, 0, 9));
         assertEquals(
-                get(answering(HttpStatus.NOT_FOUND, "none").template(vm(), "x")),
-                new HeldTemplate(false, 0, 0));
+                get(clientFor(HttpStatus.NOT_FOUND, "none").template(vm(), "x")),
+                new TemplateStatus(false, 0, 0));
     }
 
     @Test
-    public void explanationsAreParsedAndTheQueryIsSent() throws Exception {
+    public void explanationsAreParsedAndQueryIsSent() throws Exception {
         String body =
                 "[{\"atMillis\":5,\"vm\":\"vm-1\",\"action\":\"EJECTED\",\"subject\":\"s\","
                         + "\"cause\":\"c\",\"evidence\":\"e\",\"setting\":\"t\",\"new\":1}]";
@@ -93,7 +93,7 @@
                         Optional.empty(),
                         Optional.of(7L));
         assertEquals(
-                get(answering(HttpStatus.OK, body).explanations(vm(), query)),
+                get(clientFor(HttpStatus.OK, body).explanations(vm(), query)),
                 List.of(new Explanation(5, "vm-1", "EJECTED", "s", "c", "e", "t")));
         assertEquals(mPath, "/operations/explanations?target=10.1.1.1%3A80&since=7");
     }
--- a/operator/src/test/java/org/dahliapass/operator/MemoryStoreClient.java
+++ b/operator/src/test/java/org/dahliapass/operator/InMemoryStoreClient.java
@@ -13,23 +13,23 @@
 import org.dahliapass.registry.WatchedValue;
 
 /** A store in memory that can lose the answer to a swap of the head and then stay away. */
-final class MemoryStoreClient implements StoreClient {
+final class InMemoryStoreClient implements StoreClient {
     private static final String HEAD = "head";
 
     private final Map<String, StoredValue> mValues = new HashMap<>();
     private long mIndex;
-    private boolean mLoseHeadAnswer;
-    private boolean mAwayAfterLoss;
-    private boolean mAway;
+    private boolean mLoseHeadResponse;
+    private boolean mUnavailableAfterLoss;
+    private boolean mUnavailable;
 
     /** The next swap of the head takes effect, but its answer is lost. */
-    void loseNextHeadAnswer(boolean thenStayAway) {
-        mLoseHeadAnswer = true;
-        mAwayAfterLoss = thenStayAway;
+    void loseNextHeadResponse(boolean thenStayAway) {
+        mLoseHeadResponse = true;
+        mUnavailableAfterLoss = thenStayAway;
     }
 
-    void comeBack() {
-        mAway = false;
+    void makeAvailable() {
+        mUnavailable = false;
     }
 
     boolean isEmpty() {
@@ -38,7 +38,7 @@
 
     @Override
     public CompletableFuture<Optional<StoredValue>> read(String key) {
-        return mAway
+        return mUnavailable
                 ? CompletableFuture.failedFuture(new OperationException("read", "store", "Away."))
                 : CompletableFuture.completedFuture(Optional.ofNullable(mValues.get(key)));
     }
@@ -50,7 +50,7 @@
 
     @Override
     public CompletableFuture<SwapResult> compareAndSwap(String key, String value, long index) {
-        if (mAway) {
+        if (mUnavailable) {
             return CompletableFuture.failedFuture(new OperationException("swap", "store", "Away."));
         }
         long current = mValues.containsKey(key) ? mValues.get(key).index() : ABSENT;
@@ -59,9 +59,9 @@
         }
         mIndex++;
         mValues.put(key, new StoredValue(key, value, mIndex));
-        if (mLoseHeadAnswer && key.equals(HEAD)) {
-            mLoseHeadAnswer = false;
-            mAway = mAwayAfterLoss;
+        if (mLoseHeadResponse && key.equals(HEAD)) {
+            mLoseHeadResponse = false;
+            mUnavailable = mUnavailableAfterLoss;
             return CompletableFuture.failedFuture(
                     new OutcomeUnknownException("swap", "store", "Lost.", null));
         }
--- a/operator/src/test/java/org/dahliapass/operator/LineDiffTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/LineDiffTest.java
@@ -10,7 +10,7 @@
     private static final String OLD = "[a]\nx = 1\ny = 2\n[b]\nx = 1\n";
 
     @Test
-    public void sameTextsHaveNoDifference() {
+    public void equalTextsHaveNoDifference() {
         assertEquals(LineDiff.between(OLD, OLD), List.of());
     }
 
@@ -22,14 +22,14 @@
     }
 
     @Test
-    public void changesInTwoSectionsAreShownApart() {
+    public void changesAreGroupedBySection() {
         assertEquals(
                 LineDiff.between(OLD, "[a]\ny = 2\n[b]\nx = 1\nz = 4\n"),
                 List.of("in [a]:", "-x = 1", "in [b]:", "+z = 4"));
     }
 
     @Test
-    public void newTextIsAddedWhole() {
+    public void allLinesOfNewTextAreAdded() {
         assertEquals(LineDiff.between("", "[a]\nx = 1\n"), List.of("in [a]:", "+[a]", "+x = 1"));
     }
 }
--- a/operator/src/test/java/org/dahliapass/operator/OperatorMainTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/OperatorMainTest.java
@@ -30,8 +30,8 @@
     private static final Endpoint VM_2 = new Endpoint("10.0.0.2", 82);
     private static final Endpoint VM_3 = new Endpoint("10.0.0.3", 82);
 
-    private MemoryStoreClient mStore;
-    private FakeVms mVms;
+    private InMemoryStoreClient mStore;
+    private FakeVmClient mVms;
     private ByteArrayOutputStream mOutput;
     private Path mDraft;
     private int mOperations;
@@ -59,8 +59,8 @@
 
     @BeforeMethod
     public void setUp() throws IOException {
-        mStore = new MemoryStoreClient();
-        mVms = new FakeVms();
+        mStore = new InMemoryStoreClient();
+        mVms = new FakeVmClient();
         mOutput = new ByteArrayOutputStream();
         mDraft = Files.createTempFile("draft", ".ini");
         mOperations = 0;
@@ -130,7 +130,7 @@
     }
 
     @Test
-    public void checkOfGoodTemplateSaysSo() {
+    public void checkReportsValidTemplate() {
         assertEquals(run("check", mDraft.toString()), ExitCode.OK);
         assertPrinted("Good: customer valley-audit, 1 services.");
     }
@@ -166,7 +166,7 @@
     // overwrite it, must tell her whose change came first and what it changed, and must leave her
     // draft file as it was.
     @Test
-    public void conflictTellsAuthorAndDifference() throws IOException {
+    public void conflictPrintsAuthorAndDifference() throws IOException {
         accept("0", "Asha");
         write("30");
         accept("1", "Bela");
@@ -180,8 +180,8 @@
 
     // The store writes the change, and its answer is lost. The operator must be told "accepted".
     @Test
-    public void lostAnswerIsResolvedToYes() {
-        mStore.loseNextHeadAnswer(false);
+    public void lostResponseResolvesToAccepted() {
+        mStore.loseNextHeadResponse(false);
         assertEquals(accept("0", "Asha"), ExitCode.OK);
         assertPrinted("Accepted as change 1.");
     }
@@ -189,19 +189,19 @@
     // The store writes the change, its answer is lost, and then the store stays away. The operator
     // is told "unknown" and how to ask; when the store is back, the answer is yes.
     @Test
-    public void storeAwayAfterLostAnswerIsUnknownUntilResolved() {
-        mStore.loseNextHeadAnswer(true);
+    public void storeUnavailableAfterLostResponseIsUnknownUntilResolved() {
+        mStore.loseNextHeadResponse(true);
         assertEquals(accept("0", "Asha"), ExitCode.UNKNOWN);
         Matcher command = Pattern.compile("with: resolve (\\S+)").matcher(output());
         assertTrue(command.find(), output());
-        mStore.comeBack();
+        mStore.makeAvailable();
         mOutput.reset();
         assertEquals(run("resolve", command.group(1), "--store", "10.0.0.9:1"), ExitCode.OK);
         assertPrinted("Accepted as change 1.");
     }
 
     @Test
-    public void resolveOfNeverSentAcceptIsNo() {
+    public void resolveOfUnsentAcceptIsNotAccepted() {
         accept("0", "Asha");
         assertEquals(
                 run("resolve", "op-9/valley-audit/4/2", "--store", "10.0.0.9:1"), ExitCode.FAILED);
@@ -209,12 +209,12 @@
     }
 
     @Test
-    public void confirmationsNameTheVmsThatDoAndDoNotConfirm() {
+    public void rolloutConfirmationListsVmsByState() {
         mVms.mMembers.add(new Member("vm-1", VM_1, "alive"));
         mVms.mMembers.add(new Member("vm-2", VM_2, "alive"));
         mVms.mMembers.add(new Member("vm-3", VM_3, "suspect"));
-        mVms.mTemplates.put(VM_1, new HeldTemplate(true, 1, 1));
-        mVms.mTemplates.put(VM_2, new HeldTemplate(false, 0, 0));
+        mVms.mTemplates.put(VM_1, new TemplateStatus(true, 1, 1));
+        mVms.mTemplates.put(VM_2, new TemplateStatus(false, 0, 0));
         assertEquals(accept("0", "Asha", "--vm", "10.0.0.1:82"), ExitCode.OK);
         assertPrinted("1 VMs have it in force: vm-1");
         assertPrinted("1 VMs hold no template of this customer: vm-2");
@@ -233,14 +233,14 @@
     }
 
     @Test
-    public void explainSaysWhoGaveNoAnswer() {
+    public void explainListsUnresponsiveVms() {
         mVms.mMembers.add(new Member("vm-3", VM_3, "alive"));
         assertEquals(run("explain", "--vm", "10.0.0.1:82"), ExitCode.FAILED);
         assertPrinted("No answer from: vm-3.");
     }
 
     @Test
-    public void unknownSubcommandNamesTheKnownOnes() {
+    public void unknownSubcommandListsSubcommands() {
         assertEquals(run("acept"), ExitCode.USAGE);
         assertPrinted("there are check, accept, show");
         assertFalse(output().contains("Exception"), output());
--- a/report/src/main/java/org/dahliapass/report/FleetBurn.java
+++ b/report/src/main/java/org/dahliapass/report/BurnAggregator.java
@@ -16,55 +16,55 @@
  * <p>All times are ages by the telling VM's own clock; clocks of different VMs are never compared.
  * Safe from any thread, as answers arrive on several.
  */
-final class FleetBurn {
-    private final Predicate<String> mCustomers;
-    private final Map<Key, SeriesTotals> mSeries = new LinkedHashMap<>();
-    private final List<AnsweredVm> mAnswered = new ArrayList<>();
-    private final List<SilentVm> mSilent = new ArrayList<>();
+final class BurnAggregator {
+    private final Predicate<String> mCustomerFilter;
+    private final Map<SeriesKey, SeriesAggregator> mSeries = new LinkedHashMap<>();
+    private final List<RespondingVm> mResponding = new ArrayList<>();
+    private final List<UnresponsiveVm> mUnresponsive = new ArrayList<>();
     private long mUncounted;
 
     /** Starts with nothing; requests of other customers than those asked for are left out. */
-    FleetBurn(Predicate<String> customers) {
-        mCustomers = customers;
+    BurnAggregator(Predicate<String> customers) {
+        mCustomerFilter = customers;
     }
 
     /** Adds what a VM tells. */
     synchronized void add(ErrorBudgetSnapshot snapshot) {
         long age = Math.max(0, snapshot.nowMillis() - snapshot.sinceMillis());
-        mAnswered.add(new AnsweredVm(snapshot.vm(), age));
+        mResponding.add(new RespondingVm(snapshot.vm(), age));
         mUncounted += snapshot.uncounted();
         for (ErrorBudgetBucket bucket : snapshot.buckets()) {
-            if (!mCustomers.test(bucket.customer())) {
+            if (!mCustomerFilter.test(bucket.customer())) {
                 continue;
             }
-            Key key = new Key(bucket.customer(), bucket.service(), bucket.kind());
-            mSeries.computeIfAbsent(key, ignored -> new SeriesTotals())
-                    .add(bucket, AgeSpan.of(bucket, snapshot));
+            SeriesKey key = new SeriesKey(bucket.customer(), bucket.service(), bucket.kind());
+            mSeries.computeIfAbsent(key, ignored -> new SeriesAggregator())
+                    .add(bucket, AgeRange.of(bucket, snapshot));
         }
     }
 
     /** Notes a VM that tells nothing. */
-    synchronized void addSilent(SilentVm vm) {
-        mSilent.add(vm);
+    synchronized void addUnresponsive(UnresponsiveVm vm) {
+        mUnresponsive.add(vm);
     }
 
     /** Returns the report on all that was added. */
     synchronized BurnReport toReport(long nowMillis) {
         List<SeriesBurn> series =
                 mSeries.entrySet().stream()
-                        .map(entry -> entry.getKey().burnOf(entry.getValue()))
+                        .map(entry -> entry.getKey().toSeriesBurn(entry.getValue()))
                         .sorted(SeriesBurn.WORST_FIRST)
                         .toList();
         return new BurnReport(
                 nowMillis,
-                mAnswered.stream().sorted((a, b) -> a.vm().compareTo(b.vm())).toList(),
-                mSilent,
+                mResponding.stream().sorted((a, b) -> a.vm().compareTo(b.vm())).toList(),
+                mUnresponsive,
                 mUncounted,
                 Arrays.stream(BurnWindow.values())
-                        .map(window -> new WindowCoverage(window, share(0, window.millis())))
+                        .map(window -> new WindowCoverage(window, coverage(0, window.millis())))
                         .toList(),
-                IntStream.range(0, Course.STEPS)
-                        .mapToObj(step -> share(Course.newestAge(step), Course.oldestAge(step)))
+                IntStream.range(0, ReportTimeline.STEP_COUNT)
+                        .mapToObj(step -> coverage(ReportTimeline.minAgeMillis(step), ReportTimeline.maxAgeMillis(step)))
                         .toList(),
                 series);
     }
@@ -73,21 +73,21 @@
      * Returns which part of the VMs' time between two ages is known. A VM younger than that stands
      * in for one that was replaced and took its counts with it; a silent VM counts as not known.
      */
-    private double share(long newestAge, long oldestAge) {
-        int vms = mAnswered.size() + mSilent.size();
+    private double coverage(long newestAge, long oldestAge) {
+        int vms = mResponding.size() + mUnresponsive.size();
         if (vms == 0) {
             return 0;
         }
-        AgeSpan span = new AgeSpan(newestAge, oldestAge);
-        return mAnswered.stream()
-                        .mapToDouble(vm -> span.partWithin(new AgeSpan(0, vm.ageMillis())))
+        AgeRange span = new AgeRange(newestAge, oldestAge);
+        return mResponding.stream()
+                        .mapToDouble(vm -> span.fractionWithin(new AgeRange(0, vm.ageMillis())))
                         .sum()
                 / vms;
     }
 
-    private record Key(String customer, String service, String kind) {
-        SeriesBurn burnOf(SeriesTotals totals) {
-            return totals.toBurn(customer, service, kind);
+    private record SeriesKey(String customer, String service, String kind) {
+        SeriesBurn toSeriesBurn(SeriesAggregator totals) {
+            return totals.toSeriesBurn(customer, service, kind);
         }
     }
 }
--- a/report/src/main/java/org/dahliapass/report/BurnCollector.java
+++ b/report/src/main/java/org/dahliapass/report/BurnCollector.java
@@ -23,8 +23,8 @@
 
 /** Asks all VMs of the fleet for what they know of the burn, a bounded number at once. */
 final class BurnCollector {
-    private static final int LANES = 64;
-    private static final long MOST_ANSWER_BYTES = 64L << 20;
+    private static final int MAX_CONCURRENT_REQUESTS = 64;
+    private static final long MAX_RESPONSE_BYTES = 64L << 20;
     private static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
@@ -41,7 +41,7 @@
         mClient =
                 WebClient.builder()
                         .responseTimeout(timeout)
-                        .maxResponseLength(MOST_ANSWER_BYTES)
+                        .maxResponseLength(MAX_RESPONSE_BYTES)
                         .build();
         mCustomer = customer;
     }
@@ -53,58 +53,58 @@
      *     that both sides of a partition are found if each has a contact
      * @return completes when every VM has answered or failed; never fails for a VM's sake
      */
-    CompletableFuture<FleetBurn> collect(List<String> contacts) {
-        FleetBurn burn = new FleetBurn(name -> mCustomer.isEmpty() || name.equals(mCustomer.get()));
+    CompletableFuture<BurnAggregator> collect(List<String> contacts) {
+        BurnAggregator burn = new BurnAggregator(name -> mCustomer.isEmpty() || name.equals(mCustomer.get()));
         Map<String, Member> members = new TreeMap<>();
-        List<SilentVm> silentContacts = new ArrayList<>();
+        List<UnresponsiveVm> silentContacts = new ArrayList<>();
         CompletableFuture<Void> lists =
-                inLanes(contacts, contact -> readMembers(contact, members, silentContacts));
+                runConcurrently(contacts, contact -> readMembers(contact, members, silentContacts));
         return lists.thenCompose(
                         ignored -> {
-                            noteUnlisted(silentContacts, members.values(), burn);
+                            addUnlistedContacts(silentContacts, members.values(), burn);
                             List<Member> asked =
-                                    members.values().stream().filter(Member::mayAnswer).toList();
-                            return inLanes(asked, member -> readBurn(member, burn));
+                                    members.values().stream().filter(Member::isQueryable).toList();
+                            return runConcurrently(asked, member -> readBurn(member, burn));
                         })
                 .thenApply(ignored -> burn);
     }
 
     /** Notes contacts that were silent and aren't asked again as a member of a list. */
-    private static void noteUnlisted(
-            List<SilentVm> contacts, Collection<Member> members, FleetBurn burn) {
+    private static void addUnlistedContacts(
+            List<UnresponsiveVm> contacts, Collection<Member> members, BurnAggregator burn) {
         contacts.stream()
                 .filter(
                         contact ->
                                 members.stream()
-                                        .filter(Member::mayAnswer)
+                                        .filter(Member::isQueryable)
                                         .noneMatch(
                                                 member ->
                                                         contact.operators()
                                                                 .equals(member.operators())))
-                .forEach(burn::addSilent);
+                .forEach(burn::addUnresponsive);
     }
 
     private CompletableFuture<Void> readMembers(
-            String contact, Map<String, Member> members, List<SilentVm> silent) {
+            String contact, Map<String, Member> members, List<UnresponsiveVm> silent) {
         return get("read members", contact, "/operations/members", Member[].class)
                 .handle(
                         (list, failure) -> {
                             if (failure != null) {
                                 synchronized (members) {
-                                    silent.add(new SilentVm(contact, contact, reasonOf(failure)));
+                                    silent.add(new UnresponsiveVm(contact, contact, reasonOf(failure)));
                                 }
                                 return null;
                             }
                             synchronized (members) {
                                 Arrays.stream(list)
-                                        .filter(Member::isWhole)
-                                        .forEach(m -> members.merge(m.name(), m, Member::later));
+                                        .filter(Member::hasNameAndAddress)
+                                        .forEach(m -> members.merge(m.name(), m, Member::newer));
                             }
                             return null;
                         });
     }
 
-    private CompletableFuture<Void> readBurn(Member member, FleetBurn burn) {
+    private CompletableFuture<Void> readBurn(Member member, BurnAggregator burn) {
         String path = "/operations/burn" + mCustomer.map(name -> "?customer=" + name).orElse("");
         return get("read burn", member.operators(), path, ErrorBudgetSnapshot.class)
                 .handle(
@@ -112,8 +112,8 @@
                             if (failure == null) {
                                 burn.add(snapshot);
                             } else {
-                                burn.addSilent(
-                                        new SilentVm(
+                                burn.addUnresponsive(
+                                        new UnresponsiveVm(
                                                 member.name(),
                                                 member.operators(),
                                                 reasonOf(failure)));
@@ -154,12 +154,12 @@
                 : "the connection broke";
     }
 
-    /** Runs one step for each item, at most {@link #LANES} at once. */
-    private static <T> CompletableFuture<Void> inLanes(List<T> items, Step<T> step) {
+    /** Runs one step for each item, at most {@link #MAX_CONCURRENT_REQUESTS} at once. */
+    private static <T> CompletableFuture<Void> runConcurrently(List<T> items, AsyncTask<T> step) {
         List<CompletableFuture<Void>> lanes = new ArrayList<>();
-        for (int lane = 0; lane < Math.min(LANES, items.size()); lane++) {
+        for (int lane = 0; lane < Math.min(MAX_CONCURRENT_REQUESTS, items.size()); lane++) {
             CompletableFuture<Void> chain = CompletableFuture.completedFuture(null);
-            for (int index = lane; index < items.size(); index += LANES) {
+            for (int index = lane; index < items.size(); index += MAX_CONCURRENT_REQUESTS) {
                 T item = items.get(index);
                 chain = chain.thenCompose(ignored -> step.run(item));
             }
@@ -169,7 +169,7 @@
     }
 
     /** What is done for one item; its future never fails. */
-    private interface Step<T> {
+    private interface AsyncTask<T> {
         CompletableFuture<Void> run(T item);
     }
 }
--- a/report/src/main/java/org/dahliapass/report/BurnReport.java
+++ b/report/src/main/java/org/dahliapass/report/BurnReport.java
@@ -10,13 +10,13 @@
  * @param silent the VMs that told nothing
  * @param uncounted requests that VMs left out as their memory for kinds was full
  * @param coverage how much of each window is known
- * @param courseCoverage how much of each step of {@link Course} is known, oldest first
+ * @param courseCoverage how much of each step of {@link ReportTimeline} is known, oldest first
  * @param series the request kinds, the worst first
  */
 record BurnReport(
         long generatedMillis,
-        List<AnsweredVm> answered,
-        List<SilentVm> silent,
+        List<RespondingVm> answered,
+        List<UnresponsiveVm> silent,
         long uncounted,
         List<WindowCoverage> coverage,
         List<Double> courseCoverage,
--- a/report/src/main/java/org/dahliapass/report/Unknowns.java
+++ b/report/src/main/java/org/dahliapass/report/DataGaps.java
@@ -5,16 +5,16 @@
 import java.util.stream.Collectors;
 
 /** Says in sentences what a report doesn't know. */
-final class Unknowns {
-    private static final int MOST_NAMED = 20;
+final class DataGaps {
+    private static final int MAX_LISTED_VMS = 20;
 
-    private Unknowns() {}
+    private DataGaps() {}
 
     /** Returns the sentences; none if the report knows all. */
     static List<String> of(BurnReport report) {
         List<String> sentences = new ArrayList<>();
         report.silent().stream()
-                .limit(MOST_NAMED)
+                .limit(MAX_LISTED_VMS)
                 .map(
                         vm ->
                                 vm.name()
@@ -24,8 +24,8 @@
                                         + vm.reason()
                                         + ".")
                 .forEach(sentences::add);
-        if (report.silent().size() > MOST_NAMED) {
-            sentences.add(report.silent().size() - MOST_NAMED + " more VMs didn't tell.");
+        if (report.silent().size() > MAX_LISTED_VMS) {
+            sentences.add(report.silent().size() - MAX_LISTED_VMS + " more VMs didn't tell.");
         }
         addCoverage(report, sentences);
         if (report.uncounted() > 0) {
@@ -40,7 +40,7 @@
         String partly =
                 report.coverage().stream()
                         .filter(window -> window.share() < 1)
-                        .map(w -> w.window().label() + " " + Figures.coverage(w.share()))
+                        .map(w -> w.window().label() + " " + ReportFormat.coverage(w.share()))
                         .collect(Collectors.joining(", "));
         if (partly.isEmpty()) {
             return;
--- a/report/src/main/java/org/dahliapass/report/HtmlReport.java
+++ b/report/src/main/java/org/dahliapass/report/HtmlReport.java
@@ -6,7 +6,7 @@
 
 /** Writes the report as one page that needs nothing else: no script, no other file, no network. */
 final class HtmlReport {
-    private static final int MOST_PLOTS = 40;
+    private static final int MAX_PLOTS = 40;
     private static final String STYLE =
             """
             body { font: 15px/1.45 system-ui, sans-serif; color: #202124; background: #fff;
@@ -42,7 +42,7 @@
             """;
 
     private final BurnReport mReport;
-    private final Markup mPage = new Markup();
+    private final MarkupBuilder mPage = new MarkupBuilder();
 
     private HtmlReport(BurnReport report) {
         mReport = report;
@@ -53,38 +53,38 @@
     }
 
     private String write() {
-        mPage.raw("<!doctype html>")
-                .raw("<html lang='en'><head><meta charset='utf-8'>")
-                .raw("<title>dahliapass burn report</title><style>")
-                .raw(STYLE)
-                .raw("</style></head><body>");
+        mPage.append("<!doctype html>")
+                .append("<html lang='en'><head><meta charset='utf-8'>")
+                .append("<title>dahliapass burn report</title><style>")
+                .append(STYLE)
+                .append("</style></head><body>");
         writeHead();
-        writeUnknowns();
+        writeDataGaps();
         writeTable();
         writePlots();
-        return mPage.raw("</body></html>").toString();
+        return mPage.append("</body></html>").toString();
     }
 
     private void writeHead() {
         int vms = mReport.answered().size() + mReport.silent().size();
-        mPage.element("h1", "", "Service-level burn");
-        mPage.element(
+        mPage.appendElement("h1", "", "Service-level burn");
+        mPage.appendElement(
                 "p",
                 "class='note'",
-                Figures.time(mReport.generatedMillis())
+                ReportFormat.time(mReport.generatedMillis())
                         + ", "
                         + mReport.answered().size()
                         + " of "
                         + vms
                         + " VMs told what they know. Burn rate 1 spends the error budget just in"
                         + " time.");
-        mPage.raw("<div class='tiles'>");
+        mPage.append("<div class='tiles'>");
         for (Verdict verdict : Verdict.values()) {
-            mPage.raw("<div class='tile' style='border-left-color:" + tileColour(verdict) + "'>");
-            mPage.element("b", "", Long.toString(mReport.count(verdict)));
-            mPage.element("span", "", tileLabel(verdict)).raw("</div>");
+            mPage.append("<div class='tile' style='border-left-color:" + tileColour(verdict) + "'>");
+            mPage.appendElement("b", "", Long.toString(mReport.count(verdict)));
+            mPage.appendElement("span", "", tileLabel(verdict)).append("</div>");
         }
-        mPage.raw("</div>");
+        mPage.append("</div>");
     }
 
     /** What wasn't seen may have been bad: a good verdict says so unless all is known. */
@@ -93,29 +93,29 @@
         return certain ? verdict.label() : verdict.label() + ", as far as known";
     }
 
-    private void writeUnknowns() {
-        List<String> unknowns = Unknowns.of(mReport);
-        mPage.raw("<div class='unknown'>");
+    private void writeDataGaps() {
+        List<String> unknowns = DataGaps.of(mReport);
+        mPage.append("<div class='unknown'>");
         if (unknowns.isEmpty()) {
-            mPage.element("b", "", "Every VM told, and each has counted for the whole 6 hours.");
+            mPage.appendElement("b", "", "Every VM told, and each has counted for the whole 6 hours.");
         } else {
-            mPage.element("b", "", "What this report doesn't know").raw("<ul>");
-            unknowns.forEach(sentence -> mPage.element("li", "", sentence));
-            mPage.raw("</ul>");
+            mPage.appendElement("b", "", "What this report doesn't know").append("<ul>");
+            unknowns.forEach(sentence -> mPage.appendElement("li", "", sentence));
+            mPage.append("</ul>");
         }
-        mPage.raw("</div>");
+        mPage.append("</div>");
     }
 
     private void writeTable() {
-        mPage.element("h2", "", "Request kinds, the worst first");
+        mPage.appendElement("h2", "", "Request kinds, the worst first");
         if (mReport.series().isEmpty()) {
-            mPage.element("p", "", "No request was counted in the last 6 hours.");
+            mPage.appendElement("p", "", "No request was counted in the last 6 hours.");
             return;
         }
         writeTableHead();
         mReport.series().forEach(this::writeRow);
-        mPage.raw("</tbody></table></div>");
-        mPage.element(
+        mPage.append("</tbody></table></div>");
+        mPage.appendElement(
                 "p",
                 "class='note'",
                 "Fast burn: 5m and 1h both over 14.4. Slow burn: 30m and 6h both over 6. Over"
@@ -123,94 +123,94 @@
     }
 
     private void writeTableHead() {
-        mPage.raw("<div class='wide'><table><thead><tr><th colspan='5'></th>");
-        mPage.raw("<th class='group' colspan='" + BurnWindow.values().length + "'>burn rate</th>");
-        mPage.raw("<th class='group' colspan='" + (Endings.BAD.size() + 2) + "'>requests in 6h");
-        mPage.raw("</th></tr><tr>");
+        mPage.append("<div class='wide'><table><thead><tr><th colspan='5'></th>");
+        mPage.append("<th class='group' colspan='" + BurnWindow.values().length + "'>burn rate</th>");
+        mPage.append("<th class='group' colspan='" + (OutcomeStyle.NOT_GOOD.size() + 2) + "'>requests in 6h");
+        mPage.append("</th></tr><tr>");
         for (String heading : List.of("Verdict", "Customer", "Service", "Kind")) {
-            mPage.element("th", "class='left'", heading);
+            mPage.appendElement("th", "class='left'", heading);
         }
-        mPage.element("th", "", "Objective");
+        mPage.appendElement("th", "", "Objective");
         Arrays.stream(BurnWindow.values())
-                .forEach(window -> mPage.element("th", "", window.label()));
-        mPage.element("th", "", "all").element("th", "", "bad");
-        Endings.BAD.forEach(outcome -> mPage.element("th", "", Endings.label(outcome)));
-        mPage.raw("</tr></thead><tbody>");
+                .forEach(window -> mPage.appendElement("th", "", window.label()));
+        mPage.appendElement("th", "", "all").appendElement("th", "", "bad");
+        OutcomeStyle.NOT_GOOD.forEach(outcome -> mPage.appendElement("th", "", OutcomeStyle.label(outcome)));
+        mPage.append("</tr></thead><tbody>");
     }
 
     private void writeRow(SeriesBurn burn) {
         OutcomeTally tally = burn.windows().of(BurnWindow.SIX_HOURS).tally();
-        mPage.raw("<tr>");
-        mPage.element(
-                "td", "class='left verdict " + shade(burn.verdict()) + "'", burn.verdict().label());
-        mPage.element("td", "class='left'", burn.customer());
-        mPage.element("td", "class='left'", burn.service());
-        mPage.element("td", "class='left'", burn.kind());
-        mPage.element("td", "", Figures.percentage(burn.objective()));
+        mPage.append("<tr>");
+        mPage.appendElement(
+                "td", "class='left verdict " + cssClass(burn.verdict()) + "'", burn.verdict().label());
+        mPage.appendElement("td", "class='left'", burn.customer());
+        mPage.appendElement("td", "class='left'", burn.service());
+        mPage.appendElement("td", "class='left'", burn.kind());
+        mPage.appendElement("td", "", ReportFormat.percentage(burn.objective()));
         burn.windows().windows().forEach(this::writeRate);
-        mPage.element("td", "", Figures.grouped(tally.total()));
-        mPage.element("td", "", Figures.grouped(tally.bad()));
-        Endings.BAD.forEach(outcome -> mPage.element("td", "", countOrDot(tally.count(outcome))));
-        mPage.raw("</tr>");
+        mPage.appendElement("td", "", ReportFormat.groupedCount(tally.total()));
+        mPage.appendElement("td", "", ReportFormat.groupedCount(tally.bad()));
+        OutcomeStyle.NOT_GOOD.forEach(outcome -> mPage.appendElement("td", "", countOrDot(tally.count(outcome))));
+        mPage.append("</tr>");
     }
 
     private void writeRate(WindowBurn burn) {
         double rate = burn.burnRate().orElse(0);
-        String shade = rate > Verdict.FAST_LIMIT ? "fast" : rate > 1 ? "over" : "";
-        if (rate > Verdict.SLOW_LIMIT && rate <= Verdict.FAST_LIMIT) {
+        String shade = rate > Verdict.FAST_BURN_THRESHOLD ? "fast" : rate > 1 ? "over" : "";
+        if (rate > Verdict.SLOW_BURN_THRESHOLD && rate <= Verdict.FAST_BURN_THRESHOLD) {
             shade = "slow";
         }
-        mPage.element("td", "class='" + shade + "'", Figures.rate(burn.burnRate()));
+        mPage.appendElement("td", "class='" + shade + "'", ReportFormat.rate(burn.burnRate()));
     }
 
     private void writePlots() {
         if (mReport.series().isEmpty()) {
             return;
         }
-        mPage.element("h2", "", "The last six hours");
-        if (mReport.series().size() > MOST_PLOTS) {
-            String left = Integer.toString(mReport.series().size() - MOST_PLOTS);
-            mPage.element("p", "class='note'", "The worst 40; " + left + " more in the table.");
+        mPage.appendElement("h2", "", "The last six hours");
+        if (mReport.series().size() > MAX_PLOTS) {
+            String left = Integer.toString(mReport.series().size() - MAX_PLOTS);
+            mPage.appendElement("p", "class='note'", "The worst 40; " + left + " more in the table.");
         }
         writeLegends();
-        mPage.raw("<div class='plots'>");
-        mReport.series().stream().limit(MOST_PLOTS).forEach(this::writePlot);
-        mPage.raw("</div>");
+        mPage.append("<div class='plots'>");
+        mReport.series().stream().limit(MAX_PLOTS).forEach(this::writePlot);
+        mPage.append("</div>");
     }
 
     private void writeLegends() {
-        mPage.raw("<p class='legend'>Burn rate: ");
-        writeKey(CoursePlot.rateColour(0), "up to 1");
-        writeKey(CoursePlot.rateColour(Verdict.SLOW_LIMIT), "over 1");
-        writeKey(CoursePlot.rateColour(Verdict.FAST_LIMIT), "over 6");
-        writeKey(CoursePlot.rateColour(Double.MAX_VALUE), "over 14.4");
-        mPage.raw("</p><p class='legend'>Requests: ");
-        for (Outcome outcome : Endings.BAD) {
-            writeKey(Endings.colour(outcome), Endings.label(outcome));
+        mPage.append("<p class='legend'>Burn rate: ");
+        writeLegendEntry(TimelinePlot.rateColour(0), "up to 1");
+        writeLegendEntry(TimelinePlot.rateColour(Verdict.SLOW_BURN_THRESHOLD), "over 1");
+        writeLegendEntry(TimelinePlot.rateColour(Verdict.FAST_BURN_THRESHOLD), "over 6");
+        writeLegendEntry(TimelinePlot.rateColour(Double.MAX_VALUE), "over 14.4");
+        mPage.append("</p><p class='legend'>Requests: ");
+        for (Outcome outcome : OutcomeStyle.NOT_GOOD) {
+            writeLegendEntry(OutcomeStyle.colour(outcome), OutcomeStyle.label(outcome));
         }
-        mPage.raw("</p><p class='legend'>Background: ");
-        writeKey(
+        mPage.append("</p><p class='legend'>Background: ");
+        writeLegendEntry(
                 "#d3d5d8",
                 "not known, as VMs are silent or younger than this; the darker, the less is known");
-        mPage.raw("</p>");
+        mPage.append("</p>");
     }
 
-    private void writeKey(String colour, String label) {
-        mPage.raw("<span><i style='background:" + colour + "'></i>" + label + "</span>");
+    private void writeLegendEntry(String colour, String label) {
+        mPage.append("<span><i style='background:" + colour + "'></i>" + label + "</span>");
     }
 
     private void writePlot(SeriesBurn burn) {
-        mPage.raw("<figure><figcaption>" + Markup.escape(burn.name()));
-        mPage.element("span", "", burn.verdict().label());
-        mPage.raw("</figcaption>");
-        mPage.raw(CoursePlot.of(burn, mReport.courseCoverage())).raw("</figure>");
+        mPage.append("<figure><figcaption>" + MarkupBuilder.escape(burn.qualifiedName()));
+        mPage.appendElement("span", "", burn.verdict().label());
+        mPage.append("</figcaption>");
+        mPage.append(TimelinePlot.of(burn, mReport.courseCoverage())).append("</figure>");
     }
 
     private static String countOrDot(double count) {
-        return count > 0 ? Figures.grouped(count) : "·";
+        return count > 0 ? ReportFormat.groupedCount(count) : "·";
     }
 
-    private static String shade(Verdict verdict) {
+    private static String cssClass(Verdict verdict) {
         return switch (verdict) {
             case FAST_BURN -> "fast";
             case SLOW_BURN -> "slow";
--- a/report/src/main/java/org/dahliapass/report/Markup.java
+++ b/report/src/main/java/org/dahliapass/report/MarkupBuilder.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Collects HTML and SVG text; everything that comes from outside goes through {@link #escape}. */
-final class Markup {
+final class MarkupBuilder {
     private final StringBuilder mText = new StringBuilder();
 
     /** Returns a text in which no character is read as markup. */
@@ -15,20 +15,20 @@
     }
 
     /** Adds markup. */
-    Markup raw(String markup) {
+    MarkupBuilder append(String markup) {
         mText.append(markup).append('\n');
         return this;
     }
 
     /** Adds markup made by a format; numbers are written without regard to the locale. */
-    Markup raw(String format, Object... values) {
-        return raw(String.format(Locale.ROOT, format, values));
+    MarkupBuilder append(String format, Object... values) {
+        return append(String.format(Locale.ROOT, format, values));
     }
 
     /** Adds an element with a text. */
-    Markup element(String name, String attributes, String text) {
+    MarkupBuilder appendElement(String name, String attributes, String text) {
         String opening = attributes.isEmpty() ? name : name + " " + attributes;
-        return raw("<" + opening + ">" + escape(text) + "</" + name + ">");
+        return append("<" + opening + ">" + escape(text) + "</" + name + ">");
     }
 
     @Override
--- a/report/src/main/java/org/dahliapass/report/Member.java
+++ b/report/src/main/java/org/dahliapass/report/Member.java
@@ -16,21 +16,21 @@
     private static final String DEAD = "dead";
 
     /** Returns whether it says enough to be asked. */
-    boolean isWhole() {
+    boolean hasNameAndAddress() {
         return name != null && operators != null;
     }
 
     /** Returns whether it may still answer. */
-    boolean mayAnswer() {
+    boolean isQueryable() {
         return !DEAD.equals(state);
     }
 
     /** Returns the later life of a VM; of two lists' words on one life, any will do. */
-    static Member later(Member one, Member other) {
-        return one.life() >= other.life() ? one : other;
+    static Member newer(Member one, Member other) {
+        return one.incarnationNumber() >= other.incarnationNumber() ? one : other;
     }
 
-    private long life() {
+    private long incarnationNumber() {
         return VmIdentity.parse(name + "~" + incarnation)
                 .map(VmIdentity::incarnation)
                 .orElse(Long.MIN_VALUE);
--- a/report/src/main/java/org/dahliapass/report/Endings.java
+++ b/report/src/main/java/org/dahliapass/report/OutcomeStyle.java
@@ -5,12 +5,12 @@
 import org.dahliapass.model.burn.Outcome;
 
 /** How the outcomes other than good are written and coloured. */
-final class Endings {
+final class OutcomeStyle {
     /** The outcomes other than good, in the order in which plots stack them. */
-    static final List<Outcome> BAD =
+    static final List<Outcome> NOT_GOOD =
             List.of(Outcome.FAILED, Outcome.CUT, Outcome.UNKNOWN, Outcome.REFUSED, Outcome.LATE);
 
-    private Endings() {}
+    private OutcomeStyle() {}
 
     static String label(Outcome outcome) {
         return outcome.name().toLowerCase(Locale.ROOT);
--- a/report/src/main/java/org/dahliapass/report/Figures.java
+++ b/report/src/main/java/org/dahliapass/report/ReportFormat.java
@@ -7,11 +7,11 @@
 import java.util.OptionalDouble;
 
 /** Writes figures the way that all forms of the report show them. */
-final class Figures {
-    private static final double ONE_DECIMAL_BELOW = 10;
-    private static final double HUNDRED = 100;
+final class ReportFormat {
+    private static final double MIN_WHOLE_RATE = 10;
+    private static final double PERCENT = 100;
 
-    private Figures() {}
+    private ReportFormat() {}
 
     /** Returns a burn rate with one decimal if it is small; a dash without requests. */
     static String rate(OptionalDouble rate) {
@@ -22,31 +22,31 @@
         if (value > 0 && value < 0.05) {
             return "<0.1";
         }
-        return String.format(Locale.ROOT, value < ONE_DECIMAL_BELOW ? "%.1f" : "%.0f", value);
+        return String.format(Locale.ROOT, value < MIN_WHOLE_RATE ? "%.1f" : "%.0f", value);
     }
 
     /** Returns a share as a percentage without needless zeros. */
     static String percentage(double share) {
-        String text = String.format(Locale.ROOT, "%.4f", share * HUNDRED);
+        String text = String.format(Locale.ROOT, "%.4f", share * PERCENT);
         return text.replaceAll("0+$", "").replaceAll("\\.$", "") + "%";
     }
 
     /** Returns a share as a whole percentage that is 100% only if nothing is missing. */
     static String coverage(double share) {
-        return (int) Math.floor(share * HUNDRED) + "%";
+        return (int) Math.floor(share * PERCENT) + "%";
     }
 
     /** Returns a count, which may be prorated, as a whole number; a trace of one counts as one. */
     static String count(double count) {
-        return Long.toString(whole(count));
+        return Long.toString(roundCount(count));
     }
 
     /** Returns a count like {@link #count} with its thousands set apart. */
-    static String grouped(double count) {
-        return String.format(Locale.ROOT, "%,d", whole(count));
+    static String groupedCount(double count) {
+        return String.format(Locale.ROOT, "%,d", roundCount(count));
     }
 
-    private static long whole(double count) {
+    private static long roundCount(double count) {
         return count > 0 && count < 1 ? 1 : Math.round(count);
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Returns how long something lasts, such as 2h 5m or 40s. */
-    static String age(long millis) {
+    static String duration(long millis) {
         Duration duration = Duration.ofMillis(millis);
         if (duration.toHours() > 0) {
             return duration.toHours() + "h " + duration.toMinutesPart() + "m";
--- a/report/src/main/java/org/dahliapass/report/ReportMain.java
+++ b/report/src/main/java/org/dahliapass/report/ReportMain.java
@@ -70,7 +70,7 @@
         mOutput.print(options.has(JSON) ? JsonReport.of(report) : TextReport.of(report));
         mOutput.flush();
         if (options.has(HTML)) {
-            write((String) options.valueOf(HTML), HtmlReport.of(report));
+            writePage((String) options.valueOf(HTML), HtmlReport.of(report));
         }
         return report.answered().isEmpty() ? ExitCode.FAILED : ExitCode.OK;
     }
@@ -118,7 +118,7 @@
         Optional<String> customer = Optional.ofNullable((String) options.valueOf(CUSTOMER));
         Duration timeout = Duration.ofSeconds((int) options.valueOf(TIMEOUT));
         try {
-            FleetBurn burn = new BurnCollector(timeout, customer).collect(contacts).get();
+            BurnAggregator burn = new BurnCollector(timeout, customer).collect(contacts).get();
             return burn.toReport(mClock.millis());
         } catch (ExecutionException failure) {
             throw new OperationException(
@@ -126,7 +126,7 @@
         }
     }
 
-    private static void write(String file, String page) {
+    private static void writePage(String file, String page) {
         try {
             Files.writeString(Path.of(file), page);
         } catch (IOException failure) {
--- a/report/src/main/java/org/dahliapass/report/AnsweredVm.java
+++ b/report/src/main/java/org/dahliapass/report/RespondingVm.java
@@ -6,4 +6,4 @@
  * @param vm its identity
  * @param ageMillis how long it has been counting
  */
-record AnsweredVm(String vm, long ageMillis) {}
+record RespondingVm(String vm, long ageMillis) {}
--- a/report/src/main/java/org/dahliapass/report/SeriesBurn.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesBurn.java
@@ -12,7 +12,7 @@
  * @param objective the share of requests that shall be good
  * @param verdict what the burn rates mean
  * @param windows the burn over each window
- * @param course how requests ended in each step of {@link Course}, oldest first
+ * @param course how requests ended in each step of {@link ReportTimeline}, oldest first
  */
 record SeriesBurn(
         String customer,
@@ -25,19 +25,19 @@
     /** The worst first: by verdict, then by the burn of the last hour. */
     static final Comparator<SeriesBurn> WORST_FIRST =
             Comparator.comparing(SeriesBurn::verdict)
-                    .thenComparing(Comparator.comparingDouble(SeriesBurn::hourRate).reversed())
-                    .thenComparing(SeriesBurn::name);
+                    .thenComparing(Comparator.comparingDouble(SeriesBurn::oneHourBurnRate).reversed())
+                    .thenComparing(SeriesBurn::qualifiedName);
 
     SeriesBurn {
         course = List.copyOf(course);
     }
 
     /** Returns the names of customer, service and kind in one text. */
-    String name() {
+    String qualifiedName() {
         return customer + " / " + service + " / " + kind;
     }
 
-    private double hourRate() {
+    private double oneHourBurnRate() {
         return windows.of(BurnWindow.ONE_HOUR).burnRate().orElse(0);
     }
 }
--- a/report/src/main/java/org/dahliapass/report/TextReport.java
+++ b/report/src/main/java/org/dahliapass/report/TextReport.java
@@ -9,7 +9,7 @@
 
 /** Writes the report as a table for a terminal. */
 final class TextReport {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private TextReport() {}
 
@@ -19,14 +19,14 @@
         lines.add(
                 String.format(
                         "Burn report of %s: %d of %d VMs told what they know.",
-                        Figures.time(report.generatedMillis()), report.answered().size(), vms));
+                        ReportFormat.time(report.generatedMillis()), report.answered().size(), vms));
         lines.add("");
         addTable(report, lines);
         lines.add("");
         lines.add(
                 "Burn rate 1 spends the error budget just in time. Fast burn: 5m and 1h over 14.4."
                         + " Slow burn: 30m and 6h over 6.");
-        addUnknowns(report, lines);
+        addDataGaps(report, lines);
         return String.join("\n", lines) + "\n";
     }
 
@@ -54,35 +54,35 @@
     private static List<String> row(SeriesBurn burn) {
         List<String> cells = new ArrayList<>();
         cells.add(burn.verdict().label());
-        cells.add(burn.name().replace(" / ", "/"));
-        cells.add(Figures.percentage(burn.objective()));
-        burn.windows().windows().forEach(window -> cells.add(Figures.rate(window.burnRate())));
+        cells.add(burn.qualifiedName().replace(" / ", "/"));
+        cells.add(ReportFormat.percentage(burn.objective()));
+        burn.windows().windows().forEach(window -> cells.add(ReportFormat.rate(window.burnRate())));
         OutcomeTally tally = burn.windows().of(BurnWindow.SIX_HOURS).tally();
-        cells.add(Figures.count(tally.bad()) + "/" + Figures.count(tally.total()));
-        cells.add(endings(tally));
+        cells.add(ReportFormat.count(tally.bad()) + "/" + ReportFormat.count(tally.total()));
+        cells.add(outcomeCounts(tally));
         return cells;
     }
 
     /** Returns the outcomes other than good that were met, such as 3 refused, 1 cut. */
-    private static String endings(OutcomeTally tally) {
+    private static String outcomeCounts(OutcomeTally tally) {
         return Arrays.stream(Outcome.values())
                 .filter(outcome -> outcome != Outcome.GOOD && tally.count(outcome) > 0)
-                .map(outcome -> Figures.count(tally.count(outcome)) + " " + Endings.label(outcome))
+                .map(outcome -> ReportFormat.count(tally.count(outcome)) + " " + OutcomeStyle.label(outcome))
                 .collect(
                         Collectors.collectingAndThen(
                                 Collectors.joining(", "),
                                 text -> text.isEmpty() ? "all good" : text));
     }
 
-    private static void addUnknowns(BurnReport report, List<String> lines) {
-        List<String> unknowns = Unknowns.of(report);
+    private static void addDataGaps(BurnReport report, List<String> lines) {
+        List<String> unknowns = DataGaps.of(report);
         lines.add("");
         if (unknowns.isEmpty()) {
             lines.add("Every VM told, and each has counted for the whole 6 hours.");
             return;
         }
         lines.add("What this report doesn't know:");
-        unknowns.forEach(sentence -> lines.add(GAP + sentence));
+        unknowns.forEach(sentence -> lines.add(COLUMN_SEPARATOR + sentence));
     }
 
     private static int[] widths(List<List<String>> rows) {
@@ -99,7 +99,7 @@
     private static String line(List<String> row, int[] widths) {
         return IntStream.range(0, row.size())
                 .mapToObj(column -> pad(row.get(column), widths[column]))
-                .collect(Collectors.joining(GAP))
+                .collect(Collectors.joining(COLUMN_SEPARATOR))
                 .stripTrailing();
     }
 
--- a/report/src/main/java/org/dahliapass/report/SilentVm.java
+++ b/report/src/main/java/org/dahliapass/report/UnresponsiveVm.java
@@ -7,4 +7,4 @@
  * @param operators the operators' address that was asked
  * @param reason why it told nothing
  */
-record SilentVm(String name, String operators, String reason) {}
+record UnresponsiveVm(String name, String operators, String reason) {}
--- a/report/src/main/java/org/dahliapass/report/WindowBurns.java
+++ b/report/src/main/java/org/dahliapass/report/WindowBurns.java
@@ -17,7 +17,7 @@
         return windows.stream().filter(burn -> burn.window() == window).findFirst().orElseThrow();
     }
 
-    boolean isOver(BurnWindow window, double limit) {
+    boolean exceeds(BurnWindow window, double limit) {
         return of(window).burnRate().orElse(0) > limit;
     }
 }
--- a/report/src/test/java/org/dahliapass/report/FleetBurnTest.java
+++ b/report/src/test/java/org/dahliapass/report/BurnAggregatorTest.java
@@ -13,23 +13,23 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests {@link FleetBurn} and the {@link TargetAssessment} on what it adds up. */
-public final class FleetBurnTest {
+/** Tests {@link BurnAggregator} and the {@link TargetAssessment} on what it adds up. */
+public final class BurnAggregatorTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final long MINUTE = 60_000;
     private static final long HOUR = 60 * MINUTE;
     private static final double DELTA = 1e-6;
 
-    private FleetBurn mFleet;
+    private BurnAggregator mAggregator;
 
     @BeforeMethod
     public void setUp() {
-        mFleet = new FleetBurn(customer -> true);
+        mAggregator = new BurnAggregator(customer -> true);
     }
 
     /** Gives bad requests of 100 in each minute, how many minutes ago they ended, the verdict. */
     @DataProvider
-    public Object[][] courses() {
+    public Object[][] burnPeriods() {
         return new Object[][] {
             {0, 0, 0, Verdict.WITHIN_BUDGET},
             {2, 360, 0, Verdict.FAST_BURN},
@@ -43,7 +43,7 @@
     }
 
     @Test(dataProvider = "courses")
-    public void verdictNeedsTheShortAndTheLongWindow(
+    public void verdictRequiresShortAndLongWindow(
             int badInMinute, int fromMinutesAgo, int toMinutesAgo, Verdict verdict) {
         OutcomeHistory ledger = new OutcomeHistory(1);
         for (int ago = 360; ago > 0; ago--) {
@@ -59,29 +59,29 @@
                         NOW - ago * MINUTE);
             }
         }
-        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
+        mAggregator.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
 
-        assertEquals(mFleet.toReport(NOW).series().get(0).verdict(), verdict);
+        assertEquals(mAggregator.toReport(NOW).series().get(0).verdict(), verdict);
     }
 
     @Test
-    public void countsOfSeveralVmsAddUpByAgeThoughTheirClocksDiffer() {
+    public void countsAreAlignedByAgeDespiteClockSkew() {
         long wrongClock = NOW - 3 * HOUR;
-        mFleet.add(snapshot("a~1", NOW, bucket(NOW - MINUTE / 2, 10_000, 90, 10)));
-        mFleet.add(snapshot("b~1", wrongClock, bucket(wrongClock - MINUTE / 2, 10_000, 100, 0)));
+        mAggregator.add(snapshot("a~1", NOW, bucket(NOW - MINUTE / 2, 10_000, 90, 10)));
+        mAggregator.add(snapshot("b~1", wrongClock, bucket(wrongClock - MINUTE / 2, 10_000, 100, 0)));
 
         WindowBurn minute =
-                mFleet.toReport(NOW).series().get(0).windows().of(BurnWindow.ONE_MINUTE);
+                mAggregator.toReport(NOW).series().get(0).windows().of(BurnWindow.ONE_MINUTE);
 
         assertEquals(minute.tally().total(), 200, DELTA);
         assertEquals(minute.burnRate().orElseThrow(), 10.0 / 200 / 0.01, DELTA);
     }
 
     @Test
-    public void bucketAtTheEdgeOfAWindowCountsByItsPart() {
-        mFleet.add(snapshot("a~1", NOW, bucket(NOW - 31 * MINUTE, 5 * MINUTE, 100, 0)));
+    public void bucketOverlappingWindowStartIsProrated() {
+        mAggregator.add(snapshot("a~1", NOW, bucket(NOW - 31 * MINUTE, 5 * MINUTE, 100, 0)));
 
-        WindowBurns windows = mFleet.toReport(NOW).series().get(0).windows();
+        WindowBurns windows = mAggregator.toReport(NOW).series().get(0).windows();
 
         assertEquals(windows.of(BurnWindow.THIRTY_MINUTES).tally().total(), 80, DELTA);
         assertEquals(windows.of(BurnWindow.ONE_HOUR).tally().total(), 100, DELTA);
@@ -89,56 +89,56 @@
     }
 
     @Test
-    public void bucketThatStillRunsCountsWhole() {
-        mFleet.add(snapshot("a~1", NOW, bucket(NOW, 10_000, 7, 0)));
+    public void currentBucketIsCountedInFull() {
+        mAggregator.add(snapshot("a~1", NOW, bucket(NOW, 10_000, 7, 0)));
 
-        BurnReport report = mFleet.toReport(NOW);
+        BurnReport report = mAggregator.toReport(NOW);
 
         assertEquals(
                 report.series().get(0).windows().of(BurnWindow.ONE_MINUTE).tally().total(),
                 7,
                 DELTA);
-        assertEquals(report.series().get(0).course().get(Course.STEPS - 1).total(), 7, DELTA);
+        assertEquals(report.series().get(0).course().get(ReportTimeline.STEP_COUNT - 1).total(), 7, DELTA);
     }
 
     // All VMs were replaced half an hour ago and keep nothing. The new ones know of no failure
     // before. The report must say that it knows little of the long windows, not that all was well.
     @Test
-    public void youngAndSilentVmsLowerTheCoverage() {
-        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
-        mFleet.add(new ErrorBudgetSnapshot("b~1", NOW - 30 * MINUTE, NOW, 3, List.of()));
-        mFleet.addSilent(new SilentVm("c", "10.0.0.3:9", "no connection"));
+    public void newAndUnresponsiveVmsReduceCoverage() {
+        mAggregator.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
+        mAggregator.add(new ErrorBudgetSnapshot("b~1", NOW - 30 * MINUTE, NOW, 3, List.of()));
+        mAggregator.addUnresponsive(new UnresponsiveVm("c", "10.0.0.3:9", "no connection"));
 
-        BurnReport report = mFleet.toReport(NOW);
+        BurnReport report = mAggregator.toReport(NOW);
 
-        assertEquals(share(report, BurnWindow.THIRTY_MINUTES), 2.0 / 3, DELTA);
-        assertEquals(share(report, BurnWindow.ONE_HOUR), 1.5 / 3, DELTA);
+        assertEquals(coverage(report, BurnWindow.THIRTY_MINUTES), 2.0 / 3, DELTA);
+        assertEquals(coverage(report, BurnWindow.ONE_HOUR), 1.5 / 3, DELTA);
         assertEquals(report.courseCoverage().get(0), 1.0 / 3, DELTA);
         assertEquals(report.uncounted(), 3);
         assertFalse(report.isComplete());
-        assertTrue(String.join("\n", Unknowns.of(report)).contains("1 VM is younger"));
+        assertTrue(String.join("\n", DataGaps.of(report)).contains("1 VM is younger"));
     }
 
     @Test
-    public void wholeFleetThatIsOldEnoughIsComplete() {
-        mFleet.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
+    public void reportIsCompleteIfAllVmsCoverLongestWindow() {
+        mAggregator.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
 
-        assertTrue(mFleet.toReport(NOW).isComplete());
-        assertEquals(Unknowns.of(mFleet.toReport(NOW)), List.of());
+        assertTrue(mAggregator.toReport(NOW).isComplete());
+        assertEquals(DataGaps.of(mAggregator.toReport(NOW)), List.of());
     }
 
     @Test
-    public void objectiveIsThatOfTheNewestBucket() {
+    public void objectiveComesFromNewestBucket() {
         ErrorBudgetBucket old =
                 new ErrorBudgetBucket(
                         "himal", "desk", "lock", 0.9, NOW - HOUR, 10_000, 1, 0, 0, 0, 0, 0, 0);
-        mFleet.add(snapshot("a~1", NOW, bucket(NOW - MINUTE, 10_000, 1, 0)));
-        mFleet.add(snapshot("b~1", NOW, old));
+        mAggregator.add(snapshot("a~1", NOW, bucket(NOW - MINUTE, 10_000, 1, 0)));
+        mAggregator.add(snapshot("b~1", NOW, old));
 
-        assertEquals(mFleet.toReport(NOW).series().get(0).objective(), 0.99);
+        assertEquals(mAggregator.toReport(NOW).series().get(0).objective(), 0.99);
     }
 
-    private static double share(BurnReport report, BurnWindow window) {
+    private static double coverage(BurnReport report, BurnWindow window) {
         return report.coverage().stream()
                 .filter(coverage -> coverage.window() == window)
                 .findFirst()
--- a/report/src/test/java/org/dahliapass/report/ReportMainTest.java
+++ b/report/src/test/java/org/dahliapass/report/ReportMainTest.java
@@ -52,7 +52,7 @@
                         .service(
                                 "/operations/burn",
                                 (context, request) ->
-                                        HttpResponse.of(mBurnStatus, MediaType.JSON, burn()))
+                                        HttpResponse.of(mBurnStatus, MediaType.JSON, snapshotJson()))
                         .build();
         mServer.start().join();
         mAddress = "127.0.0.1:" + mServer.activeLocalPort();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    public void textNamesTheKindAndItsVerdict() {
+    public void textReportListsKindAndOutcomes() {
         assertEquals(run("--vm", mAddress), ExitCode.OK);
         assertTrue(output().contains("1 of 1 VMs told"), output());
         assertTrue(output().contains("himal/desk/lo<ck"), output());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void jsonIsReadableAndHoldsTheRates() throws Exception {
+    public void jsonReportContainsBurnRates() throws Exception {
         assertEquals(run("--vm", mAddress, "--json"), ExitCode.OK);
 
         JsonNode series = JSON.readTree(output()).get("series").get(0);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void pageStandsAloneAndEscapesNames() throws Exception {
+    public void htmlReportIsSelfContainedAndEscapesNames() throws Exception {
         Path file = Files.createTempFile("burn", ".html");
         try {
             assertEquals(run("--vm", mAddress, "--html", file.toString()), ExitCode.OK);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void customerThatIsNamedIsTheOnlyOne() {
+    public void customerOptionFiltersOtherCustomers() {
         assertEquals(run("--vm", mAddress, "--customer", "vatulele"), ExitCode.OK);
         assertTrue(output().contains("vatulele/rankings/lookup"), output());
         assertFalse(output().contains("himal"), output());
@@ -117,7 +117,7 @@
     // A VM has died and another hangs half alive: its list is good but its counts are not. The
     // report must still come, and name both with the reason.
     @Test
-    public void vmsThatDontTellAreNamedAndTheRestIsReported() {
+    public void unresponsiveVmsAreListedAndOthersReported() {
         mMembers =
                 "["
                         + member("a", 1, mAddress, "alive")
@@ -135,7 +135,7 @@
     }
 
     @Test
-    public void laterLifeOfAVmIsTheOneAsked() {
+    public void newestIncarnationOfVmIsQueried() {
         mMembers =
                 "["
                         + member("a", 1, "127.0.0.1:1", "alive")
@@ -148,7 +148,7 @@
     }
 
     @Test
-    public void failsIfNoVmTold() {
+    public void failsIfNoVmResponds() {
         mBurnStatus = HttpStatus.SERVICE_UNAVAILABLE;
 
         assertEquals(run("--vm", mAddress), ExitCode.FAILED);
@@ -156,7 +156,7 @@
     }
 
     @Test
-    public void failsIfTheListIsNoJson() {
+    public void failsIfMemberListIsNotJson() {
         mMembers = "<html>";
 
         assertEquals(run("--vm", mAddress), ExitCode.FAILED);
@@ -164,14 +164,14 @@
     }
 
     @Test
-    public void wrongOptionsAreReportedAllAtOnce() {
+    public void allInvalidOptionsAreReported() {
         assertEquals(run("--timeout", "0", "--customer", "a b", "extra"), ExitCode.USAGE);
         String errors = mErrors.toString(StandardCharsets.UTF_8);
         assertEquals(errors.lines().count(), 4, errors);
         assertEquals(run("--vm", "nowhere"), ExitCode.USAGE);
     }
 
-    private static String burn() {
+    private static String snapshotJson() {
         OutcomeHistory ledger = new OutcomeHistory(2);
         for (Outcome outcome :
                 List.of(Outcome.GOOD, Outcome.GOOD, Outcome.FAILED, Outcome.REFUSED)) {
