--- a/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/ChangeFeedTest.java
@@ -30,7 +30,7 @@
 import org.dahliapass.platform.StoredItem;
 import org.dahliapass.platform.VmEntry;
 import org.dahliapass.platform.WatchResponse;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -54,7 +54,7 @@
         GatewaySettings settings =
                 GatewaySettings.from(
                         IniFile.parse(
-                                "test", GatewaySample.settings(new Endpoint("127.0.0.1", 9))));
+                                "test", GatewayFixtures.settings(new Endpoint("127.0.0.1", 9))));
         mStore.mSelfEntry =
                 StoredItem.of(
                         VmEntry.key(settings.self().name()), VmEntry.encode(settings.self()), 1);
@@ -175,7 +175,7 @@
                         new StoreEvent.Written(
                                 StoredItem.of(
                                         ConfigurationDocument.KEY,
-                                        GatewaySample.configuration(3, "/r/"),
+                                        GatewayFixtures.configuration(3, "/r/"),
                                         3))));
         GatewayFixture.await(() -> mFollower.view().routes().isPresent());
         GatewayFixture.await(() -> mStore.mWatchCount.get() >= 2);
--- a/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/FleetFixture.java
@@ -10,20 +10,20 @@
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.dahliapass.standins.MetadataStoreStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
-import org.dahliapass.standins.SealingTargetStandIn.Seen;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
+import org.dahliapass.standins.SigningTargetStandIn.ReceivedRequest;
 
 /** Several gateway VMs that know each other, with one store and several targets on loopback. */
 final class FleetFixture implements AutoCloseable {
     private static final int TARGETS = 10;
 
     final MetadataStoreStandIn mStore = new MetadataStoreStandIn(0, new MonotonicClock());
-    final List<SealingTargetStandIn> mTargets =
+    final List<SigningTargetStandIn> mTargets =
             IntStream.range(0, TARGETS)
-                    .mapToObj(number -> new SealingTargetStandIn("i-" + number))
+                    .mapToObj(number -> new SigningTargetStandIn("i-" + number))
                     .toList();
     private final List<GatewaySettings> mSettings = new ArrayList<>();
     private final List<GatewayVm> mVms = new ArrayList<>();
@@ -31,9 +31,9 @@
     /** Starts the VMs and waits until each has served a read and knows the others. */
     FleetFixture(int vms) {
         mStore.start();
-        mTargets.forEach(SealingTargetStandIn::start);
+        mTargets.forEach(SigningTargetStandIn::start);
         mTargets.forEach(target -> mStore.put(target.key(), target.registration("x", "ready")));
-        mStore.put("op/config", GatewaySample.configuration(1, "/r/"));
+        mStore.put("op/config", GatewayFixtures.configuration(1, "/r/"));
         for (int number = 0; number < vms; number++) {
             startVm();
         }
@@ -43,7 +43,7 @@
     void startVm() {
         int number = mVms.size();
         String text =
-                GatewaySample.settings(mStore.endpoint())
+                GatewayFixtures.settings(mStore.endpoint())
                         .replace("name = vm", "name = vm-" + number);
         GatewaySettings settings = GatewaySettings.from(IniFile.parse("test", text));
         EventLog log =
@@ -65,7 +65,7 @@
     private void awaitAdvertised(int queried, int vms) {
         GatewayFixture.await(
                 () ->
-                        CallerStandIn.read(
+                        CallerStandIn.get(
                                                 mSettings.get(queried).discovery(),
                                                 DiscoveryCalls.DISCOVERY_PATH
                                                         + "?name=a.example&region=r&zone=zone-a")
@@ -75,8 +75,8 @@
     }
 
     /** Sets the behaviour of all targets. */
-    void behave(Function<Seen, Behaviour> behaviour) {
-        mTargets.forEach(target -> target.behave(behaviour));
+    void behave(Function<ReceivedRequest, Behaviour> behaviour) {
+        mTargets.forEach(target -> target.setBehaviour(behaviour));
     }
 
     /** Sends a read, which is a repeatable request, to a VM and returns the raw response. */
@@ -95,13 +95,13 @@
 
     /** Returns the number of targets that have exited. */
     long exitedTargets() {
-        return mTargets.stream().filter(SealingTargetStandIn::hasEnded).count();
+        return mTargets.stream().filter(SigningTargetStandIn::isStopped).count();
     }
 
     @Override
     public void close() {
         mVms.forEach(vm -> vm.stopNow().join());
-        mTargets.forEach(SealingTargetStandIn::close);
+        mTargets.forEach(SigningTargetStandIn::close);
         mStore.close();
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayAddressPlanTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayAddressPlanTest.java
@@ -15,7 +15,7 @@
 import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.VmEntry;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -109,7 +109,7 @@
                             + ":80\",\"zone\":\"zone-b\",\"state\":\"ready\",\"slots\":3}";
             mFixture.mStore.put("servers/crowd-" + number, target);
         }
-        mFixture.mStore.put("op/config", GatewaySample.configuration(2, "/r/"));
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(2, "/r/"));
     }
 
     private void registerZone(String zone, int large) {
@@ -126,7 +126,7 @@
     /** Returns the addresses that are advertised to the callers of a zone. */
     private List<String> advertised(String zone) {
         String response =
-                CallerStandIn.read(
+                CallerStandIn.get(
                         mFixture.mSettings.discovery(),
                         DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=" + zone);
         List<String> advertised = new ArrayList<>();
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.dahliapass.platform.TargetHeaders;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.GatewayFixtures;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -53,7 +53,7 @@
     public void start() {
         mFixture = new GatewayFixture();
         String configuration =
-                GatewaySample.configuration(2, "/slow/")
+                GatewayFixtures.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "60,30,2,null,1");
         mFixture.mStore.put("op/config", configuration);
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/slow/warm")) == 200);
@@ -125,7 +125,7 @@
         assertEquals(CallerStandIn.status(mFixture.get("/other/")), 404);
         disconnection.disconnect(caller);
         assertEquals(CallerStandIn.status(mFixture.get("/other/")), 404);
-        behave(Behaviour.ANSWER);
+        behave(Behaviour.RESPOND);
         for (Socket connection : occupying) {
             connection.close();
         }
@@ -153,15 +153,15 @@
     }
 
     private int openedConnections() {
-        return mFixture.mTargets.stream().mapToInt(SealingTargetStandIn::connections).sum();
+        return mFixture.mTargets.stream().mapToInt(SigningTargetStandIn::connectionCount).sum();
     }
 
     private int closedConnections() {
-        return mFixture.mTargets.stream().mapToInt(SealingTargetStandIn::endedConnections).sum();
+        return mFixture.mTargets.stream().mapToInt(SigningTargetStandIn::closedConnectionCount).sum();
     }
 
     private void behave(Behaviour behaviour) {
-        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour));
+        mFixture.mTargets.forEach(target -> target.setBehaviour(seen -> behaviour));
     }
 
     private static String request(String path, boolean closeAfterwards) {
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayFixture.java
@@ -7,9 +7,9 @@
 import org.dahliapass.kernel.IniFile;
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.dahliapass.standins.MetadataStoreStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn;
 
 /** A gateway VM with a store and two targets, all on the loopback address. */
 final class GatewayFixture implements AutoCloseable {
@@ -17,8 +17,8 @@
     private static final int MAX_POLLS = 4_000;
 
     final MetadataStoreStandIn mStore = new MetadataStoreStandIn(0, new MonotonicClock());
-    final List<SealingTargetStandIn> mTargets =
-            List.of(new SealingTargetStandIn("i-1"), new SealingTargetStandIn("i-2"));
+    final List<SigningTargetStandIn> mTargets =
+            List.of(new SigningTargetStandIn("i-1"), new SigningTargetStandIn("i-2"));
     final GatewaySettings mSettings;
     final GatewayVm mVm;
 
@@ -30,14 +30,14 @@
 
     private GatewayFixture(boolean registered) {
         mStore.start();
-        mTargets.forEach(SealingTargetStandIn::start);
+        mTargets.forEach(SigningTargetStandIn::start);
         if (registered) {
             registerTargets();
         }
-        mStore.put("op/config", GatewaySample.configuration(1, "/r/"));
+        mStore.put("op/config", GatewayFixtures.configuration(1, "/r/"));
         mSettings =
                 GatewaySettings.from(
-                        IniFile.parse("test", GatewaySample.settings(mStore.endpoint())));
+                        IniFile.parse("test", GatewayFixtures.settings(mStore.endpoint())));
         EventLog log =
                 new EventLog(
                         new MonotonicClock(),
@@ -77,8 +77,8 @@
     /** Returns the number of requests for a path at both targets. */
     long seen(String path) {
         return mTargets.stream()
-                .flatMap(target -> target.seen().stream())
-                .filter(request -> request.line().contains(" " + path + " "))
+                .flatMap(target -> target.receivedRequests().stream())
+                .filter(request -> request.requestLine().contains(" " + path + " "))
                 .count();
     }
 
@@ -96,7 +96,7 @@
     @Override
     public void close() {
         mVm.stopNow().join();
-        mTargets.forEach(SealingTargetStandIn::close);
+        mTargets.forEach(SigningTargetStandIn::close);
         mStore.close();
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.dahliapass.platform.TargetHeaders;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.GatewayFixtures;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -32,7 +32,7 @@
     public void start() {
         mFixture = new GatewayFixture();
         String configuration =
-                GatewaySample.configuration(2, "/slow/")
+                GatewayFixtures.configuration(2, "/slow/")
                         .replace("1.5,0.8,2,null,2", "30,0.8,2,null,2");
         mFixture.mStore.put("op/config", configuration);
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/slow/warm")) == 200);
@@ -50,10 +50,10 @@
     @Test
     public void hedgeIsRetriedWhenASlotIsReleased() throws IOException {
         AtomicBoolean first = new AtomicBoolean(true);
-        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour(seen, first)));
+        mFixture.mTargets.forEach(target -> target.setBehaviour(seen -> behaviour(seen, first)));
         CompletableFuture<String> read =
                 CompletableFuture.supplyAsync(
-                        () -> mFixture.caller().raw(request("GET /slow/read")));
+                        () -> mFixture.caller().sendRaw(request("GET /slow/read")));
         GatewayFixture.await(() -> mFixture.seen("/slow/read") == 1);
         List<Socket> locks = new ArrayList<>();
         for (int number = 0; number < CAPACITY - 1; number++) {
@@ -67,9 +67,9 @@
     }
 
     /** Locks and the first read hang. */
-    private static Behaviour behaviour(SealingTargetStandIn.Seen seen, AtomicBoolean first) {
-        boolean hangs = seen.line().startsWith("POST") || first.getAndSet(false);
-        return hangs ? Behaviour.HANG : Behaviour.ANSWER;
+    private static Behaviour behaviour(SigningTargetStandIn.ReceivedRequest seen, AtomicBoolean first) {
+        boolean hangs = seen.requestLine().startsWith("POST") || first.getAndSet(false);
+        return hangs ? Behaviour.HANG : Behaviour.RESPOND;
     }
 
     private static String request(String requestLine) {
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayLifecycleTest.java
@@ -8,7 +8,7 @@
 import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.platform.StoreCalls;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -35,11 +35,11 @@
                 mFixture.mTargets.get(0).registration("x", "draining"));
         GatewayFixture.await(
                 () -> {
-                    int previous = mFixture.mTargets.get(0).seen().size();
+                    int previous = mFixture.mTargets.get(0).receivedRequests().size();
                     for (int number = 0; number < 10; number++) {
                         mFixture.get("/r/after");
                     }
-                    return mFixture.mTargets.get(0).seen().size() == previous;
+                    return mFixture.mTargets.get(0).receivedRequests().size() == previous;
                 });
         assertEquals(CallerStandIn.status(mFixture.get("/r/other")), 200);
     }
@@ -59,11 +59,11 @@
 
     @Test
     public void newerConfigurationIsAppliedAndOlderOneIsIgnored() {
-        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/new/"));
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(5, "/new/"));
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/new/1")) == 200);
         assertEquals(CallerStandIn.status(mFixture.get("/r/1")), 404);
-        mFixture.mStore.put("op/config", GatewaySample.configuration(4, "/r/"));
-        mFixture.mStore.put("op/config", GatewaySample.configuration(6, "/newest/"));
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(4, "/r/"));
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(6, "/newest/"));
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/newest/1")) == 200);
         assertEquals(CallerStandIn.status(mFixture.get("/r/1")), 404);
     }
@@ -80,21 +80,21 @@
 
     @Test
     public void requestsAreServedWhileStoreIsUnavailable() {
-        mFixture.mStore.setAway(true);
+        mFixture.mStore.setUnavailable(true);
         for (int number = 0; number < 20; number++) {
             assertEquals(CallerStandIn.status(mFixture.get("/r/away" + number)), 200);
         }
-        mFixture.mStore.setAway(false);
-        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/back/"));
+        mFixture.mStore.setUnavailable(false);
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(5, "/back/"));
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/back/1")) == 200);
     }
 
     @Test
     public void changesBeforeCompactionAreApplied() {
-        mFixture.mStore.setAway(true);
-        mFixture.mStore.put("op/config", GatewaySample.configuration(5, "/lost/"));
-        mFixture.mStore.forgetHistory();
-        mFixture.mStore.setAway(false);
+        mFixture.mStore.setUnavailable(true);
+        mFixture.mStore.put("op/config", GatewayFixtures.configuration(5, "/lost/"));
+        mFixture.mStore.compactHistory();
+        mFixture.mStore.setUnavailable(false);
         GatewayFixture.await(() -> CallerStandIn.status(mFixture.get("/lost/1")) == 200);
     }
 
@@ -108,7 +108,7 @@
         CompletableFuture<Void> drained = mFixture.mVm.drain();
         assertEquals(CallerStandIn.status(mFixture.get("/r/leaving")), 200);
         String readiness =
-                CallerStandIn.read(mFixture.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
+                CallerStandIn.get(mFixture.mSettings.readiness(), DiscoveryCalls.READINESS_PATH);
         assertEquals(CallerStandIn.status(readiness), 503);
         GatewayFixture.await(() -> mFixture.mStore.keys("dahliapass/vms/").equals(List.of()));
         drained.join();
@@ -118,7 +118,7 @@
     public void discoveryReturnsThisVm() {
         GatewayFixture.await(
                 () ->
-                        CallerStandIn.read(
+                        CallerStandIn.get(
                                         mFixture.mSettings.discovery(),
                                         DiscoveryCalls.DISCOVERY_PATH
                                                 + "?name=a.example&region=r&zone=zone-a")
@@ -129,7 +129,7 @@
     @Test
     public void mirrorOfTheStoreIsServed() {
         String mirror =
-                CallerStandIn.read(
+                CallerStandIn.get(
                         mFixture.mSettings.self().peerEndpoint(),
                         StoreCalls.RANGE_PATH + "?prefix=");
         assertTrue(mirror.contains("op/config"), mirror);
@@ -141,7 +141,7 @@
     public void storeCallsAreCountedByKind() {
         GatewayFixture.await(
                 () ->
-                        CallerStandIn.read(mFixture.mSettings.self().peerEndpoint(), "/metrics")
+                        CallerStandIn.get(mFixture.mSettings.self().peerEndpoint(), "/metrics")
                                 .contains("dahliapass_store_calls_total{call=\"watch\"}"));
     }
 
@@ -150,9 +150,9 @@
     public void unknownRouteIsRetriedWithoutRecentUpdates() {
         try (GatewayFixture fixture = new GatewayFixture()) {
             assertEquals(CallerStandIn.status(fixture.get("/new/")), 404);
-            fixture.mStore.setAway(true);
+            fixture.mStore.setUnavailable(true);
             GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/new/")) == 503);
-            fixture.mStore.setAway(false);
+            fixture.mStore.setUnavailable(false);
             GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/new/")) == 404);
         }
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.dahliapass.platform.QuarantineEntry;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 import org.testng.annotations.Test;
 
 /** Tests of poison requests, which crash each target that runs them. */
@@ -93,9 +93,9 @@
             AtomicInteger crashes = new AtomicInteger();
             fleet.behave(
                     seen ->
-                            seen.line().contains("/r/beside") && crashes.getAndIncrement() < 1
-                                    ? Behaviour.END_PROCESS
-                                    : Behaviour.ANSWER);
+                            seen.requestLine().contains("/r/beside") && crashes.getAndIncrement() < 1
+                                    ? Behaviour.CRASH
+                                    : Behaviour.RESPOND);
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 assertEquals(CallerStandIn.status(fleet.get(0, "/r/beside")), 200);
             }
@@ -108,11 +108,11 @@
     public void brokenConnectionsDoNotQuarantine() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             fleet.behave(
-                    seen -> seen.line().contains("/r/reset") ? Behaviour.CLOSE : Behaviour.ANSWER);
+                    seen -> seen.requestLine().contains("/r/reset") ? Behaviour.CLOSE : Behaviour.RESPOND);
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 assertEquals(CallerStandIn.status(fleet.get(0, "/r/reset")), 502);
             }
-            fleet.behave(seen -> Behaviour.ANSWER);
+            fleet.behave(seen -> Behaviour.RESPOND);
             assertEquals(CallerStandIn.status(fleet.get(0, "/r/reset")), 200);
         }
     }
@@ -120,9 +120,9 @@
     private static void poison(FleetFixture fleet, String path) {
         fleet.behave(
                 seen ->
-                        seen.line().contains(" " + path + " ")
-                                ? Behaviour.END_PROCESS
-                                : Behaviour.ANSWER);
+                        seen.requestLine().contains(" " + path + " ")
+                                ? Behaviour.CRASH
+                                : Behaviour.RESPOND);
     }
 
     private static void assertRefused(String response) {
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayRequestTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayRequestTest.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.dahliapass.platform.TargetHeaders;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.BeforeMethod;
@@ -30,7 +30,7 @@
 
     @BeforeMethod
     public void resetBehaviour() {
-        behave(Behaviour.ANSWER);
+        behave(Behaviour.RESPOND);
     }
 
     @Test
@@ -48,8 +48,8 @@
         mFixture.get("/r/2");
         var seen =
                 mFixture.mTargets.stream()
-                        .flatMap(target -> target.seen().stream())
-                        .filter(request -> request.line().contains("/r/2 "))
+                        .flatMap(target -> target.receivedRequests().stream())
+                        .filter(request -> request.requestLine().contains("/r/2 "))
                         .findFirst()
                         .orElseThrow();
         assertTrue(Integer.parseInt(header(seen, TargetHeaders.REMAINING_MILLIS)) <= 1_500);
@@ -99,11 +99,11 @@
         AtomicInteger first = new AtomicInteger();
         mFixture.mTargets.forEach(
                 target ->
-                        target.behave(
+                        target.setBehaviour(
                                 seen ->
                                         first.getAndIncrement() == 0
                                                 ? Behaviour.SHED
-                                                : Behaviour.ANSWER));
+                                                : Behaviour.RESPOND));
         assertEquals(CallerStandIn.status(mFixture.post("/l/shed", "body")), 200);
         assertEquals(mFixture.seen("/l/shed"), 2);
     }
@@ -126,7 +126,7 @@
     /** A truncated response must not appear complete; a read can be retried. */
     @Test
     public void readIsRetriedAfterTruncatedBody() {
-        breakFirst(Behaviour.CUT_SHORT);
+        breakFirst(Behaviour.TRUNCATE_BODY);
         String response = mFixture.get("/r/cut");
         assertEquals(CallerStandIn.status(response), 200);
         assertTrue(response.endsWith("answer to read-" + "/r/cut".hashCode()), response);
@@ -134,14 +134,14 @@
 
     @Test
     public void truncatedResponseToLockIsBadGateway() {
-        behave(Behaviour.CUT_SHORT);
+        behave(Behaviour.TRUNCATE_BODY);
         assertEquals(CallerStandIn.status(mFixture.post("/l/cut", "body")), 502);
         assertEquals(mFixture.seen("/l/cut"), 1);
     }
 
     @Test
     public void responseWithoutLengthEndsWithConnection() {
-        behave(Behaviour.UNFRAMED);
+        behave(Behaviour.CLOSE_DELIMITED);
         String response = mFixture.get("/r/unframed");
         assertEquals(CallerStandIn.status(response), 200);
         assertTrue(response.contains("answer to read-" + "/r/unframed".hashCode()), response);
@@ -153,7 +153,7 @@
      */
     @Test
     public void resetResponseWithoutLengthIsBadGateway() {
-        behave(Behaviour.UNFRAMED_RESET);
+        behave(Behaviour.CLOSE_DELIMITED_RESET);
         assertEquals(CallerStandIn.status(mFixture.post("/l/reset", "body")), 502);
     }
 
@@ -163,7 +163,7 @@
      */
     @Test
     public void duplicateResponseIsDiscarded() {
-        behave(Behaviour.ANSWER_TWICE);
+        behave(Behaviour.RESPOND_TWICE);
         for (int number = 0; number < 50; number++) {
             String path = "/r/twice" + number;
             String response = mFixture.get(path);
@@ -194,7 +194,7 @@
                         + ": head\r\nX-Filler: "
                         + "x".repeat(16_384)
                         + "\r\n\r\n";
-        assertEquals(CallerStandIn.status(mFixture.caller().raw(request)), 431);
+        assertEquals(CallerStandIn.status(mFixture.caller().sendRaw(request)), 431);
         assertEquals(mFixture.seen("/r/head"), 0);
     }
 
@@ -221,7 +221,7 @@
 
                         """,
                         TargetHeaders.ATTEMPT_ID, TargetHeaders.ATTEMPT_ID);
-        String response = mFixture.caller().raw(request.replace("\n", "\r\n"));
+        String response = mFixture.caller().sendRaw(request.replace("\n", "\r\n"));
         assertEquals(CallerStandIn.status(response), 400);
         assertTrue(response.toLowerCase(Locale.ROOT).contains("connection: close"), response);
         assertEquals(CallerStandIn.status(mFixture.get("/r/next")), 200);
@@ -232,26 +232,26 @@
     @Test
     public void requestWithoutAttemptIdIsRejected() {
         String request = "GET /r/noid HTTP/1.1\r\nHost: a.example\r\n\r\n";
-        String response = mFixture.caller().raw(request);
+        String response = mFixture.caller().sendRaw(request);
         assertEquals(CallerStandIn.status(response), 400);
     }
 
-    private static String header(SealingTargetStandIn.Seen seen, CharSequence name) {
+    private static String header(SigningTargetStandIn.ReceivedRequest seen, CharSequence name) {
         return seen.headers().get(name.toString());
     }
 
     private void behave(Behaviour behaviour) {
-        mFixture.mTargets.forEach(target -> target.behave(seen -> behaviour));
+        mFixture.mTargets.forEach(target -> target.setBehaviour(seen -> behaviour));
     }
 
     private void breakFirst(Behaviour behaviour) {
         AtomicInteger first = new AtomicInteger();
         mFixture.mTargets.forEach(
                 target ->
-                        target.behave(
+                        target.setBehaviour(
                                 seen ->
                                         first.getAndIncrement() == 0
                                                 ? behaviour
-                                                : Behaviour.ANSWER));
+                                                : Behaviour.RESPOND));
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 import org.testng.annotations.Test;
 
 /** Tests that a request runs at the intended target instance only. */
@@ -21,7 +21,7 @@
     @Test
     public void requestNamesTargetThatJoinedLater() {
         try (GatewayFixture fixture = GatewayFixture.withoutTargets()) {
-            SealingTargetStandIn first = fixture.mTargets.get(0);
+            SigningTargetStandIn first = fixture.mTargets.get(0);
             fixture.mStore.put(first.key(), first.registration("x", "ready"));
             boolean reached = false;
             for (int round = 0; round < MAX_ROUNDS && !reached; round++) {
@@ -33,11 +33,11 @@
 
     /** Returns whether the request was sent to the target that joined later. */
     private static boolean isSentToTargetThatJoinedLater(
-            GatewayFixture fixture, SealingTargetStandIn first, String request) {
-        try (SealingTargetStandIn foreign = new SealingTargetStandIn("i-foreign")) {
+            GatewayFixture fixture, SigningTargetStandIn first, String request) {
+        try (SigningTargetStandIn foreign = new SigningTargetStandIn("i-foreign")) {
             foreign.start();
             CountDownLatch joined = new CountDownLatch(1);
-            first.behave(seen -> shedOnceJoined(seen, request, joined));
+            first.setBehaviour(seen -> shedOnceJoined(seen, request, joined));
             GatewayFixture.await(() -> CallerStandIn.status(fixture.get("/r/warm")) == 200);
             CompletableFuture<String> response =
                     CompletableFuture.supplyAsync(() -> fixture.get(request));
@@ -46,21 +46,21 @@
             GatewayFixture.await(
                     () -> {
                         fixture.get("/r/probe");
-                        return foreign.misdirected() > 0;
+                        return foreign.misdirectedCount() > 0;
                     });
-            int before = foreign.misdirected();
+            int before = foreign.misdirectedCount();
             joined.countDown();
             response.join();
             fixture.mStore.remove("servers/i-gone");
-            assertEquals(foreign.seen().size(), 0, "Requests executed by a foreign service.");
-            return foreign.misdirected() > before;
+            assertEquals(foreign.receivedRequests().size(), 0, "Requests executed by a foreign service.");
+            return foreign.misdirectedCount() > before;
         }
     }
 
     private static Behaviour shedOnceJoined(
-            SealingTargetStandIn.Seen seen, String request, CountDownLatch joined) {
-        if (!seen.line().contains(request + " ")) {
-            return Behaviour.ANSWER;
+            SigningTargetStandIn.ReceivedRequest seen, String request, CountDownLatch joined) {
+        if (!seen.requestLine().contains(request + " ")) {
+            return Behaviour.RESPOND;
         }
         try {
             joined.await();
--- a/gateway/src/test/java/org/dahliapass/gateway/PeerExchangeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/PeerExchangeTest.java
@@ -12,7 +12,7 @@
 import org.dahliapass.kernel.IniFile;
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.model.Endpoint;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.dahliapass.standins.MetadataStoreStandIn;
 import org.dahliapass.wire.message.TrustNews;
 import org.dahliapass.wire.message.WorkAtTarget;
@@ -34,7 +34,7 @@
             store.start();
             GatewaySettings settings =
                     GatewaySettings.from(
-                            IniFile.parse("test", GatewaySample.settings(store.endpoint())));
+                            IniFile.parse("test", GatewayFixtures.settings(store.endpoint())));
             EventLog log = new EventLog(new MonotonicClock(), "vm", new PrintStream(output, true));
             GatewayVm vm = new GatewayVm(settings, new MonotonicClock(), log);
             vm.start().join();
--- a/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/StoreFollowerTest.java
@@ -15,7 +15,7 @@
 import org.dahliapass.kernel.ManualClock;
 import org.dahliapass.platform.StoreEvent;
 import org.dahliapass.platform.StoredItem;
-import org.dahliapass.standins.SealingTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -114,7 +114,7 @@
     }
 
     private static StoredItem item(String instance) {
-        try (SealingTargetStandIn target = new SealingTargetStandIn(instance)) {
+        try (SigningTargetStandIn target = new SigningTargetStandIn(instance)) {
             byte[] entry = target.registration("x", "ready").getBytes(StandardCharsets.UTF_8);
             return StoredItem.of(target.key(), entry, 1);
         }
--- a/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
+++ b/lab/src/main/java/org/dahliapass/lab/GatewayRehearsal.java
@@ -15,10 +15,10 @@
 import org.dahliapass.platform.ConfigurationDocument;
 import org.dahliapass.platform.DiscoveryCalls;
 import org.dahliapass.standins.CallerStandIn;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.dahliapass.standins.MetadataStoreStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
-import org.dahliapass.standins.SealingTargetStandIn.Behaviour;
+import org.dahliapass.standins.SigningTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn.Behaviour;
 
 /**
  * Takes a gateway VM through its usual work once, so that the build can list the classes that it
@@ -50,23 +50,23 @@
     private static boolean rehearse() {
         MonotonicClock clock = new MonotonicClock();
         MetadataStoreStandIn store = new MetadataStoreStandIn(0, clock);
-        List<SealingTargetStandIn> targets =
-                List.of(new SealingTargetStandIn("i-1"), new SealingTargetStandIn("i-2"));
+        List<SigningTargetStandIn> targets =
+                List.of(new SigningTargetStandIn("i-1"), new SigningTargetStandIn("i-2"));
         store.start();
-        targets.forEach(SealingTargetStandIn::start);
+        targets.forEach(SigningTargetStandIn::start);
         targets.forEach(target -> store.put(target.key(), target.registration("x", "ready")));
-        store.put(ConfigurationDocument.KEY, GatewaySample.configuration(1, "/r/"));
-        String text = GatewaySample.settings(store.endpoint());
+        store.put(ConfigurationDocument.KEY, GatewayFixtures.configuration(1, "/r/"));
+        String text = GatewayFixtures.settings(store.endpoint());
         GatewaySettings settings = GatewaySettings.from(IniFile.parse("rehearsal", text));
         startGateway(text);
         awaitListening(settings.self().callerEndpoint());
         boolean served =
                 serves(new CallerStandIn(settings.self().callerEndpoint(), "a.example"), targets);
-        CallerStandIn.read(
+        CallerStandIn.get(
                 settings.discovery(),
                 DiscoveryCalls.DISCOVERY_PATH + "?name=a.example&region=r&zone=zone-a");
-        CallerStandIn.read(settings.readiness(), DiscoveryCalls.READINESS_PATH);
-        store.put(ConfigurationDocument.KEY, GatewaySample.configuration(2, "/other/"));
+        CallerStandIn.get(settings.readiness(), DiscoveryCalls.READINESS_PATH);
+        store.put(ConfigurationDocument.KEY, GatewayFixtures.configuration(2, "/other/"));
         return served;
     }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    private static boolean serves(CallerStandIn caller, List<SealingTargetStandIn> targets) {
+    private static boolean serves(CallerStandIn caller, List<SigningTargetStandIn> targets) {
         int tries = 0;
         while (CallerStandIn.status(caller.send("GET /r/", "warm", "")) != OK) {
             if (++tries > MOST_TRIES) {
@@ -105,8 +105,8 @@
             LockSupport.parkNanos(PAUSE_NANOS);
         }
         for (Behaviour behaviour :
-                List.of(Behaviour.ANSWER, Behaviour.FAIL, Behaviour.CLOSE, Behaviour.SHED)) {
-            targets.forEach(target -> target.behave(seen -> behaviour));
+                List.of(Behaviour.RESPOND, Behaviour.FAIL, Behaviour.CLOSE, Behaviour.SHED)) {
+            targets.forEach(target -> target.setBehaviour(seen -> behaviour));
             for (int number = 0; number < REQUESTS; number++) {
                 caller.send("GET /r/", "read-" + number, "");
                 caller.send("POST /l/", "lock-" + number, "body");
--- a/lab/src/main/java/org/dahliapass/lab/cost/GatewayStageMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/cost/GatewayStageMain.java
@@ -14,9 +14,9 @@
 import org.dahliapass.kernel.MonotonicClock;
 import org.dahliapass.kernel.Program;
 import org.dahliapass.platform.ConfigurationDocument;
-import org.dahliapass.standins.GatewaySample;
+import org.dahliapass.standins.GatewayFixtures;
 import org.dahliapass.standins.MetadataStoreStandIn;
-import org.dahliapass.standins.SealingTargetStandIn;
+import org.dahliapass.standins.SigningTargetStandIn;
 
 /** Runs a store and two targets, and writes the settings of one gateway VM for each round. */
 public final class GatewayStageMain extends Program {
@@ -51,15 +51,15 @@
     @Override
     protected ExitCode run(OptionSet options) throws InterruptedException {
         MetadataStoreStandIn store = new MetadataStoreStandIn(0, new MonotonicClock());
-        List<SealingTargetStandIn> targets =
-                List.of(new SealingTargetStandIn("i-1"), new SealingTargetStandIn("i-2"));
+        List<SigningTargetStandIn> targets =
+                List.of(new SigningTargetStandIn("i-1"), new SigningTargetStandIn("i-2"));
         store.start();
-        targets.forEach(SealingTargetStandIn::start);
+        targets.forEach(SigningTargetStandIn::start);
         targets.forEach(target -> store.put(target.key(), target.registration("x", "ready")));
-        store.put(ConfigurationDocument.KEY, GatewaySample.configuration(1, "/r/"));
+        store.put(ConfigurationDocument.KEY, GatewayFixtures.configuration(1, "/r/"));
         Path directory = Path.of(options.valueOf(mDirectory));
         for (int number = 1; number <= options.valueOf(mVms); number++) {
-            write(directory, number, GatewaySample.settings(store.endpoint()));
+            write(directory, number, GatewayFixtures.settings(store.endpoint()));
         }
         int others = options.valueOf(mOthers);
         for (int number = 0; number < others; number++) {
--- a/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
@@ -77,7 +77,7 @@
     public void onlyTwoVmsOfAZoneWatchTheStore() {
         mFleet.accept(mFleet.template("29s"), 1);
         mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
-        mFleet.await("six watches wait", () -> mFleet.store().waitingWatches() == 6);
-        assertTrue(mFleet.store().waitingWatches() <= 6);
+        mFleet.await("six watches wait", () -> mFleet.store().pendingWatchCount() == 6);
+        assertTrue(mFleet.store().pendingWatchCount() <= 6);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/SlowReader.java
+++ b/lab/src/test/java/org/dahliapass/lab/SlowReader.java
@@ -54,7 +54,7 @@
     @Override
     public void onNext(HttpData piece) {
         for (byte value : piece.array()) {
-            if (value != PatternBody.at(mLength)) {
+            if (value != PatternBody.byteAt(mLength)) {
                 mEnd.completeExceptionally(new AssertionError("Wrong byte at " + mLength));
             }
             mLength++;
--- a/spec/src/test/java/org/dahliapass/spec/AlloyRunner.java
+++ b/spec/src/test/java/org/dahliapass/spec/AlloyRunner.java
@@ -50,12 +50,12 @@
     }
 
     /** Names the guards of the specification, in the order of the text. */
-    List<String> guards() {
+    List<String> guardNames() {
         return GUARD.matcher(mSource).results().map(match -> match.group(1)).toList();
     }
 
     /** Names the assertions that the specification checks, in the order of the text. */
-    List<String> checks() {
+    List<String> assertionNames() {
         return CHECK.matcher(mSource).results().map(match -> match.group(1)).toList();
     }
 
@@ -63,12 +63,12 @@
      * Tells whether the solver finds an instance of a {@code run}, or a counterexample of a {@code
      * check}, in the whole specification.
      */
-    boolean finds(String commandName) {
+    boolean isSatisfiable(String commandName) {
         return solve(mSource, commandName, true);
     }
 
-    /** Like {@link #finds}, with the named guard switched off. */
-    boolean findsWithout(String guard, String commandName) {
+    /** Like {@link #isSatisfiable}, with the named guard switched off. */
+    boolean isSatisfiableWithout(String guard, String commandName) {
         return solve(sourceWithout(guard), commandName, false);
     }
 
--- a/spec/src/test/java/org/dahliapass/spec/OnceSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/AtMostOnceSpecificationTest.java
@@ -28,7 +28,7 @@
  * AtMostOnce} and over 9 for {@code NotRunIsTrueForever}; two keys over 8 for {@code
  * ResultIsFromTheRun}.
  */
-public final class OnceSpecificationTest {
+public final class AtMostOnceSpecificationTest {
 
     /** A one-line guard, its parameters, its body, and the assertion that fails without it. */
     private static final Pattern GUARD =
--- a/spec/src/test/java/org/dahliapass/spec/DistributionSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/DistributionSpecificationTest.java
@@ -32,6 +32,6 @@
      */
     @Test
     void fillFromPeerMayLackUnreportedChange() {
-        assertTrue(runner().finds("unpromisedPeerFillIsCurrent"));
+        assertTrue(runner().isSatisfiable("unpromisedPeerFillIsCurrent"));
     }
 }
--- a/spec/src/test/java/org/dahliapass/spec/MembershipSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/MembershipSpecificationTest.java
@@ -31,6 +31,6 @@
     /** The limit of indirect probes: with no helper left, a one-way cut looks like a death. */
     @Test
     void cutWithoutHelperEndsInDeath() {
-        assertTrue(runner().finds("unpromisedWithoutHelper"));
+        assertTrue(runner().isSatisfiable("unpromisedWithoutHelper"));
     }
 }
--- a/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
+++ b/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
@@ -32,7 +32,7 @@
     }
 
     /** A guard to switch off, and the promise that then has a counterexample. */
-    record Variant(String guard, String brokenPromise) {}
+    record Variant(String guard, String violatedAssertion) {}
 
     /** Runs the commands of the specification under test. */
     AlloyRunner runner() {
@@ -41,7 +41,7 @@
 
     @DataProvider
     Object[][] promises() {
-        Stream<String> promises = mRunner.checks().stream();
+        Stream<String> promises = mRunner.assertionNames().stream();
         return rows(promises.filter(promise -> !promise.startsWith(UNPROMISED)));
     }
 
@@ -56,24 +56,24 @@
 
     @Test
     void interestingTracesExist() {
-        assertTrue(mRunner.finds("interesting"), "No interesting trace: the facts contradict");
+        assertTrue(mRunner.isSatisfiable("interesting"), "No interesting trace: the facts contradict");
     }
 
     @Test(dataProvider = "promises")
     void wholeSpecificationKeepsPromise(String promise) {
-        assertFalse(mRunner.finds(promise), "Counterexample to " + promise);
+        assertFalse(mRunner.isSatisfiable(promise), "Counterexample to " + promise);
     }
 
     @Test(dataProvider = "variants")
     void withoutGuardPromiseBreaks(Variant variant) {
         assertTrue(
-                mRunner.findsWithout(variant.guard(), variant.brokenPromise()),
+                mRunner.isSatisfiableWithout(variant.guard(), variant.violatedAssertion()),
                 "No counterexample; the guard isn't needed or the scope is too small: " + variant);
     }
 
     @Test
     void eachGuardHasVariant() {
         List<String> switchedOff = mVariants.stream().map(Variant::guard).distinct().toList();
-        assertEquals(switchedOff, mRunner.guards(), "Guards and variants differ");
+        assertEquals(switchedOff, mRunner.guardNames(), "Guards and variants differ");
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/ReadWait.java
+++ b/standins/src/main/java/org/dahliapass/standins/BlockingReadParameters.java
@@ -8,22 +8,22 @@
  * @param index answer once the index is higher; 0 for at once
  * @param waitMillis answer after this time at the latest, in milliseconds
  */
-record ReadWait(long index, long waitMillis) {
+record BlockingReadParameters(long index, long waitMillis) {
     private static final String DEFAULT_WAIT = "5m";
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final long MILLIS_PER_MINUTE = 60_000;
 
-    static ReadWait of(QueryParams parameters) {
-        return new ReadWait(
-                parameters.getLong("index", 0), millis(parameters.get("wait", DEFAULT_WAIT)));
+    static BlockingReadParameters of(QueryParams parameters) {
+        return new BlockingReadParameters(
+                parameters.getLong("index", 0), parseMillis(parameters.get("wait", DEFAULT_WAIT)));
     }
 
-    boolean blocks() {
+    boolean isBlocking() {
         return index > 0;
     }
 
     /** Returns the milliseconds of a time such as {@code 500ms}, {@code 10s} or {@code 5m}. */
-    static long millis(String text) {
+    static long parseMillis(String text) {
         if (text.endsWith("ms")) {
             return number(text, 2);
         }
--- a/standins/src/main/java/org/dahliapass/standins/WaitingReads.java
+++ b/standins/src/main/java/org/dahliapass/standins/BlockingReads.java
@@ -9,14 +9,14 @@
 import java.util.function.ToLongFunction;
 
 /** Holds blocking reads until their key's index has grown or their wait has ended. */
-final class WaitingReads {
+final class BlockingReads {
     private record Waiting(String key, long index, CompletableFuture<Void> ready) {}
 
     private final Set<Waiting> mWaiting = ConcurrentHashMap.newKeySet();
     private final ToLongFunction<String> mIndexOf;
     private volatile boolean mClosed;
 
-    WaitingReads(ToLongFunction<String> indexOf) {
+    BlockingReads(ToLongFunction<String> indexOf) {
         mIndexOf = indexOf;
     }
 
@@ -26,8 +26,8 @@
     }
 
     /** Returns a future that completes when the read is to be answered. */
-    CompletableFuture<Void> await(String key, ReadWait wait, EventLoop eventLoop) {
-        if (!wait.blocks()) {
+    CompletableFuture<Void> await(String key, BlockingReadParameters wait, EventLoop eventLoop) {
+        if (!wait.isBlocking()) {
             return CompletableFuture.completedFuture(null);
         }
         Waiting waiting = new Waiting(key, wait.index(), new CompletableFuture<>());
@@ -38,7 +38,7 @@
                         wait.waitMillis(),
                         TimeUnit.MILLISECONDS);
         // A change between the caller's look and the line above would else be missed.
-        wakeChanged();
+        completeChanged();
         if (mClosed) {
             waiting.ready.complete(null);
         }
@@ -50,7 +50,7 @@
     }
 
     /** Answers the reads whose key's index has grown. */
-    void wakeChanged() {
+    void completeChanged() {
         for (Waiting waiting : mWaiting) {
             if (mIndexOf.applyAsLong(waiting.key) > waiting.index) {
                 waiting.ready.complete(null);
@@ -59,7 +59,7 @@
     }
 
     /** Answers all reads. */
-    void wakeAll() {
+    void completeAll() {
         mWaiting.forEach(waiting -> waiting.ready.complete(null));
     }
 
@@ -71,6 +71,6 @@
      */
     void close() {
         mClosed = true;
-        wakeAll();
+        completeAll();
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/CallerStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/CallerStandIn.java
@@ -45,7 +45,7 @@
      * @return the whole answer as it came
      */
     public String send(String call, String id, String body) {
-        return raw(
+        return sendRaw(
                 call
                         + " HTTP/1.1\r\nHost: "
                         + mHost
@@ -58,13 +58,13 @@
     }
 
     /** Reads a path of any server. */
-    public static String read(Endpoint server, String path) {
+    public static String get(Endpoint server, String path) {
         return new CallerStandIn(server, "vm")
-                .raw("GET " + path + " HTTP/1.1\r\nHost: vm\r\nConnection: close\r\n\r\n");
+                .sendRaw("GET " + path + " HTTP/1.1\r\nHost: vm\r\nConnection: close\r\n\r\n");
     }
 
     /** Sends bytes on a connection of their own and returns the answer to them. */
-    public String raw(String bytes) {
+    public String sendRaw(String bytes) {
         try (Socket socket = new Socket(InetAddress.getByName(mServer.host()), mServer.port())) {
             socket.setSoTimeout(LONGEST_SILENCE_MILLIS);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
--- a/standins/src/main/java/org/dahliapass/standins/GatewaySample.java
+++ b/standins/src/main/java/org/dahliapass/standins/GatewayFixtures.java
@@ -9,10 +9,10 @@
 import org.dahliapass.model.Endpoint;
 
 /** The configuration and the settings of one gateway VM on the loopback address, as texts. */
-public final class GatewaySample {
+public final class GatewayFixtures {
     private static final int ADDRESSES = 5;
 
-    private GatewaySample() {}
+    private GatewayFixtures() {}
 
     /** Returns a configuration with a route for reads and one for locks at host a.example. */
     public static String configuration(long version, String reads) {
--- a/standins/src/main/java/org/dahliapass/standins/Answers.java
+++ b/standins/src/main/java/org/dahliapass/standins/HttpResponses.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /** Answers that all stand-ins share: JSON, and connections that end without one. */
-final class Answers {
+final class HttpResponses {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private Answers() {}
+    private HttpResponses() {}
 
     /** Returns the value as JSON with status 200. */
     static HttpResponse json(Object value) {
@@ -49,12 +49,12 @@
     }
 
     /** Returns a service that answers with a value read at each call. */
-    static HttpService show(Supplier<?> value) {
+    static HttpService valueService(Supplier<?> value) {
         return (context, request) -> json(value.get());
     }
 
     /** Returns a service that takes a JSON body as the whole new state and answers with it. */
-    static <T> HttpService replace(Class<T> type, Consumer<T> target) {
+    static <T> HttpService replaceService(Class<T> type, Consumer<T> target) {
         return (context, request) ->
                 HttpResponse.of(
                         request.aggregate()
--- a/standins/src/main/java/org/dahliapass/standins/Work.java
+++ b/standins/src/main/java/org/dahliapass/standins/InFlightRequest.java
@@ -17,7 +17,7 @@
  *
  * <p>All methods run on the request's event loop.
  */
-final class Work {
+final class InFlightRequest {
     private final TargetState mState;
     private final HttpResponseWriter mWriter;
     private final EventLoop mEventLoop;
@@ -25,7 +25,7 @@
     private boolean mEnded;
     private boolean mHeadersSent;
 
-    Work(TargetState state, HttpResponseWriter writer, EventLoop eventLoop) {
+    InFlightRequest(TargetState state, HttpResponseWriter writer, EventLoop eventLoop) {
         mState = state;
         mWriter = writer;
         mEventLoop = eventLoop;
@@ -42,7 +42,7 @@
     }
 
     /** Does a step of the work after a time, unless the work has ended by then. */
-    void after(long millis, Runnable step) {
+    void schedule(long millis, Runnable step) {
         mTimers.add(mEventLoop.schedule(() -> ifOpen(step), millis, TimeUnit.MILLISECONDS));
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Answers with a JSON body, or with its first half and a closed stream. */
-    void answer(byte[] json, boolean closeEarly) {
+    void respond(byte[] json, boolean closeEarly) {
         writeHeaders(MediaType.JSON_UTF_8, json.length);
         if (closeEarly) {
             mWriter.write(HttpData.copyOf(json, 0, json.length / 2));
@@ -92,7 +92,7 @@
             return;
         }
         if (offset < end) {
-            HttpData piece = PatternBody.piece(offset, end);
+            HttpData piece = PatternBody.chunk(offset, end);
             mWriter.write(piece);
             whenConsumed(() -> writeFrom(offset + piece.length(), end, closeEarly));
             return;
@@ -136,7 +136,7 @@
         }
         mEnded = true;
         mTimers.forEach(timer -> timer.cancel(false));
-        mState.freeSlot();
+        mState.releaseSlot();
         return true;
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
@@ -59,7 +59,7 @@
     }
 
     /** Writes the key if its modify index is the expected one; 0 expects that it is absent. */
-    public synchronized boolean putIf(String key, String value, long expected, long nowMillis) {
+    public synchronized boolean compareAndSwap(String key, String value, long expected, long nowMillis) {
         lapse(nowMillis);
         if (!isAt(key, expected)) {
             return false;
@@ -96,7 +96,7 @@
     }
 
     /** Removes the key if its modify index is the expected one. */
-    public synchronized boolean deleteIf(String key, long expected, long nowMillis) {
+    public synchronized boolean compareAndDelete(String key, long expected, long nowMillis) {
         lapse(nowMillis);
         if (!isAt(key, expected)) {
             return false;
--- a/standins/src/main/java/org/dahliapass/standins/LoopbackServer.java
+++ b/standins/src/main/java/org/dahliapass/standins/LoopbackServer.java
@@ -75,12 +75,12 @@
     void setRefusing(boolean refusing) {
         mRefusing = refusing;
         if (refusing) {
-            dropConnections();
+            closeConnections();
         }
     }
 
     /** Closes the open connections; new ones are taken. */
-    void dropConnections() {
+    void closeConnections() {
         Future<?> unused = mConnections.close();
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
@@ -85,17 +85,17 @@
     }
 
     /** Makes the store answer 503 to every call, or serve again. */
-    public void setAway(boolean away) {
+    public void setUnavailable(boolean away) {
         mAway = away;
     }
 
     /** Forgets all changes so far, so that watches from before end with 410. */
-    public void forgetHistory() {
-        mTable.forgetHistory();
+    public void compactHistory() {
+        mTable.compactHistory();
     }
 
     /** Returns how many watches were begun. */
-    public int watches() {
+    public int watchCount() {
         return mWatches.get();
     }
 
@@ -111,7 +111,7 @@
                                         ifThere(
                                                 () ->
                                                         answer.apply(
-                                                                Answers.decode(
+                                                                HttpResponses.decode(
                                                                         body.contentUtf8(),
                                                                         JsonNode.class)))));
     }
@@ -123,7 +123,7 @@
         mTable.range(context.queryParams().get("prefix", ""), now)
                 .forEach(entry -> put(items.addObject(), entry));
         body.put("has_more", false).put("as_of", mTable.revision(now));
-        return Answers.json(body);
+        return HttpResponses.json(body);
     }
 
     private HttpResponse watch(ServiceRequestContext context) {
@@ -150,7 +150,7 @@
         } else if (changes.isEmpty()) {
             answer.complete(HttpResponse.of(HttpStatus.GONE));
         } else if (!changes.get().isEmpty() || now >= until) {
-            answer.complete(Answers.json(changes(changes.get(), mTable.revision(now))));
+            answer.complete(HttpResponses.json(changes(changes.get(), mTable.revision(now))));
         } else {
             Future<?> unused =
                     context.eventLoop()
@@ -166,8 +166,8 @@
         ArrayNode events = body.putArray("events");
         for (MetadataTable.Change change : changes) {
             ObjectNode event = events.addObject();
-            if (change.written().isPresent()) {
-                put(event, change.written().get());
+            if (change.entry().isPresent()) {
+                put(event, change.entry().get());
             } else {
                 event.put("key", change.key()).put("revision", change.revision());
                 event.put("deleted", true);
@@ -196,26 +196,26 @@
             }
         }
         body.path("remove").forEach(key -> mTable.remove(key.asText(), now));
-        return Answers.json(JSON.createObjectNode().put("revision", mTable.revision(now)));
+        return HttpResponses.json(JSON.createObjectNode().put("revision", mTable.revision(now)));
     }
 
     private HttpResponse grant(JsonNode body) {
         double seconds = body.path("ttl_s_time").asDouble();
         long lease = mTable.grant((long) (seconds * MILLIS_PER_SECOND), mClock.millis());
-        return Answers.json(JSON.createObjectNode().put("lease", lease).put("ttl_s_time", seconds));
+        return HttpResponses.json(JSON.createObjectNode().put("lease", lease).put("ttl_s_time", seconds));
     }
 
     private HttpResponse renew(ServiceRequestContext context) {
         long lease = Long.parseLong(context.pathParam("lease"));
         return mTable.renew(lease, mClock.millis())
-                ? Answers.json(JSON.createObjectNode())
+                ? HttpResponses.json(JSON.createObjectNode())
                 : HttpResponse.of(HttpStatus.NOT_FOUND);
     }
 
     private HttpResponse end(ServiceRequestContext context) {
         long lease = Long.parseLong(context.pathParam("lease"));
-        return mTable.end(lease, mClock.millis())
-                ? Answers.json(JSON.createObjectNode())
+        return mTable.revoke(lease, mClock.millis())
+                ? HttpResponses.json(JSON.createObjectNode())
                 : HttpResponse.of(HttpStatus.NOT_FOUND);
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/MetadataTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/MetadataTable.java
@@ -42,9 +42,9 @@
      *
      * @param key the key
      * @param revision the revision of the change
-     * @param written the key as it was written; empty if it was removed
+     * @param entry the key as it was written; empty if it was removed
      */
-    public record Change(String key, long revision, Optional<Entry> written) {}
+    public record Change(String key, long revision, Optional<Entry> entry) {}
 
     private record Lease(long timeToLiveMillis, long endsAtMillis) {}
 
@@ -122,13 +122,13 @@
     }
 
     /** Ends a lease and removes its keys; false if it had ended. */
-    public synchronized boolean end(long lease, long nowMillis) {
+    public synchronized boolean revoke(long lease, long nowMillis) {
         lapse(nowMillis);
         return endLease(lease);
     }
 
     /** Forgets all changes so far. */
-    public synchronized void forgetHistory() {
+    public synchronized void compactHistory() {
         mChanges.clear();
         mForgotten = mRevision;
     }
--- a/standins/src/main/java/org/dahliapass/standins/PatternBody.java
+++ b/standins/src/main/java/org/dahliapass/standins/PatternBody.java
@@ -5,7 +5,7 @@
 /** The content of large answers: each byte follows from its offset alone. */
 public final class PatternBody {
     /** The largest piece that is written at once, in bytes. */
-    static final int PIECE_LENGTH = 64 * 1024;
+    static final int CHUNK_LENGTH = 64 * 1024;
 
     /** A prime, so that a piece that is lost, doubled or moved shows. */
     private static final int PERIOD = 251;
@@ -15,20 +15,20 @@
     private PatternBody() {}
 
     /** Returns the byte at an offset. */
-    public static byte at(long offset) {
+    public static byte byteAt(long offset) {
         return (byte) (offset % PERIOD);
     }
 
     /** Returns the next piece from an offset, ending before {@code end} at the latest. */
-    static HttpData piece(long offset, long end) {
-        int length = (int) Math.min(PIECE_LENGTH, end - offset);
+    static HttpData chunk(long offset, long end) {
+        int length = (int) Math.min(CHUNK_LENGTH, end - offset);
         return HttpData.wrap(PATTERN, (int) (offset % PERIOD), length);
     }
 
     private static byte[] pattern() {
-        byte[] pattern = new byte[PIECE_LENGTH + PERIOD];
+        byte[] pattern = new byte[CHUNK_LENGTH + PERIOD];
         for (int offset = 0; offset < pattern.length; offset++) {
-            pattern[offset] = at(offset);
+            pattern[offset] = byteAt(offset);
         }
         return pattern;
     }
--- a/standins/src/main/java/org/dahliapass/standins/WorkOutcome.java
+++ b/standins/src/main/java/org/dahliapass/standins/RequestOutcome.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /** How one request for work ends at a target. */
-enum WorkOutcome {
+enum RequestOutcome {
     /** It runs and is answered whole. */
-    ANSWER,
+    COMPLETE,
     /** It never runs; status 500. */
     FAIL_BEFORE_RUN,
     /** It runs; status 500. */
@@ -16,13 +16,13 @@
     CLOSE_EARLY;
 
     /** Draws an outcome under the faults in force. */
-    static WorkOutcome draw(TargetFaults faults, RandomGenerator random) {
+    static RequestOutcome draw(TargetFaults faults, RandomGenerator random) {
         if (faults.stall()) {
             return STALL;
         }
         if (random.nextDouble() < faults.failShare()) {
             return faults.failAfterRun() ? FAIL_AFTER_RUN : FAIL_BEFORE_RUN;
         }
-        return faults.closeEarly() ? CLOSE_EARLY : ANSWER;
+        return faults.closeEarly() ? CLOSE_EARLY : COMPLETE;
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/SealingTargetStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/SigningTargetStandIn.java
@@ -22,33 +22,33 @@
  * Stands in for a target that repeats the caller's id and signs its answers, byte by byte, so that
  * it can also send what no HTTP library would.
  */
-public final class SealingTargetStandIn implements StandIn {
+public final class SigningTargetStandIn implements StandIn {
     private static final String SEAL = "3e1b.07.5a2.600.0.c9f2a4d1";
     private static final int BACKLOG = 100;
     private static final long RESET_PAUSE_NANOS = 100_000_000;
 
     private final String mInstance;
     private final ServerSocket mSocket;
-    private final List<Seen> mSeen = new CopyOnWriteArrayList<>();
+    private final List<ReceivedRequest> mSeen = new CopyOnWriteArrayList<>();
     private final List<Socket> mConnections = new CopyOnWriteArrayList<>();
     private final AtomicInteger mEnded = new AtomicInteger();
     private final AtomicInteger mMisdirected = new AtomicInteger();
     private Thread mAcceptor;
-    private volatile Function<Seen, Behaviour> mBehaviour = seen -> Behaviour.ANSWER;
+    private volatile Function<ReceivedRequest, Behaviour> mBehaviour = seen -> Behaviour.RESPOND;
 
     /** What the target does with a request. */
     public enum Behaviour {
         /** Answers in full. */
-        ANSWER {
+        RESPOND {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 write(connection, head(seen, 200, "") + body(seen));
             }
         },
         /** Answers in full and once more, as if the answer had been lost. */
-        ANSWER_TWICE {
+        RESPOND_TWICE {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 String answer = head(seen, 200, "") + body(seen);
                 write(connection, answer + answer);
             }
@@ -56,58 +56,58 @@
         /** States that it didn't run the request. */
         SHED {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 write(connection, head(seen, 503, "X-Dahliapass-Not-Executed: 1\r\n") + body(seen));
             }
         },
         /** States that another target was meant, so that it didn't run the request. */
         MISDIRECTED {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 write(connection, head(seen, 421, "X-Dahliapass-Not-Executed: 1\r\n") + body(seen));
             }
         },
         /** Runs the request and fails. */
         FAIL {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 write(connection, head(seen, 500, "") + body(seen));
             }
         },
         /** Takes the request and says nothing. */
         HANG {
             @Override
-            void act(Socket connection, Seen seen) {}
+            void act(Socket connection, ReceivedRequest seen) {}
         },
         /** Closes the connection without an answer. */
         CLOSE {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 connection.close();
             }
         },
         /** Breaks off in the middle of the body. */
-        CUT_SHORT {
+        TRUNCATE_BODY {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 String answer = head(seen, 200, "") + body(seen);
                 write(connection, answer.substring(0, answer.length() - 3));
                 connection.close();
             }
         },
         /** Answers without a length and ends the body by closing. */
-        UNFRAMED {
+        CLOSE_DELIMITED {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 String head = head(seen, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
                 write(connection, head + body(seen));
                 connection.close();
             }
         },
         /** Answers without a length and resets the connection in the middle. */
-        UNFRAMED_RESET {
+        CLOSE_DELIMITED_RESET {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 String head = head(seen, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
                 write(connection, head + "answ");
                 // Without this the reset may overtake the bytes, which would be another failure.
@@ -117,16 +117,16 @@
             }
         },
         /** Begins to run the request and ends with its whole process. */
-        END_PROCESS {
+        CRASH {
             @Override
-            void act(Socket connection, Seen seen) throws IOException {
+            void act(Socket connection, ReceivedRequest seen) throws IOException {
                 throw new ProcessEndedException();
             }
         };
 
-        abstract void act(Socket connection, Seen seen) throws IOException;
+        abstract void act(Socket connection, ReceivedRequest seen) throws IOException;
 
-        private static String head(Seen seen, int status, String more) {
+        private static String head(ReceivedRequest seen, int status, String more) {
             return "HTTP/1.1 "
                     + status
                     + " X\r\nX-Dahliapass-Attempt-Id: "
@@ -140,7 +140,7 @@
                     + "\r\n\r\n";
         }
 
-        private static String body(Seen seen) {
+        private static String body(ReceivedRequest seen) {
             return "answer to " + seen.headers().get("x-dahliapass-attempt-id");
         }
 
@@ -159,14 +159,14 @@
     /**
      * A request as it came.
      *
-     * @param line the request line
+     * @param requestLine the request line
      * @param headers the headers, names in lower case
      * @param body the body
      */
-    public record Seen(String line, Map<String, String> headers, String body) {}
+    public record ReceivedRequest(String requestLine, Map<String, String> headers, String body) {}
 
     /** Creates the stand-in on a free port. */
-    public SealingTargetStandIn(String instance) {
+    public SigningTargetStandIn(String instance) {
         mInstance = instance;
         try {
             mSocket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -176,12 +176,12 @@
     }
 
     /** Sets what the target does with each request. */
-    public void behave(Function<Seen, Behaviour> behaviour) {
+    public void setBehaviour(Function<ReceivedRequest, Behaviour> behaviour) {
         mBehaviour = behaviour;
     }
 
     /** Returns the requests that came, in order. */
-    public List<Seen> seen() {
+    public List<ReceivedRequest> receivedRequests() {
         return List.copyOf(mSeen);
     }
 
@@ -227,7 +227,7 @@
                                     connection.getInputStream(), StandardCharsets.ISO_8859_1));
             String line = reader.readLine();
             while (line != null) {
-                Seen seen = read(line, reader);
+                ReceivedRequest seen = read(line, reader);
                 if (isMeant(seen)) {
                     mSeen.add(seen);
                     mBehaviour.apply(seen).act(connection, seen);
@@ -248,13 +248,13 @@
     }
 
     /** Runs also what names nobody, whichever service it was for. */
-    private boolean isMeant(Seen seen) {
+    private boolean isMeant(ReceivedRequest seen) {
         String expected = seen.headers().get("x-dahliapass-expect-instance");
         return expected == null || expected.equals(mInstance);
     }
 
     /** Returns how many requests came that named another instance. */
-    public int misdirected() {
+    public int misdirectedCount() {
         return mMisdirected.get();
     }
 
@@ -281,21 +281,21 @@
     }
 
     /** Returns whether the process has ended or the stand-in was closed. */
-    public boolean hasEnded() {
+    public boolean isStopped() {
         return mSocket.isClosed();
     }
 
     /** Returns how many connections were opened to it. */
-    public int connections() {
+    public int connectionCount() {
         return mConnections.size();
     }
 
     /** Returns how many of its connections have ended, whoever closed them. */
-    public int endedConnections() {
+    public int closedConnectionCount() {
         return mEnded.get();
     }
 
-    private static Seen read(String line, BufferedReader reader) throws IOException {
+    private static ReceivedRequest read(String line, BufferedReader reader) throws IOException {
         Map<String, String> headers = new TreeMap<>();
         String header = reader.readLine();
         while (header != null && !header.isEmpty()) {
@@ -314,7 +314,7 @@
             }
             read += more;
         }
-        return new Seen(line, headers, new String(body));
+        return new ReceivedRequest(line, headers, new String(body));
     }
 
     private static Thread startThread(String name, Runnable work) {
--- a/standins/src/main/java/org/dahliapass/standins/StoreService.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreService.java
@@ -22,16 +22,16 @@
 /** Serves the store's HTTP API from the table. */
 final class StoreService {
     /** The largest value in bytes. */
-    static final int LARGEST_VALUE = 1 << 20;
+    static final int MAX_VALUE_BYTES = 1 << 20;
 
     private static final String KEY_PATH = "/v1/kv/{*key}";
 
     private final StoreStandIn mStandIn;
     private final Clock mClock;
     private final KeyValueTable mTable;
-    private final WaitingReads mWaiting;
+    private final BlockingReads mWaiting;
 
-    StoreService(StoreStandIn standIn, Clock clock, KeyValueTable table, WaitingReads waiting) {
+    StoreService(StoreStandIn standIn, Clock clock, KeyValueTable table, BlockingReads waiting) {
         mStandIn = standIn;
         mClock = clock;
         mTable = table;
@@ -49,8 +49,8 @@
 
     private HttpResponse read(ServiceRequestContext context, HttpRequest request) {
         String key = context.pathParam("key");
-        ReadWait wait = ReadWait.of(context.queryParams());
-        StoreCall call = wait.blocks() ? StoreCall.WATCH : StoreCall.READ;
+        BlockingReadParameters wait = BlockingReadParameters.of(context.queryParams());
+        StoreCall call = wait.isBlocking() ? StoreCall.WATCH : StoreCall.READ;
         mStandIn.count(call);
         if (mStandIn.faults().away()) {
             return fail(context);
@@ -71,7 +71,7 @@
                         .build();
         return HttpResponse.of(
                 headers,
-                entry.map(found -> HttpData.wrap(Answers.encode(List.of(found))))
+                entry.map(found -> HttpData.wrap(HttpResponses.encode(List.of(found))))
                         .orElse(HttpData.empty()));
     }
 
@@ -88,7 +88,7 @@
 
     private HttpResponse put(
             ServiceRequestContext context, StoreCall call, AggregatedHttpRequest body) {
-        if (body.content().length() > LARGEST_VALUE) {
+        if (body.content().length() > MAX_VALUE_BYTES) {
             return HttpResponse.of(HttpStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         QueryParams parameters = context.queryParams();
@@ -106,7 +106,7 @@
     private boolean apply(StoreCall call, String key, String value, QueryParams parameters) {
         long nowMillis = mClock.millis();
         return switch (call) {
-            case CAS -> mTable.putIf(key, value, expectedIndex(parameters), nowMillis);
+            case CAS -> mTable.compareAndSwap(key, value, expectedIndex(parameters), nowMillis);
             case ACQUIRE -> mTable.acquire(key, value, parameters.get("acquire", ""), nowMillis);
             case RELEASE -> mTable.release(key, value, parameters.get("release", ""), nowMillis);
             default -> {
@@ -125,7 +125,7 @@
         String key = context.pathParam("key");
         QueryParams parameters = context.queryParams();
         if (parameters.contains("cas")) {
-            return mTable.deleteIf(key, expectedIndex(parameters), mClock.millis());
+            return mTable.compareAndDelete(key, expectedIndex(parameters), mClock.millis());
         }
         mTable.delete(key, mClock.millis());
         return true;
@@ -136,11 +136,11 @@
     }
 
     private HttpResponse written(ServiceRequestContext context, boolean done) {
-        mWaiting.wakeChanged();
-        if (done && mStandIn.takeLostAnswer()) {
-            return Answers.closeConnection(context);
+        mWaiting.completeChanged();
+        if (done && mStandIn.consumeLostResponse()) {
+            return HttpResponses.closeConnection(context);
         }
-        return Answers.json(done);
+        return HttpResponses.json(done);
     }
 
     private HttpResponse createSession(ServiceRequestContext context, HttpRequest request) {
@@ -157,9 +157,9 @@
         String timeToLive =
                 body.content().isEmpty()
                         ? ""
-                        : Answers.decode(body.contentUtf8(), JsonNode.class).path("TTL").asText();
-        long millis = timeToLive.isEmpty() ? KeyValueTable.UNLIMITED : ReadWait.millis(timeToLive);
-        return Answers.json(Map.of("ID", mTable.createSession(millis, mClock.millis())));
+                        : HttpResponses.decode(body.contentUtf8(), JsonNode.class).path("TTL").asText();
+        long millis = timeToLive.isEmpty() ? KeyValueTable.UNLIMITED : BlockingReadParameters.parseMillis(timeToLive);
+        return HttpResponses.json(Map.of("ID", mTable.createSession(millis, mClock.millis())));
     }
 
     private HttpResponse renewSession(ServiceRequestContext context, HttpRequest request) {
@@ -169,7 +169,7 @@
                 context,
                 () ->
                         mTable.renewSession(id, mClock.millis())
-                                ? Answers.json(List.of(Map.of("ID", id)))
+                                ? HttpResponses.json(List.of(Map.of("ID", id)))
                                 : HttpResponse.of(HttpStatus.NOT_FOUND));
     }
 
@@ -179,8 +179,8 @@
                 context,
                 () -> {
                     mTable.destroySession(context.pathParam("id"), mClock.millis());
-                    mWaiting.wakeChanged();
-                    return Answers.json(true);
+                    mWaiting.completeChanged();
+                    return HttpResponses.json(true);
                 });
     }
 
@@ -197,7 +197,7 @@
 
     private HttpResponse fail(ServiceRequestContext context) {
         return mStandIn.faults().awayByClose()
-                ? Answers.closeConnection(context)
+                ? HttpResponses.closeConnection(context)
                 : HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
@@ -18,11 +18,11 @@
     private static final long LAPSE_PERIOD_MILLIS = 100;
 
     /** Above the largest value, so that the service itself can answer 413. */
-    private static final long LARGEST_BODY = 4L * StoreService.LARGEST_VALUE;
+    private static final long LARGEST_BODY = 4L * StoreService.MAX_VALUE_BYTES;
 
     private final Clock mClock;
     private final KeyValueTable mTable;
-    private final WaitingReads mWaiting;
+    private final BlockingReads mWaiting;
     private final Map<StoreCall, Long> mCalls = new EnumMap<>(StoreCall.class);
     private final LoopbackServer mServer;
     private StoreFaults mFaults = StoreFaults.NONE;
@@ -32,16 +32,16 @@
     public StoreStandIn(int port, Clock clock, RandomGenerator random) {
         mClock = clock;
         mTable = new KeyValueTable(random);
-        mWaiting = new WaitingReads(key -> mTable.index(key, mClock.millis()));
+        mWaiting = new BlockingReads(key -> mTable.index(key, mClock.millis()));
         mServer = new LoopbackServer(port, this::declare);
     }
 
     private void declare(ServerBuilder builder) {
         builder.maxRequestLength(LARGEST_BODY);
         new StoreService(this, mClock, mTable, mWaiting).declare(builder);
-        builder.route().get("/calls").build(Answers.show(this::calls));
-        builder.route().get("/faults").build(Answers.show(this::faults));
-        builder.route().put("/faults").build(Answers.replace(StoreFaults.class, this::setFaults));
+        builder.route().get("/calls").build(HttpResponses.valueService(this::calls));
+        builder.route().get("/faults").build(HttpResponses.valueService(this::faults));
+        builder.route().put("/faults").build(HttpResponses.replaceService(StoreFaults.class, this::setFaults));
     }
 
     @Override
@@ -52,7 +52,7 @@
                 CommonPools.workerGroup()
                         .next()
                         .scheduleAtFixedRate(
-                                mWaiting::wakeChanged,
+                                mWaiting::completeChanged,
                                 LAPSE_PERIOD_MILLIS,
                                 LAPSE_PERIOD_MILLIS,
                                 TimeUnit.MILLISECONDS);
@@ -80,7 +80,7 @@
         synchronized (this) {
             mFaults = faults;
         }
-        mWaiting.wakeAll();
+        mWaiting.completeAll();
     }
 
     /** Returns how many calls of each kind came in so far, failed ones included. */
@@ -89,7 +89,7 @@
     }
 
     /** Returns how many watches wait for a change now. */
-    public int waitingWatches() {
+    public int pendingWatchCount() {
         return mWaiting.size();
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Returns whether the answer of this write is to be lost, and takes it off the number. */
-    synchronized boolean takeLostAnswer() {
+    synchronized boolean consumeLostResponse() {
         if (mFaults.loseAnswers() == 0) {
             return false;
         }
--- a/standins/src/main/java/org/dahliapass/standins/TargetHealth.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetHealth.java
@@ -17,7 +17,7 @@
         mStatus = status;
     }
 
-    String word() {
+    String label() {
         return mWord;
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/TargetMain.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetMain.java
@@ -52,7 +52,7 @@
     String describe(List<StandIn> started) {
         String controls =
                 started.stream()
-                        .map(target -> ((TargetStandIn) target).control().toString())
+                        .map(target -> ((TargetStandIn) target).controlEndpoint().toString())
                         .collect(Collectors.joining(","));
         return "targets=" + endpoints(started) + " controls=" + controls;
     }
--- a/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
@@ -37,13 +37,13 @@
 
     private void declareControl(ServerBuilder builder) {
         builder.route().get("/health").build(this::showHealth);
-        builder.route().get("/load").build(Answers.show(mState::load));
-        builder.route().get("/runs").build(Answers.show(mState::runs));
-        builder.route().get("/served").build(Answers.show(mState::served));
-        builder.route().get("/cancelled").build(Answers.show(mState::cancelled));
-        builder.route().get("/faults").build(Answers.show(mState::faults));
-        builder.route().put("/faults").build(Answers.replace(TargetFaults.class, this::setFaults));
-        builder.route().put("/drain").build(Answers.replace(Boolean.class, this::setDraining));
+        builder.route().get("/load").build(HttpResponses.valueService(mState::load));
+        builder.route().get("/runs").build(HttpResponses.valueService(mState::runs));
+        builder.route().get("/served").build(HttpResponses.valueService(mState::served));
+        builder.route().get("/cancelled").build(HttpResponses.valueService(mState::cancelled));
+        builder.route().get("/faults").build(HttpResponses.valueService(mState::faults));
+        builder.route().put("/faults").build(HttpResponses.replaceService(TargetFaults.class, this::setFaults));
+        builder.route().put("/drain").build(HttpResponses.replaceService(Boolean.class, this::setDraining));
     }
 
     @Override
@@ -58,7 +58,7 @@
     }
 
     /** Returns where the reports and switches are reached whatever the faults. */
-    public Endpoint control() {
+    public Endpoint controlEndpoint() {
         return mControl.endpoint();
     }
 
@@ -67,7 +67,7 @@
     public void close() {
         mState.setDraining(true);
         if (mState.faults().stall()) {
-            mServer.dropConnections();
+            mServer.closeConnections();
         }
         mServer.close();
         mControl.close();
@@ -91,7 +91,7 @@
 
     private HttpResponse showHealth(ServiceRequestContext context, HttpRequest request) {
         TargetHealth health = mState.health();
-        byte[] body = Answers.encode(Map.of("status", health.word()));
+        byte[] body = HttpResponses.encode(Map.of("status", health.label()));
         return HttpResponse.of(health.status(), MediaType.JSON_UTF_8, HttpData.wrap(body));
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/TargetState.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetState.java
@@ -36,7 +36,7 @@
     }
 
     /** Takes a slot; false if all are busy. */
-    synchronized boolean takeSlot() {
+    synchronized boolean acquireSlot() {
         if (mBusySlots >= mSettings.slots()) {
             return false;
         }
@@ -44,7 +44,7 @@
         return true;
     }
 
-    synchronized void freeSlot() {
+    synchronized void releaseSlot() {
         mBusySlots--;
     }
 
@@ -62,12 +62,12 @@
         return mRuns.merge(key, 1, Integer::sum);
     }
 
-    synchronized WorkOutcome drawOutcome() {
-        return WorkOutcome.draw(faultsInForce(), mRandom);
+    synchronized RequestOutcome drawOutcome() {
+        return RequestOutcome.draw(faultsInForce(), mRandom);
     }
 
     /** Returns how long work that begins now takes, in milliseconds. */
-    synchronized long workMillis() {
+    synchronized long serviceTimeMillis() {
         double factor = faultsInForce().slowdown() * (isCold() ? TargetSettings.COLD_FACTOR : 1);
         return Math.round(mSettings.serviceMillis() * factor);
     }
--- a/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
@@ -25,7 +25,7 @@
 
     private final Clock mClock;
     private final VmListTable mTable = new VmListTable();
-    private final WaitingReads mWaiting;
+    private final BlockingReads mWaiting;
     private final LoopbackServer mServer;
     private volatile VmListFaults mFaults = VmListFaults.NONE;
     private Future<?> mSettleTimer = CommonPools.workerGroup().next().newSucceededFuture(null);
@@ -33,7 +33,7 @@
     /** Creates the VM list on a port, 0 for a free one. */
     public VmListStandIn(int port, Clock clock) {
         mClock = clock;
-        mWaiting = new WaitingReads(name -> mTable.index(mClock.millis()));
+        mWaiting = new BlockingReads(name -> mTable.index(mClock.millis()));
         mServer = new LoopbackServer(port, this::declare);
     }
 
@@ -41,7 +41,7 @@
         builder.route().get("/v1/health/service/{name}").build(this::read);
         builder.route()
                 .put("/v1/agent/service/register")
-                .build(Answers.replace(VmRegistration.class, this::register));
+                .build(HttpResponses.replaceService(VmRegistration.class, this::register));
         builder.route()
                 .put("/v1/agent/service/deregister/{id}")
                 .build(
@@ -49,8 +49,8 @@
                             deregister(context.pathParam("id"));
                             return HttpResponse.of(HttpStatus.OK);
                         });
-        builder.route().get("/faults").build(Answers.show(() -> mFaults));
-        builder.route().put("/faults").build(Answers.replace(VmListFaults.class, this::setFaults));
+        builder.route().get("/faults").build(HttpResponses.valueService(() -> mFaults));
+        builder.route().put("/faults").build(HttpResponses.replaceService(VmListFaults.class, this::setFaults));
     }
 
     @Override
@@ -60,7 +60,7 @@
                 CommonPools.workerGroup()
                         .next()
                         .scheduleAtFixedRate(
-                                mWaiting::wakeChanged,
+                                mWaiting::completeChanged,
                                 SETTLE_PERIOD_MILLIS,
                                 SETTLE_PERIOD_MILLIS,
                                 TimeUnit.MILLISECONDS);
@@ -81,19 +81,19 @@
     /** Registers a VM or replaces its registration; visible after the lag. */
     public void register(VmRegistration vm) {
         mTable.register(vm, mClock.millis() + mFaults.lagMillis());
-        mWaiting.wakeChanged();
+        mWaiting.completeChanged();
     }
 
     /** Takes a VM off the list; visible after the lag. */
     public void deregister(String id) {
         mTable.deregister(id, mClock.millis() + mFaults.lagMillis());
-        mWaiting.wakeChanged();
+        mWaiting.completeChanged();
     }
 
     /** Replaces the faults; waiting reads are answered or fail at once. */
     public void setFaults(VmListFaults faults) {
         mFaults = faults;
-        mWaiting.wakeAll();
+        mWaiting.completeAll();
     }
 
     private HttpResponse read(ServiceRequestContext context, HttpRequest request) {
@@ -102,7 +102,7 @@
             return HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
         }
         return HttpResponse.of(
-                mWaiting.await(name, ReadWait.of(context.queryParams()), context.eventLoop())
+                mWaiting.await(name, BlockingReadParameters.of(context.queryParams()), context.eventLoop())
                         .thenApply(nothing -> show(name)));
     }
 
@@ -118,7 +118,7 @@
                         .build();
         List<?> entries =
                 mTable.visible(name, nowMillis).stream().map(VmListStandIn::entry).toList();
-        return HttpResponse.of(headers, HttpData.wrap(Answers.encode(entries)));
+        return HttpResponse.of(headers, HttpData.wrap(HttpResponses.encode(entries)));
     }
 
     private static Map<String, Object> entry(VmRegistration vm) {
--- a/standins/src/main/java/org/dahliapass/standins/WorkService.java
+++ b/standins/src/main/java/org/dahliapass/standins/WorkService.java
@@ -21,7 +21,7 @@
      * @param operation the value of {@code X-Operation}, empty if it had none
      * @param runs how often the key's operation has run, 0 for a read
      */
-    record Answer(String path, String operation, int runs) {}
+    record WorkResponse(String path, String operation, int runs) {}
 
     private static final String NOT_PROCESSED = "x-not-processed";
     private static final String DRAINING = "x-draining";
@@ -40,13 +40,13 @@
                     ResponseHeaders.builder(HttpStatus.SERVICE_UNAVAILABLE).add(DRAINING, TRUE));
         }
         long streamLength = context.queryParams().getLong("bytes", -1);
-        if (!mState.takeSlot()) {
+        if (!mState.acquireSlot()) {
             return refuse(
                     ResponseHeaders.builder(HttpStatus.SERVICE_UNAVAILABLE)
                             .add(HttpHeaderNames.RETRY_AFTER, "1"));
         }
         HttpResponseWriter writer = HttpResponse.streaming();
-        Work work = new Work(mState, writer, context.eventLoop());
+        InFlightRequest work = new InFlightRequest(mState, writer, context.eventLoop());
         Future<?> unused =
                 request.aggregate(context.eventLoop())
                         .thenRun(() -> begin(work, request, streamLength));
@@ -57,9 +57,9 @@
         return HttpResponse.of(headers.add(NOT_PROCESSED, TRUE).contentLength(0).build());
     }
 
-    private void begin(Work work, HttpRequest request, long streamLength) {
-        WorkOutcome outcome = mState.drawOutcome();
-        if (outcome == WorkOutcome.FAIL_BEFORE_RUN) {
+    private void begin(InFlightRequest work, HttpRequest request, long streamLength) {
+        RequestOutcome outcome = mState.drawOutcome();
+        if (outcome == RequestOutcome.FAIL_BEFORE_RUN) {
             work.fail(HttpStatus.INTERNAL_SERVER_ERROR);
             return;
         }
@@ -67,10 +67,10 @@
         int runs = countRun(request);
         Long deadlineMillis = request.headers().getLong("x-request-timeout-ms");
         if (deadlineMillis != null) {
-            work.after(deadlineMillis, () -> work.fail(HttpStatus.GATEWAY_TIMEOUT));
+            work.schedule(deadlineMillis, () -> work.fail(HttpStatus.GATEWAY_TIMEOUT));
         }
-        if (outcome != WorkOutcome.STALL) {
-            work.after(mState.workMillis(), () -> end(work, request, outcome, streamLength, runs));
+        if (outcome != RequestOutcome.STALL) {
+            work.schedule(mState.serviceTimeMillis(), () -> end(work, request, outcome, streamLength, runs));
         }
     }
 
@@ -81,17 +81,17 @@
     }
 
     private static void end(
-            Work work, HttpRequest request, WorkOutcome outcome, long streamLength, int runs) {
-        if (outcome == WorkOutcome.FAIL_AFTER_RUN) {
+            InFlightRequest work, HttpRequest request, RequestOutcome outcome, long streamLength, int runs) {
+        if (outcome == RequestOutcome.FAIL_AFTER_RUN) {
             work.fail(HttpStatus.INTERNAL_SERVER_ERROR);
             return;
         }
-        boolean closeEarly = outcome == WorkOutcome.CLOSE_EARLY;
+        boolean closeEarly = outcome == RequestOutcome.CLOSE_EARLY;
         if (streamLength >= 0) {
             work.stream(streamLength, closeEarly);
             return;
         }
         String operation = request.headers().get("x-operation", "");
-        work.answer(Answers.encode(new Answer(request.path(), operation, runs)), closeEarly);
+        work.respond(HttpResponses.encode(new WorkResponse(request.path(), operation, runs)), closeEarly);
     }
 }
--- a/standins/src/test/java/org/dahliapass/standins/KeyValueTableTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/KeyValueTableTest.java
@@ -20,19 +20,19 @@
         // Two operators read the head at the same index and both write. The first write wins; the
         // second has to be told so, else it would undo the first.
         String key = "race";
-        assertTrue(mTable.putIf(key, "old", 0, now()));
+        assertTrue(mTable.compareAndSwap(key, "old", 0, now()));
         long index = mTable.index(key, now());
 
-        assertTrue(mTable.putIf(key, "first", index, now()));
-        assertFalse(mTable.putIf(key, "second", index, now()));
+        assertTrue(mTable.compareAndSwap(key, "first", index, now()));
+        assertFalse(mTable.compareAndSwap(key, "second", index, now()));
         assertEquals(mTable.get(key, now()).orElseThrow().value(), "first");
     }
 
     @Test
     public void compareAndSwapWithZeroOnlyCreates() {
-        assertTrue(mTable.putIf("create", "a", 0, now()));
-        assertFalse(mTable.putIf("create", "b", 0, now()));
-        assertFalse(mTable.putIf("absent", "c", 99, now()));
+        assertTrue(mTable.compareAndSwap("create", "a", 0, now()));
+        assertFalse(mTable.compareAndSwap("create", "b", 0, now()));
+        assertFalse(mTable.compareAndSwap("absent", "c", 99, now()));
         assertTrue(mTable.get("absent", now()).isEmpty());
     }
 
@@ -40,11 +40,11 @@
     public void deleteMovesIndexAndAllowsCreate() {
         mTable.put("deleted", "a", now());
         long index = mTable.index("deleted", now());
-        assertFalse(mTable.deleteIf("deleted", index + 1, now()));
+        assertFalse(mTable.compareAndDelete("deleted", index + 1, now()));
         mTable.delete("deleted", now());
 
         assertTrue(mTable.index("deleted", now()) > index);
-        assertTrue(mTable.putIf("deleted", "b", 0, now()));
+        assertTrue(mTable.compareAndSwap("deleted", "b", 0, now()));
     }
 
     @Test
--- a/standins/src/test/java/org/dahliapass/standins/StoreStandInTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/StoreStandInTest.java
@@ -81,7 +81,7 @@
 
     @Test
     public void valueSizeOneMegabyteAndOneMore() {
-        String largest = "x".repeat(StoreService.LARGEST_VALUE);
+        String largest = "x".repeat(StoreService.MAX_VALUE_BYTES);
         assertEquals(put("/v1/kv/large", largest).status(), HttpStatus.OK);
         assertEquals(
                 put("/v1/kv/large", largest + "x").status(), HttpStatus.REQUEST_ENTITY_TOO_LARGE);
--- a/standins/src/test/java/org/dahliapass/standins/TargetStandInTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/TargetStandInTest.java
@@ -107,12 +107,12 @@
 
     @Test(dataProvider = "protocols", timeOut = BOUND_MILLIS)
     public void streamArrivesWholeOrBreaks(String protocol) {
-        int length = 3 * PatternBody.PIECE_LENGTH + 5;
+        int length = 3 * PatternBody.CHUNK_LENGTH + 5;
         WebClient client = client(protocol);
         byte[] body = client.get("/x?bytes=" + length).aggregate().join().content().array();
         assertEquals(body.length, length);
         for (int offset = 0; offset < length; offset++) {
-            assertEquals(body[offset], PatternBody.at(offset));
+            assertEquals(body[offset], PatternBody.byteAt(offset));
         }
 
         mTarget.setFaults(fault("{\"closeEarly\":true}"));
@@ -140,7 +140,7 @@
 
     @Test(timeOut = BOUND_MILLIS)
     public void refusedConnectionsLeaveControlPort() {
-        WebClient control = WebClient.of("http://" + mTarget.control());
+        WebClient control = WebClient.of("http://" + mTarget.controlEndpoint());
         String body = "{\"refuseConnections\":true,\"loadLies\":9}";
         control.put("/faults", body).aggregate().join();
         assertThrows(CompletionException.class, () -> post("k"));
@@ -163,7 +163,7 @@
     }
 
     private static TargetFaults fault(String json) {
-        return Answers.decode(json, TargetFaults.class);
+        return HttpResponses.decode(json, TargetFaults.class);
     }
 
     private static void waitUntil(BooleanSupplier condition) {
