--- a/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
@@ -42,18 +42,18 @@
      *
      * @param inFlight what all VMs have in flight, shared by them
      */
-    static BaselinePlacer allKnowing(
+    static BaselinePlacer omniscient(
             List<FleetTarget> targets, Map<Endpoint, Integer> inFlight, SplittableRandom random) {
         return new BaselinePlacer(targets, inFlight, random, true);
     }
 
     @Override
-    public CompletableFuture<FleetTarget> first(Attempt<FleetTarget> attempt) {
+    public CompletableFuture<FleetTarget> acquire(SimulatedRequest<FleetTarget> attempt) {
         return CompletableFuture.completedFuture(choose(Set.of()));
     }
 
     @Override
-    public Optional<FleetTarget> again(Attempt<FleetTarget> attempt, FailedAttempt failed) {
+    public Optional<FleetTarget> retry(SimulatedRequest<FleetTarget> attempt, FailedAttempt failed) {
         boolean allowed = failed.kind().idempotency().isRepeatable() || !failed.mayHaveRun();
         return allowed && failed.attempts() < 2
                 ? Optional.of(choose(failed.tried()))
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public Optional<FleetTarget> beside(Attempt<FleetTarget> attempt, Set<Endpoint> tried) {
+    public Optional<FleetTarget> hedge(SimulatedRequest<FleetTarget> attempt, Set<Endpoint> tried) {
         return Optional.empty();
     }
 
@@ -99,7 +99,7 @@
 
     private int cost(FleetTarget target, Set<Endpoint> tried) {
         int inFlight = mInFlight.getOrDefault(target.endpoint(), 0);
-        boolean avoided = tried.contains(target.endpoint()) || (mAllKnowing && target.isInBout());
+        boolean avoided = tried.contains(target.endpoint()) || (mAllKnowing && target.isFailing());
         return avoided ? inFlight + 1_000_000 : inFlight;
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Timeline.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/EventScheduler.java
@@ -7,7 +7,7 @@
 import org.dahliapass.kernel.ManualClock;
 
 /** A virtual clock that runs what is due in the order of its time. */
-final class Timeline {
+final class EventScheduler {
     private static final Instant START = Instant.ofEpochSecond(1_000_000);
 
     private final ManualClock mClock = new ManualClock(START);
@@ -32,16 +32,16 @@
         return nowMillis() - START.toEpochMilli();
     }
 
-    void after(long millis, Runnable action) {
+    void schedule(long millis, Runnable action) {
         mEntries.add(new Entry(nowMillis() + Math.max(0, millis), mSequence++, action));
     }
 
-    void every(long millis, Runnable action) {
-        after(
+    void schedulePeriodically(long millis, Runnable action) {
+        schedule(
                 millis,
                 () -> {
                     action.run();
-                    every(millis, action);
+                    schedulePeriodically(millis, action);
                 });
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
@@ -63,11 +63,11 @@
     protected ExitCode run(OptionSet options) {
         List<String> names = new ArrayList<>();
         options.valuesOf("scenario").forEach(name -> names.add((String) name));
-        mOutput.println(FleetFigures.HEADER);
+        mOutput.println(FleetResult.HEADER);
         for (String name : names.isEmpty() ? SCENARIOS : names) {
             Scenario scenario = Scenario.ofName(name);
-            for (PlacementChoice choice : PlacementChoice.values()) {
-                if (choice == PlacementChoice.PRODUCTION || !options.has("production-only")) {
+            for (PlacementStrategy choice : PlacementStrategy.values()) {
+                if (choice == PlacementStrategy.PRODUCTION || !options.has("production-only")) {
                     mOutput.println(line(scenario, choice, options));
                 }
             }
@@ -75,15 +75,15 @@
         return ExitCode.OK;
     }
 
-    private static String line(Scenario scenario, PlacementChoice choice, OptionSet options) {
+    private static String line(Scenario scenario, PlacementStrategy choice, OptionSet options) {
         int first = (Integer) options.valueOf("seed");
         int runs = (Integer) options.valueOf("runs");
-        List<FleetFigures> figures =
+        List<FleetResult> figures =
                 IntStream.range(first, first + runs)
                         .parallel()
-                        .mapToObj(seed -> FleetRun.play(scenario, choice, seed))
+                        .mapToObj(seed -> FleetSimulation.simulate(scenario, choice, seed))
                         .toList();
-        return FleetFigures.line(
+        return FleetResult.line(
                 scenario.name(), choice.name().toLowerCase(java.util.Locale.ROOT), figures);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetResult.java
@@ -7,33 +7,33 @@
 /**
  * What a run came to, all as shares.
  *
- * @param worth payoff earned of payoff owed
+ * @param payoffRatio payoff earned of payoff owed
  * @param served requests served
  * @param refused requests refused, which didn't run
  * @param failed requests that failed or may have run
- * @param worstWindows payoff earned in the two worst windows of 2 seconds
- * @param furtherTries tries beyond the first of each request, of requests
- * @param badTries tries that targets failed, of tries
- * @param leastUsed the least share of sound targets in use in any window of 2 seconds
+ * @param worstWindowsPayoffRatio payoff earned in the two worst windows of 2 seconds
+ * @param extraAttempts tries beyond the first of each request, of requests
+ * @param failedAttempts tries that targets failed, of tries
+ * @param minUsedShare the least share of sound targets in use in any window of 2 seconds
  * @param windowsBelowFloor the number of such windows, one each half second, in which requests were
  *     lost while less than the floor share of the sound targets was in use
- * @param poisonEnds targets that ended under a request that ends its targets
- * @param poisonLate how often such a request reached a target later than 3 s after the third end
- * @param heldBack other requests that were kept from all targets for what ended beside them
+ * @param poisonCrashes targets that ended under a request that ends its targets
+ * @param latePoisonDeliveries how often such a request reached a target later than 3 s after the third end
+ * @param quarantined other requests that were kept from all targets for what ended beside them
  */
-record FleetFigures(
-        double worth,
+record FleetResult(
+        double payoffRatio,
         double served,
         double refused,
         double failed,
-        double worstWindows,
-        double furtherTries,
-        double badTries,
-        double leastUsed,
+        double worstWindowsPayoffRatio,
+        double extraAttempts,
+        double failedAttempts,
+        double minUsedShare,
         double windowsBelowFloor,
-        double poisonEnds,
-        double poisonLate,
-        double heldBack) {
+        double poisonCrashes,
+        double latePoisonDeliveries,
+        double quarantined) {
     /** The heading of the lines that {@link #line} writes. */
     static final String HEADER =
             String.format(
@@ -57,9 +57,9 @@
     private static final double DEVIATIONS_95 = 1.96;
 
     /** Writes the means of several runs, the worth with its 95% interval. */
-    static String line(String scenario, String placement, List<FleetFigures> runs) {
-        double mean = mean(runs, FleetFigures::worth);
-        double squares = runs.stream().mapToDouble(run -> Math.pow(run.worth() - mean, 2)).sum();
+    static String line(String scenario, String placement, List<FleetResult> runs) {
+        double mean = mean(runs, FleetResult::payoffRatio);
+        double squares = runs.stream().mapToDouble(run -> Math.pow(run.payoffRatio() - mean, 2)).sum();
         double error = Math.sqrt(squares / Math.max(1, runs.size() - 1) / runs.size());
         return String.format(
                 Locale.ROOT,
@@ -69,20 +69,20 @@
                 placement,
                 mean,
                 DEVIATIONS_95 * error,
-                mean(runs, FleetFigures::served),
-                mean(runs, FleetFigures::refused),
-                mean(runs, FleetFigures::failed),
-                mean(runs, FleetFigures::worstWindows),
-                mean(runs, FleetFigures::furtherTries),
-                mean(runs, FleetFigures::badTries),
-                mean(runs, FleetFigures::leastUsed),
-                mean(runs, FleetFigures::windowsBelowFloor),
-                mean(runs, FleetFigures::poisonEnds),
-                mean(runs, FleetFigures::poisonLate),
-                mean(runs, FleetFigures::heldBack));
+                mean(runs, FleetResult::served),
+                mean(runs, FleetResult::refused),
+                mean(runs, FleetResult::failed),
+                mean(runs, FleetResult::worstWindowsPayoffRatio),
+                mean(runs, FleetResult::extraAttempts),
+                mean(runs, FleetResult::failedAttempts),
+                mean(runs, FleetResult::minUsedShare),
+                mean(runs, FleetResult::windowsBelowFloor),
+                mean(runs, FleetResult::poisonCrashes),
+                mean(runs, FleetResult::latePoisonDeliveries),
+                mean(runs, FleetResult::quarantined));
     }
 
-    private static double mean(List<FleetFigures> runs, ToDoubleFunction<FleetFigures> figure) {
+    private static double mean(List<FleetResult> runs, ToDoubleFunction<FleetResult> figure) {
         return runs.stream().mapToDouble(figure).average().orElse(0);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetSimulation.java
@@ -23,7 +23,7 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /** One run of a scenario with one seed and one way to place work. */
-final class FleetRun {
+final class FleetSimulation {
     private static final long REPORT_MILLIS = 100;
     private static final long UPKEEP_MILLIS = 250;
     private static final int FIRST_PORT = 10_000;
@@ -31,8 +31,8 @@
 
     private final Scenario mScenario;
     private final SplittableRandom mRandom;
-    private final Timeline mTimeline = new Timeline();
-    private final FleetTally mTally = new FleetTally();
+    private final EventScheduler mTimeline = new EventScheduler();
+    private final FleetStatistics mTally = new FleetStatistics();
     private final List<FleetTarget> mTargets = new ArrayList<>();
     private final Map<Endpoint, FleetTarget> mByEndpoint = new HashMap<>();
     private final Set<String> mCutPaths = new HashSet<>();
@@ -44,7 +44,7 @@
     private final SplittableRandom mNewsRandom;
     private long mRequestNumber;
 
-    private FleetRun(Scenario scenario, long seed) {
+    private FleetSimulation(Scenario scenario, long seed) {
         mScenario = scenario;
         mRandom = new SplittableRandom(seed);
         mDigestRandom = new SplittableRandom(~seed);
@@ -59,17 +59,17 @@
     }
 
     /** Plays a scenario. */
-    static FleetFigures play(Scenario scenario, PlacementChoice choice, long seed) {
-        FleetRun run = new FleetRun(scenario, seed);
+    static FleetResult simulate(Scenario scenario, PlacementStrategy choice, long seed) {
+        FleetSimulation run = new FleetSimulation(scenario, seed);
         switch (choice) {
             case PRODUCTION -> run.startProduction();
             case POWER_OF_TWO -> run.startBaselines(false);
             case ALL_KNOWING -> run.startBaselines(true);
         }
-        run.mTimeline.runFor(scenario.length());
-        Map<Endpoint, List<SpreadTally.Bout>> bouts = new HashMap<>();
-        run.mTargets.forEach(target -> bouts.put(target.endpoint(), target.bouts()));
-        return run.mTally.figures(bouts, scenario.length().toMillis());
+        run.mTimeline.runFor(scenario.duration());
+        Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts = new HashMap<>();
+        run.mTargets.forEach(target -> bouts.put(target.endpoint(), target.failurePeriods()));
+        return run.mTally.result(bouts, scenario.duration().toMillis());
     }
 
     private void startBaselines(boolean allKnowing) {
@@ -78,11 +78,11 @@
         for (int number = 0; number < mScenario.vms(); number++) {
             placers.add(
                     allKnowing
-                            ? BaselinePlacer.allKnowing(mTargets, inFlight, mRandom.split())
+                            ? BaselinePlacer.omniscient(mTargets, inFlight, mRandom.split())
                             : BaselinePlacer.powerOfTwo(mTargets, mRandom.split()));
         }
-        List<FleetGuard> guards = new ArrayList<>();
-        placers.forEach(placer -> guards.add(new FleetGuard()));
+        List<PoisonPolicy> guards = new ArrayList<>();
+        placers.forEach(placer -> guards.add(new PoisonPolicy()));
         startLoads(placers, guards);
     }
 
@@ -96,10 +96,10 @@
             int self = number;
             ServiceRuntime runtime = runtimes.get(number);
             runtime.setObservationListener((service, news) -> tell(runtimes, self, news));
-            mTimeline.after(
+            mTimeline.schedule(
                     mRandom.nextLong(REPORT_MILLIS),
-                    () -> mTimeline.every(REPORT_MILLIS, () -> report(runtimes, self)));
-            mTimeline.every(UPKEEP_MILLIS, runtime::runMaintenance);
+                    () -> mTimeline.schedulePeriodically(REPORT_MILLIS, () -> report(runtimes, self)));
+            mTimeline.schedulePeriodically(UPKEEP_MILLIS, runtime::runMaintenance);
             placers.add(new RuntimePlacer(runtime));
         }
         startLoads(placers, productionGuards());
@@ -131,7 +131,7 @@
                         mScenario.loads().stream().map(RequestLoad::kind).toList());
         ServiceRuntime runtime =
                 new ServiceRuntime(
-                        ZONE, template, mTimeline.clock(), mRandom.split(), new NoSink(), mMetrics);
+                        ZONE, template, mTimeline.clock(), mRandom.split(), new NoOpTargetEventListener(), mMetrics);
         runtime.onTemplate(template);
         runtime.onTargets(
                 mTargets.stream()
@@ -162,29 +162,29 @@
             List<ServiceRuntime> runtimes, int self, Consumer<ServiceRuntime> message) {
         for (int other = 0; other < runtimes.size(); other++) {
             ServiceRuntime receiver = runtimes.get(other);
-            if (other != self && mRandom.nextDouble() >= mScenario.newsLoss()) {
-                mTimeline.after(mScenario.newsDelayMillis(), () -> message.accept(receiver));
+            if (other != self && mRandom.nextDouble() >= mScenario.messageLossRate()) {
+                mTimeline.schedule(mScenario.messageDelayMillis(), () -> message.accept(receiver));
             }
         }
     }
 
     /** Lets the VMs tell each other of requests that end their targets. */
-    private List<FleetGuard> productionGuards() {
-        List<FleetGuard.Production> guards = new ArrayList<>();
+    private List<PoisonPolicy> productionGuards() {
+        List<PoisonPolicy.Production> guards = new ArrayList<>();
         for (int number = 0; number < mScenario.vms(); number++) {
-            guards.add(new FleetGuard.Production(mTimeline));
+            guards.add(new PoisonPolicy.Production(mTimeline));
         }
-        for (FleetGuard.Production guard : guards) {
-            guard.setTeller(news -> tellOthers(guards, guard, news));
+        for (PoisonPolicy.Production guard : guards) {
+            guard.setReportSender(news -> tellOthers(guards, guard, news));
         }
         return List.copyOf(guards);
     }
 
     private void tellOthers(
-            List<FleetGuard.Production> guards, FleetGuard.Production self, SuspectReport news) {
-        for (FleetGuard.Production other : guards) {
-            if (other != self && mNewsRandom.nextDouble() >= mScenario.newsLoss()) {
-                mTimeline.after(mScenario.newsDelayMillis(), () -> other.onNews(news));
+            List<PoisonPolicy.Production> guards, PoisonPolicy.Production self, SuspectReport news) {
+        for (PoisonPolicy.Production other : guards) {
+            if (other != self && mNewsRandom.nextDouble() >= mScenario.messageLossRate()) {
+                mTimeline.schedule(mScenario.messageDelayMillis(), () -> other.onPeerReport(news));
             }
         }
     }
@@ -192,16 +192,16 @@
     private void endRack() {
         mTargets.stream()
                 .limit(Math.round(mScenario.rackShare() * mTargets.size()))
-                .forEach(FleetTarget::end);
+                .forEach(FleetTarget::crash);
     }
 
-    private <S> void startLoads(List<Placer<S>> placers, List<FleetGuard> guards) {
+    private <S> void startLoads(List<Placer<S>> placers, List<PoisonPolicy> guards) {
         if (mScenario.rackShare() > 0) {
-            mTimeline.after(mScenario.length().toMillis() / 3, this::endRack);
+            mTimeline.schedule(mScenario.duration().toMillis() / 3, this::endRack);
         }
         for (int vm = 0; vm < placers.size(); vm++) {
             for (FleetTarget target : mTargets) {
-                if (mRandom.nextDouble() < mScenario.cutShare()) {
+                if (mRandom.nextDouble() < mScenario.lossyPathShare()) {
                     mCutPaths.add(vm + "/" + target.endpoint());
                 }
             }
@@ -214,15 +214,15 @@
     private <S> void arrive(
             RequestLoad load,
             List<Placer<S>> placers,
-            List<FleetGuard> guards,
+            List<PoisonPolicy> guards,
             SplittableRandom random) {
-        double factor = mScenario.isMiddle(mTimeline.elapsedMillis()) ? mScenario.burst() : 1;
-        double meanMillis = 1_000 / (load.perSecond() * factor);
-        mTimeline.after(
+        double factor = mScenario.isMiddleThird(mTimeline.elapsedMillis()) ? mScenario.burstFactor() : 1;
+        double meanMillis = 1_000 / (load.requestsPerSecond() * factor);
+        mTimeline.schedule(
                 Math.round(-meanMillis * Math.log(1 - random.nextDouble())),
                 () -> {
                     int vm = random.nextInt(placers.size());
-                    new Attempt<>(
+                    new SimulatedRequest<>(
                                     load,
                                     placers.get(vm),
                                     new Paths(vm),
@@ -236,12 +236,12 @@
     }
 
     private RequestDigest digest(RequestLoad load) {
-        long number = load.alike() == 0 ? mRequestNumber++ : mDigestRandom.nextInt(load.alike());
+        long number = load.distinctRequests() == 0 ? mRequestNumber++ : mDigestRandom.nextInt(load.distinctRequests());
         return new RequestDigest(load.kind().name().hashCode(), number);
     }
 
     /** The ways of one VM to all targets. */
-    private final class Paths implements Attempt.TargetPaths {
+    private final class Paths implements SimulatedRequest.Network {
         private final int mVm;
 
         private Paths(int vm) {
@@ -254,21 +254,21 @@
                 RequestLoad load,
                 RequestDigest digest,
                 Consumer<FailureKind> end) {
-            if (mScenario.isMiddle(mTimeline.elapsedMillis())
+            if (mScenario.isMiddleThird(mTimeline.elapsedMillis())
                     && mCutPaths.contains(mVm + "/" + target)) {
                 return;
             }
-            FleetTarget reached = at(target);
-            if (load.endsTarget() && !reached.isDown()) {
-                mTally.onPoisonReached(mTimeline.elapsedMillis());
+            FleetTarget reached = target(target);
+            if (load.crashesTarget() && !reached.isDown()) {
+                mTally.onPoisonDelivered(mTimeline.elapsedMillis());
             } else {
-                mTally.onReached(target, mTimeline.elapsedMillis());
+                mTally.onDelivered(target, mTimeline.elapsedMillis());
             }
-            reached.take(load, end);
+            reached.accept(load, end);
         }
 
         @Override
-        public FleetTarget at(Endpoint target) {
+        public FleetTarget target(Endpoint target) {
             return mByEndpoint.get(target);
         }
     }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetTally.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetStatistics.java
@@ -6,7 +6,7 @@
 import org.dahliapass.model.Endpoint;
 
 /** Counts what a run earned. */
-final class FleetTally {
+final class FleetStatistics {
     private static final long WINDOW_MILLIS = 2_000;
 
     /** The share of a service's sound targets that is to stay in use. */
@@ -18,7 +18,7 @@
     /** How long the VMs may take to know it. */
     private static final long STABLE_MILLIS = 3_000;
 
-    private final SpreadTally mSpread = new SpreadTally(FLOOR_SHARE);
+    private final TargetUsageTracker mSpread = new TargetUsageTracker(FLOOR_SHARE);
     private final List<double[]> mWindows = new ArrayList<>();
     private double mOwed;
     private double mEarned;
@@ -35,7 +35,7 @@
 
     /** Takes a request that arrived. */
     void onArrival(RequestLoad load, long elapsedMillis) {
-        if (load.endsTarget()) {
+        if (load.crashesTarget()) {
             return;
         }
         mRequests++;
@@ -54,13 +54,13 @@
     }
 
     /** Takes work that reached a target. */
-    void onReached(Endpoint target, long elapsedMillis) {
-        mSpread.onReached(target, elapsedMillis);
+    void onDelivered(Endpoint target, long elapsedMillis) {
+        mSpread.onDelivered(target, elapsedMillis);
     }
 
     /** Takes a refusal of a request that arrived then. */
     void onRefused(RequestLoad load, long arrivalMillis) {
-        if (load.endsTarget()) {
+        if (load.crashesTarget()) {
             return;
         }
         mRefused++;
@@ -69,7 +69,7 @@
 
     /** Takes the failure of a request that arrived then. */
     void onFailed(RequestLoad load, long arrivalMillis) {
-        if (load.endsTarget()) {
+        if (load.crashesTarget()) {
             return;
         }
         mFailed++;
@@ -77,35 +77,35 @@
     }
 
     /** Takes a request that was kept from all targets, as targets ended under others like it. */
-    void onHeldBack(RequestLoad load, long arrivalMillis) {
-        if (!load.endsTarget()) {
+    void onQuarantined(RequestLoad load, long arrivalMillis) {
+        if (!load.crashesTarget()) {
             mHeldBack++;
         }
         onRefused(load, arrivalMillis);
     }
 
     /** Takes that a request which ends its target reached one. */
-    void onPoisonReached(long elapsedMillis) {
+    void onPoisonDelivered(long elapsedMillis) {
         if (elapsedMillis > mThirdEndMillis + STABLE_MILLIS) {
             mPoisonLate++;
         }
     }
 
     /** Takes the end of a target under a request. */
-    void onPoisonEnd(long elapsedMillis) {
+    void onPoisonCrash(long elapsedMillis) {
         mPoisonEnds++;
         if (mPoisonEnds == ENDS_ALLOWED) {
             mThirdEndMillis = elapsedMillis;
         }
     }
 
-    void onTry(RequestLoad load) {
-        if (!load.endsTarget()) {
+    void onAttempt(RequestLoad load) {
+        if (!load.crashesTarget()) {
             mTries++;
         }
     }
 
-    void onBadTry() {
+    void onFailedAttempt() {
         mBadTries++;
     }
 
@@ -123,8 +123,8 @@
      * @param bouts the bouts of each target
      * @param lengthMillis how long the run was
      */
-    FleetFigures figures(Map<Endpoint, List<SpreadTally.Bout>> bouts, long lengthMillis) {
-        SpreadTally.Spread spread = mSpread.spread(bouts, lengthMillis);
+    FleetResult result(Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts, long lengthMillis) {
+        TargetUsageTracker.TargetUsage spread = mSpread.usage(bouts, lengthMillis);
         double worst =
                 mWindows.stream()
                         .filter(window -> window[0] > 0)
@@ -134,7 +134,7 @@
                         .average()
                         .orElse(0);
         double requests = Math.max(1, mRequests);
-        return new FleetFigures(
+        return new FleetResult(
                 mEarned / Math.max(1, mOwed),
                 mServed / requests,
                 mRefused / requests,
@@ -142,7 +142,7 @@
                 worst,
                 (mTries - mRequests) / requests,
                 mBadTries / (double) Math.max(1, mTries),
-                spread.least(),
+                spread.minUsedShare(),
                 spread.windowsBelowFloor(),
                 mPoisonEnds,
                 mPoisonLate,
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
@@ -14,12 +14,12 @@
     private static final int SLOW_FACTOR = 8;
 
     private final Scenario mScenario;
-    private final Timeline mTimeline;
+    private final EventScheduler mTimeline;
     private final SplittableRandom mRandom;
     private final Endpoint mEndpoint;
-    private final FleetTally mTally;
+    private final FleetStatistics mTally;
     private final Deque<Runnable> mQueue = new ArrayDeque<>();
-    private final List<SpreadTally.Bout> mBouts = new ArrayList<>();
+    private final List<TargetUsageTracker.FailurePeriod> mBouts = new ArrayList<>();
     private boolean mInBout;
     private long mBoutFromMillis;
     private final List<Consumer<FailureKind>> mAtWork = new ArrayList<>();
@@ -29,49 +29,49 @@
 
     FleetTarget(
             Scenario scenario,
-            Timeline timeline,
+            EventScheduler timeline,
             SplittableRandom random,
             Endpoint endpoint,
-            FleetTally tally) {
+            FleetStatistics tally) {
         mTally = tally;
         mScenario = scenario;
         mTimeline = timeline;
         mRandom = random;
         mEndpoint = endpoint;
-        double bout = scenario.boutLength().toMillis();
-        mInBout = random.nextDouble() < bout / (bout + scenario.soundLength().toMillis());
-        mTimeline.after(untilTurn(), this::turn);
+        double bout = scenario.meanFailurePeriod().toMillis();
+        mInBout = random.nextDouble() < bout / (bout + scenario.meanHealthyPeriod().toMillis());
+        mTimeline.schedule(untilTurn(), this::turn);
     }
 
     Endpoint endpoint() {
         return mEndpoint;
     }
 
-    boolean isInBout() {
+    boolean isFailing() {
         return mInBout;
     }
 
     private long untilTurn() {
-        double mean = (mInBout ? mScenario.boutLength() : mScenario.soundLength()).toMillis();
+        double mean = (mInBout ? mScenario.meanFailurePeriod() : mScenario.meanHealthyPeriod()).toMillis();
         return Math.max(1, Math.round(-mean * Math.log(1 - mRandom.nextDouble())));
     }
 
     /** Returns the bouts up to now. */
-    List<SpreadTally.Bout> bouts() {
-        List<SpreadTally.Bout> bouts = new ArrayList<>(mBouts);
+    List<TargetUsageTracker.FailurePeriod> failurePeriods() {
+        List<TargetUsageTracker.FailurePeriod> bouts = new ArrayList<>(mBouts);
         if (mInBout) {
-            bouts.add(new SpreadTally.Bout(mBoutFromMillis, mTimeline.elapsedMillis()));
+            bouts.add(new TargetUsageTracker.FailurePeriod(mBoutFromMillis, mTimeline.elapsedMillis()));
         }
         return bouts;
     }
 
     private void turn() {
         if (mInBout) {
-            mBouts.add(new SpreadTally.Bout(mBoutFromMillis, mTimeline.elapsedMillis()));
+            mBouts.add(new TargetUsageTracker.FailurePeriod(mBoutFromMillis, mTimeline.elapsedMillis()));
         }
         mInBout = !mInBout;
         mBoutFromMillis = mTimeline.elapsedMillis();
-        mTimeline.after(untilTurn(), this::turn);
+        mTimeline.schedule(untilTurn(), this::turn);
     }
 
     /**
@@ -79,12 +79,12 @@
      *
      * @param end gets null for a whole answer, else how the work failed; never called if it hangs
      */
-    void take(RequestLoad load, Consumer<FailureKind> end) {
+    void accept(RequestLoad load, Consumer<FailureKind> end) {
         if (mDown) {
-            mTimeline.after(1, () -> end.accept(FailureKind.CONNECT_FAILED));
+            mTimeline.schedule(1, () -> end.accept(FailureKind.CONNECT_FAILED));
             return;
         }
-        if (mInBout && mScenario.bout() != BoutKind.SLOW && fails(mScenario.boutShare())) {
+        if (mInBout && mScenario.failureMode() != FailureMode.SLOW && fails(mScenario.failureShare())) {
             failInBout(end);
             return;
         }
@@ -95,14 +95,14 @@
             mAtWork.add(end);
             mQueue.add(() -> run(load, end));
         } else {
-            mTimeline.after(1, () -> end.accept(FailureKind.REFUSED_NOT_PROCESSED));
+            mTimeline.schedule(1, () -> end.accept(FailureKind.REFUSED_NOT_PROCESSED));
         }
     }
 
     private void failInBout(Consumer<FailureKind> end) {
-        switch (mScenario.bout()) {
-            case ERROR -> mTimeline.after(1, () -> end.accept(FailureKind.SERVER_ERROR));
-            case RESET -> mTimeline.after(1, () -> end.accept(FailureKind.RESET_AFTER_SEND));
+        switch (mScenario.failureMode()) {
+            case ERROR -> mTimeline.schedule(1, () -> end.accept(FailureKind.SERVER_ERROR));
+            case RESET -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND));
             default -> {}
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /** Ends the target's process with all that it has; it is back after a while. */
-    void end() {
+    void crash() {
         if (mDown) {
             return;
         }
@@ -126,9 +126,9 @@
         mQueue.clear();
         List<Consumer<FailureKind>> atWork = List.copyOf(mAtWork);
         mAtWork.clear();
-        atWork.forEach(end -> mTimeline.after(1, () -> end.accept(FailureKind.RESET_AFTER_SEND)));
-        mTimeline.after(
-                mScenario.restart().toMillis(),
+        atWork.forEach(end -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND)));
+        mTimeline.schedule(
+                mScenario.restartDelay().toMillis(),
                 () -> {
                     mDown = false;
                     mStarts++;
@@ -137,23 +137,23 @@
 
     private void run(RequestLoad load, Consumer<FailureKind> end) {
         mRunning++;
-        mTimeline.after(
+        mTimeline.schedule(
                 workMillis(load),
                 () -> {
                     if (!mAtWork.remove(end)) {
                         return;
                     }
-                    if (load.endsTarget()) {
-                        mTally.onPoisonEnd(mTimeline.elapsedMillis());
+                    if (load.crashesTarget()) {
+                        mTally.onPoisonCrash(mTimeline.elapsedMillis());
                         mAtWork.add(end);
-                        end();
+                        crash();
                         return;
                     }
                     mRunning--;
                     if (!mQueue.isEmpty()) {
                         mQueue.remove().run();
                     }
-                    boolean failed = fails(mScenario.ownFailures());
+                    boolean failed = fails(mScenario.baseFailureRate());
                     end.accept(failed ? FailureKind.SERVER_ERROR : null);
                 });
     }
@@ -163,9 +163,9 @@
     }
 
     private long workMillis(RequestLoad load) {
-        double spread = load.spread();
+        double spread = load.serviceTimeSigma();
         double scale = Math.exp(spread * mRandom.nextGaussian() - spread * spread / 2);
-        boolean slow = mInBout && mScenario.bout() == BoutKind.SLOW && fails(mScenario.boutShare());
-        return Math.max(1, Math.round(load.workMillis() * scale * (slow ? SLOW_FACTOR : 1)));
+        boolean slow = mInBout && mScenario.failureMode() == FailureMode.SLOW && fails(mScenario.failureShare());
+        return Math.max(1, Math.round(load.meanServiceMillis() * scale * (slow ? SLOW_FACTOR : 1)));
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/NoSink.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/NoOpTargetEventListener.java
@@ -6,7 +6,7 @@
 import org.dahliapass.traffic.TargetEventListener;
 
 /** Takes outcomes that the health part would weigh, which these runs leave out. */
-final class NoSink implements TargetEventListener {
+final class NoOpTargetEventListener implements TargetEventListener {
     @Override
     public void onOutcome(
             ServiceId service, Endpoint target, String kind, Outcome outcome, long latency) {}
--- a/lab/src/main/java/org/dahliapass/lab/fleet/PlacementChoice.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/PlacementStrategy.java
@@ -1,7 +1,7 @@
 package org.dahliapass.lab.fleet;
 
 /** The ways to place work that a run compares. */
-enum PlacementChoice {
+enum PlacementStrategy {
     /** The decisions that VMs run in production. */
     PRODUCTION,
     /** The less loaded of two random targets, by each VM's own count. */
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
@@ -14,16 +14,16 @@
  */
 interface Placer<S> {
     /** Gets a place for a first try; fails if the request is refused. */
-    CompletableFuture<S> first(Attempt<S> attempt);
+    CompletableFuture<S> acquire(SimulatedRequest<S> attempt);
 
     /** Gets a place for a try after one that failed; empty for none. */
-    Optional<S> again(Attempt<S> attempt, FailedAttempt failed);
+    Optional<S> retry(SimulatedRequest<S> attempt, FailedAttempt failed);
 
     /** Returns after which time a second try beside a slow one is asked for; negative for never. */
     long hedgeDelayMillis(RequestLoad load);
 
     /** Gets a place for a try beside one that is slow; empty for none. */
-    Optional<S> beside(Attempt<S> attempt, Set<Endpoint> tried);
+    Optional<S> hedge(SimulatedRequest<S> attempt, Set<Endpoint> tried);
 
     /** Returns the target of a place. */
     Endpoint target(S place);
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetGuard.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/PoisonPolicy.java
@@ -9,7 +9,7 @@
 import org.dahliapass.model.RequestDigest;
 
 /** What one VM does about requests that end their targets; by default it knows of none. */
-class FleetGuard {
+class PoisonPolicy {
     /** A connection that breaks is followed by a check whether its target listens. */
     private static final long CHECK_MILLIS = 2;
 
@@ -19,34 +19,34 @@
     }
 
     /** Returns whose turn it is among suspected requests that are alike. */
-    DigestLocks turns() {
+    DigestLocks digestLocks() {
         throw new IllegalStateException("No request is suspected.");
     }
 
     /** Takes that the connection to a target broke while it had a request. */
-    void onBroken(FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
+    void onConnectionBroken(FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
         whenChecked.run();
     }
 
     /** Takes that a target answered a request. */
-    void onAnswered(RequestDigest digest) {}
+    void onResponse(RequestDigest digest) {}
 
     /** Decides as VMs do in production. */
-    static final class Production extends FleetGuard {
+    static final class Production extends PoisonPolicy {
         private static final int TIMES_TOLD = 3;
         private static final long TOLD_AGAIN_MILLIS = 200;
 
         private final PoisonDetector mRegister = new PoisonDetector();
         private final DigestLocks mTurns = new DigestLocks();
-        private final Timeline mTimeline;
+        private final EventScheduler mTimeline;
         private Consumer<SuspectReport> mTeller;
 
-        Production(Timeline timeline) {
+        Production(EventScheduler timeline) {
             mTimeline = timeline;
         }
 
         /** Sets who tells all other VMs. */
-        void setTeller(Consumer<SuspectReport> teller) {
+        void setReportSender(Consumer<SuspectReport> teller) {
             mTeller = teller;
         }
 
@@ -56,14 +56,14 @@
         }
 
         @Override
-        DigestLocks turns() {
+        DigestLocks digestLocks() {
             return mTurns;
         }
 
         @Override
-        void onBroken(
+        void onConnectionBroken(
                 FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
-            mTimeline.after(
+            mTimeline.schedule(
                     CHECK_MILLIS,
                     () -> {
                         if (target.isDown() && mRegister.onCrash(digest, end, now())) {
@@ -74,14 +74,14 @@
         }
 
         @Override
-        void onAnswered(RequestDigest digest) {
+        void onResponse(RequestDigest digest) {
             if (!mRegister.isEmpty() && mRegister.onAnswered(digest, now())) {
                 tell(digest, TIMES_TOLD);
             }
         }
 
         /** Takes what another VM tells. */
-        void onNews(SuspectReport news) {
+        void onPeerReport(SuspectReport news) {
             if (mRegister.onPeerReport(news, now())) {
                 tell(news.digest(), 1);
             }
@@ -90,7 +90,7 @@
         private void tell(RequestDigest digest, int times) {
             mTeller.accept(mRegister.report(digest, now()));
             if (times > 1) {
-                mTimeline.after(TOLD_AGAIN_MILLIS, () -> tell(digest, times - 1));
+                mTimeline.schedule(TOLD_AGAIN_MILLIS, () -> tell(digest, times - 1));
             }
         }
 
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
@@ -9,23 +9,23 @@
  * One kind of request of a scenario.
  *
  * @param kind the kind as the decisions see it
- * @param perSecond requests a second of the whole fleet
- * @param workMillis the mean time of work, in milliseconds
- * @param spread the logarithmic standard deviation of the time of work
+ * @param requestsPerSecond requests a second of the whole fleet
+ * @param meanServiceMillis the mean time of work, in milliseconds
+ * @param serviceTimeSigma the logarithmic standard deviation of the time of work
  * @param payoff what an answer within the objective is worth
  * @param latePayoff what a later one is worth
- * @param alike how many different requests there are of this kind; 0 if no two are alike
- * @param endsTarget whether the target ends that runs such a request
+ * @param distinctRequests how many different requests there are of this kind; 0 if no two are alike
+ * @param crashesTarget whether the target ends that runs such a request
  */
 record RequestLoad(
         RequestKind kind,
-        double perSecond,
-        double workMillis,
-        double spread,
+        double requestsPerSecond,
+        double meanServiceMillis,
+        double serviceTimeSigma,
         double payoff,
         double latePayoff,
-        int alike,
-        boolean endsTarget) {
+        int distinctRequests,
+        boolean crashesTarget) {
     private static final Duration LONGEST = Duration.ofMinutes(1);
     private static final double PATIENCE_SHARE = 0.6;
     private static final double HEDGE_AFTER_SHARE = 0.6;
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
@@ -13,12 +13,12 @@
 /** The decisions that VMs run in production. */
 record RuntimePlacer(ServiceRuntime runtime) implements Placer<Slot> {
     @Override
-    public CompletableFuture<Slot> first(Attempt<Slot> attempt) {
+    public CompletableFuture<Slot> acquire(SimulatedRequest<Slot> attempt) {
         return runtime.acquire(attempt, Set.of());
     }
 
     @Override
-    public Optional<Slot> again(Attempt<Slot> attempt, FailedAttempt failed) {
+    public Optional<Slot> retry(SimulatedRequest<Slot> attempt, FailedAttempt failed) {
         return runtime.retry(attempt, failed);
     }
 
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public Optional<Slot> beside(Attempt<Slot> attempt, Set<Endpoint> tried) {
+    public Optional<Slot> hedge(SimulatedRequest<Slot> attempt, Set<Endpoint> tried) {
         return runtime.hedge(attempt, tried);
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
@@ -14,42 +14,42 @@
  *
  * @param name its name
  * @param vms VMs that take callers
- * @param length how long it is played
- * @param newsDelayMillis how long news takes between two VMs, in milliseconds
- * @param newsLoss the share of news that is lost
+ * @param duration how long it is played
+ * @param messageDelayMillis how long news takes between two VMs, in milliseconds
+ * @param messageLossRate the share of news that is lost
  * @param targets how many targets there are
  * @param slots requests that a target works on at once
  * @param queue requests that wait at a target before it refuses more
- * @param ownFailures the share of work that sound targets fail
- * @param bout what a target does in a bout
- * @param boutShare the share of work that it fails then
- * @param boutLength the mean length of a bout
- * @param soundLength the mean time between bouts
- * @param cutShare the share of pairs of a VM and a target whose path loses all, for the middle
+ * @param baseFailureRate the share of work that sound targets fail
+ * @param failureMode what a target does in a bout
+ * @param failureShare the share of work that it fails then
+ * @param meanFailurePeriod the mean length of a bout
+ * @param meanHealthyPeriod the mean time between bouts
+ * @param lossyPathShare the share of pairs of a VM and a target whose path loses all, for the middle
  *     third
- * @param restart how long a target that ended takes to be back
+ * @param restartDelay how long a target that ended takes to be back
  * @param rackShare the share of the targets that end at once at the begin of the middle third
- * @param burst the load in the middle third, as a multiple
+ * @param burstFactor the load in the middle third, as a multiple
  * @param loads its kinds of request
  */
 record Scenario(
         String name,
         int vms,
-        Duration length,
-        long newsDelayMillis,
-        double newsLoss,
+        Duration duration,
+        long messageDelayMillis,
+        double messageLossRate,
         int targets,
         int slots,
         int queue,
-        double ownFailures,
-        BoutKind bout,
-        double boutShare,
-        Duration boutLength,
-        Duration soundLength,
-        double cutShare,
-        Duration restart,
+        double baseFailureRate,
+        FailureMode failureMode,
+        double failureShare,
+        Duration meanFailurePeriod,
+        Duration meanHealthyPeriod,
+        double lossyPathShare,
+        Duration restartDelay,
         double rackShare,
-        double burst,
+        double burstFactor,
         List<RequestLoad> loads) {
     private static final Duration LONGEST = Duration.ofHours(1);
     private static final Duration SHORTEST = Duration.ofMillis(1);
@@ -98,7 +98,7 @@
                         (int) targets.number("slots", 1, 1_000),
                         (int) targets.number("queue", 0, 1_000),
                         targets.fraction("own-failures", 0.01),
-                        targets.enumValue("bout", BoutKind.class),
+                        targets.enumValue("bout", FailureMode.class),
                         targets.fraction("bout-share"),
                         targets.duration("bout-length", SHORTEST, LONGEST),
                         targets.duration("sound-length", SHORTEST, LONGEST),
@@ -112,8 +112,8 @@
     }
 
     /** Returns whether a time lies in the middle third, in which bursts and cuts happen. */
-    boolean isMiddle(long elapsedMillis) {
-        long third = length.toMillis() / 3;
+    boolean isMiddleThird(long elapsedMillis) {
+        long third = duration.toMillis() / 3;
         return elapsedMillis >= third && elapsedMillis < 2 * third;
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Attempt.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/SimulatedRequest.java
@@ -23,15 +23,15 @@
  *
  * @param <S> what a try holds while it runs
  */
-final class Attempt<S> implements SlotRequest {
+final class SimulatedRequest<S> implements SlotRequest {
     private static final long HEDGE_AGAIN_MILLIS = 100;
 
     private final RequestLoad mLoad;
     private final Placer<S> mPlacer;
-    private final TargetPaths mPaths;
-    private final Timeline mTimeline;
-    private final FleetTally mTally;
-    private final FleetGuard mGuard;
+    private final Network mPaths;
+    private final EventScheduler mTimeline;
+    private final FleetStatistics mTally;
+    private final PoisonPolicy mGuard;
     private final RequestDigest mDigest;
     private final long mArrivalMillis;
     private final long mArrivalElapsedMillis;
@@ -44,22 +44,22 @@
     private boolean mHasTurn;
 
     /** Reaches a target from one VM. */
-    interface TargetPaths {
+    interface Network {
         /** Sends work; the end never comes if the path or the target swallows it. */
         void send(
                 Endpoint target, RequestLoad load, RequestDigest digest, Consumer<FailureKind> end);
 
         /** Returns the target at an address. */
-        FleetTarget at(Endpoint target);
+        FleetTarget target(Endpoint target);
     }
 
-    Attempt(
+    SimulatedRequest(
             RequestLoad load,
             Placer<S> placer,
-            TargetPaths paths,
-            Timeline timeline,
-            FleetTally tally,
-            FleetGuard guard,
+            Network paths,
+            EventScheduler timeline,
+            FleetStatistics tally,
+            PoisonPolicy guard,
             RequestDigest digest) {
         mGuard = guard;
         mDigest = digest;
@@ -94,7 +94,7 @@
 
     void start() {
         mTally.onArrival(mLoad, mArrivalElapsedMillis);
-        mTimeline.after(mLoad.kind().deadline().toMillis(), this::onDeadline);
+        mTimeline.schedule(mLoad.kind().deadline().toMillis(), this::onDeadline);
         admit();
     }
 
@@ -102,7 +102,7 @@
         if (mDone || isHeldBack()) {
             return;
         }
-        CompletableFuture<S> place = mPlacer.first(this);
+        CompletableFuture<S> place = mPlacer.acquire(this);
         mWaiting = place;
         Futures.whenDone(place, this::onPlace);
     }
@@ -113,10 +113,10 @@
             refuseQuarantined();
             return true;
         }
-        if (treatment == Treatment.USUAL || !mGuard.turns().isHeld(mDigest)) {
+        if (treatment == Treatment.USUAL || !mGuard.digestLocks().isHeld(mDigest)) {
             return false;
         }
-        if (!mGuard.turns().addWaiter(mDigest, this::admit)) {
+        if (!mGuard.digestLocks().addWaiter(mDigest, this::admit)) {
             refuseQuarantined();
         }
         return true;
@@ -127,14 +127,14 @@
         if (mMayHaveRun) {
             mTally.onFailed(mLoad, mArrivalElapsedMillis);
         } else {
-            mTally.onHeldBack(mLoad, mArrivalElapsedMillis);
+            mTally.onQuarantined(mLoad, mArrivalElapsedMillis);
         }
     }
 
     private void giveTurnBack() {
         if (mHasTurn) {
             mHasTurn = false;
-            mGuard.turns().release(mDigest);
+            mGuard.digestLocks().release(mDigest);
         }
     }
 
@@ -158,16 +158,16 @@
         Endpoint target = mPlacer.target(place);
         mTries++;
         if (mGuard.treatment(mDigest) == Treatment.ALONE) {
-            mGuard.turns().acquire(mDigest);
+            mGuard.digestLocks().acquire(mDigest);
             mHasTurn = true;
         }
-        mTally.onTry(mLoad);
+        mTally.onAttempt(mLoad);
         mTried.add(target);
         mRunning.put(place, mTimeline.nowMillis());
         if (mTries == 1) {
             long delay = mPlacer.hedgeDelayMillis(mLoad);
             if (delay >= 0) {
-                mTimeline.after(delay, this::hedge);
+                mTimeline.schedule(delay, this::hedge);
             }
         }
         mPaths.send(target, mLoad, mDigest, failure -> onEnd(place, failure));
@@ -180,10 +180,10 @@
         if (!mGuard.treatment(mDigest).mayRunAgain()) {
             return;
         }
-        Optional<S> place = mPlacer.beside(this, Set.copyOf(mTried));
+        Optional<S> place = mPlacer.hedge(this, Set.copyOf(mTried));
         place.ifPresent(this::send);
         if (place.isEmpty()) {
-            mTimeline.after(HEDGE_AGAIN_MILLIS, this::hedge);
+            mTimeline.schedule(HEDGE_AGAIN_MILLIS, this::hedge);
         }
     }
 
@@ -193,17 +193,17 @@
             return;
         }
         if (failure != null && failure.isTargetFault()) {
-            mTally.onBadTry();
+            mTally.onFailedAttempt();
         }
         if (failure != null && failure.brokeConnection()) {
-            FleetTarget target = mPaths.at(mPlacer.target(place));
+            FleetTarget target = mPaths.target(mPlacer.target(place));
             TargetCrash end = new TargetCrash(target.incarnation(), sent, mTimeline.nowMillis());
-            mGuard.onBroken(target, end, mDigest, this::giveTurnBack);
+            mGuard.onConnectionBroken(target, end, mDigest, this::giveTurnBack);
         } else {
             giveTurnBack();
         }
         if (failure == null || failure == FailureKind.SERVER_ERROR) {
-            mGuard.onAnswered(mDigest);
+            mGuard.onResponse(mDigest);
         }
         mPlacer.release(place, outcome(failure), mTimeline.nowMillis() - sent);
         if (mDone) {
@@ -235,7 +235,7 @@
         FailedAttempt failed =
                 new FailedAttempt(
                         kind(), failure, mMayHaveRun, Set.copyOf(mTried), mTries, deadlineMillis());
-        Optional<S> place = mPlacer.again(this, failed);
+        Optional<S> place = mPlacer.retry(this, failed);
         place.ifPresent(this::send);
         return place.isPresent();
     }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/SpreadTally.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/TargetUsageTracker.java
@@ -14,7 +14,7 @@
  * <p>Targets that get no work are lost capacity, whatever the reason. This counts the windows in
  * which callers missed answers although less than the floor share of the sound targets was used.
  */
-final class SpreadTally {
+final class TargetUsageTracker {
     private static final long WINDOW_MILLIS = 2_000;
     private static final long STEP_MILLIS = 500;
 
@@ -42,7 +42,7 @@
      *
      * @param floorShare the share of the sound targets that is to be in use
      */
-    SpreadTally(double floorShare) {
+    TargetUsageTracker(double floorShare) {
         mFloorShare = floorShare;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Takes work that reached a target. */
-    void onReached(Endpoint target, long elapsedMillis) {
+    void onDelivered(Endpoint target, long elapsedMillis) {
         step(elapsedMillis).mUsed.add(target);
     }
 
@@ -68,11 +68,11 @@
     /**
      * What the windows of a run show.
      *
-     * @param least the least share of sound targets that was in use in any window
+     * @param minUsedShare the least share of sound targets that was in use in any window
      * @param windowsBelowFloor the windows in which requests were lost while less than the floor
      *     was used
      */
-    record Spread(double least, int windowsBelowFloor) {}
+    record TargetUsage(double minUsedShare, int windowsBelowFloor) {}
 
     /**
      * Looks at all whole windows.
@@ -80,7 +80,7 @@
      * @param boutEnds for each target the times in bouts, from their begin to their end
      * @param lengthMillis how long the run was
      */
-    Spread spread(Map<Endpoint, List<Bout>> boutEnds, long lengthMillis) {
+    TargetUsage usage(Map<Endpoint, List<FailurePeriod>> boutEnds, long lengthMillis) {
         double least = 1;
         int windowsBelowFloor = 0;
         for (long from = 0; from + WINDOW_MILLIS <= lengthMillis; from += STEP_MILLIS) {
@@ -88,11 +88,11 @@
             least = Math.min(least, window.used());
             windowsBelowFloor += window.isBelow(mFloorShare) ? 1 : 0;
         }
-        return new Spread(least, windowsBelowFloor);
+        return new TargetUsage(least, windowsBelowFloor);
     }
 
     /** A bout of a target, in milliseconds since the start. */
-    record Bout(long fromMillis, long untilMillis) {}
+    record FailurePeriod(long fromMillis, long untilMillis) {}
 
     private record Window(double used, double lost) {
         private boolean isBelow(double floorShare) {
@@ -100,7 +100,7 @@
         }
     }
 
-    private Window window(long fromMillis, Map<Endpoint, List<Bout>> bouts) {
+    private Window window(long fromMillis, Map<Endpoint, List<FailurePeriod>> bouts) {
         long untilMillis = fromMillis + WINDOW_MILLIS;
         Set<Endpoint> used = new HashSet<>();
         int served = 0;
@@ -121,7 +121,7 @@
                 lost / (double) Math.max(1, served + lost));
     }
 
-    private static boolean isSound(List<Bout> bouts, long fromMillis, long untilMillis) {
+    private static boolean isSound(List<FailurePeriod> bouts, long fromMillis, long untilMillis) {
         return bouts.stream()
                 .noneMatch(
                         bout ->
--- a/lab/src/main/java/org/dahliapass/lab/policy/BaselineSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/BaselineSelector.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public EvidenceReport takeReport(long nowMillis) {
+    public EvidenceReport drainReport(long nowMillis) {
         return mNothing;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/Comparison.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Comparison.java
@@ -11,12 +11,12 @@
     private Comparison() {}
 
     /** Returns one line for each fault, and the rows in which the floor was crossed. */
-    static List<String> lines(List<Row> rows) {
+    static List<String> lines(List<ResultRow> rows) {
         List<String> lines = new ArrayList<>();
         lines.add("");
         lines.add("Detection (median) and wrong target-seconds against the fastest of the others:");
-        for (Row row : rows) {
-            if (row.contender().equals(Contender.CELL.title())) {
+        for (ResultRow row : rows) {
+            if (row.contender().equals(PolicyVariant.CELL.title())) {
                 lines.add(line(row, fastestOther(row, rows)));
             }
         }
@@ -24,17 +24,17 @@
     }
 
     /** Returns the row of the other contender that found the fault soonest, if any did. */
-    static Optional<Row> fastestOther(Row row, List<Row> rows) {
+    static Optional<ResultRow> fastestOther(ResultRow row, List<ResultRow> rows) {
         return rows.stream()
                 .filter(other -> other.deployment().equals(row.deployment()))
                 .filter(other -> other.loadPercent() == row.loadPercent())
                 .filter(other -> other.fault().equals(row.fault()))
                 .filter(other -> !other.contender().equals(row.contender()))
                 .filter(other -> other.detectionMedianMillis() >= 0)
-                .min(Comparator.comparingDouble(Row::detectionMedianMillis));
+                .min(Comparator.comparingDouble(ResultRow::detectionMedianMillis));
     }
 
-    private static String line(Row row, Optional<Row> other) {
+    private static String line(ResultRow row, Optional<ResultRow> other) {
         String start =
                 String.format(
                         Locale.ROOT,
--- a/lab/src/main/java/org/dahliapass/lab/policy/ConsecutiveFailuresSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ConsecutiveFailuresSelector.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public boolean takesTurns() {
+    public boolean isRoundRobin() {
         return true;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/CurvePoint.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/CurvePoint.java
@@ -43,8 +43,8 @@
                         + row(table, changed, Fault.SHORT_PAUSES).healthyEjectedSeconds());
     }
 
-    private static Row row(PolicyTable table, Deployment deployment, Fault fault) {
-        return table.row(deployment, fault, Contender.CELL, LOAD);
+    private static ResultRow row(PolicyTable table, Deployment deployment, Fault fault) {
+        return table.row(deployment, fault, PolicyVariant.CELL, LOAD);
     }
 
     @Override
--- a/lab/src/main/java/org/dahliapass/lab/policy/DetectionPlot.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/DetectionPlot.java
@@ -17,26 +17,26 @@
     private static final int ROW_HEIGHT = 22;
     private static final int PANEL_GAP = 40;
 
-    private final List<Row> mRows;
+    private final List<ResultRow> mRows;
     private final LogScale mTimes = new LogScale(10, 30_000, LEFT, RIGHT);
 
-    DetectionPlot(List<Row> rows) {
+    DetectionPlot(List<ResultRow> rows) {
         mRows = rows;
     }
 
     /** Returns the picture, or nothing if no row has something to find at the plot's load. */
     Optional<String> draw() {
-        List<Row> own = mRows.stream().filter(this::isShown).toList();
+        List<ResultRow> own = mRows.stream().filter(this::isShown).toList();
         if (own.isEmpty()) {
             return Optional.empty();
         }
-        List<String> deployments = own.stream().map(Row::deployment).distinct().toList();
+        List<String> deployments = own.stream().map(ResultRow::deployment).distinct().toList();
         int height = TOP + own.size() * ROW_HEIGHT + deployments.size() * (PANEL_GAP + ROW_HEIGHT);
         SvgDrawing drawing = new SvgDrawing(WIDTH, height);
         drawKey(drawing);
         double y = TOP + ROW_HEIGHT;
         for (String deployment : deployments) {
-            List<Row> panel =
+            List<ResultRow> panel =
                     own.stream().filter(row -> row.deployment().equals(deployment)).toList();
             drawPanel(drawing, panel, y);
             y += panel.size() * ROW_HEIGHT + PANEL_GAP + ROW_HEIGHT;
@@ -44,10 +44,10 @@
         return Optional.of(drawing.toString());
     }
 
-    private boolean isShown(Row row) {
+    private boolean isShown(ResultRow row) {
         boolean isFound = row.detectionMedianMillis() >= 0;
         return row.loadPercent() == LOAD_PERCENT
-                && row.contender().equals(Contender.CELL.title())
+                && row.contender().equals(PolicyVariant.CELL.title())
                 && (isFound || row.missedPercent() > 0);
     }
 
@@ -65,7 +65,7 @@
                 "fastest baseline, named at the right");
     }
 
-    private void drawPanel(SvgDrawing drawing, List<Row> rows, double top) {
+    private void drawPanel(SvgDrawing drawing, List<ResultRow> rows, double top) {
         double bottom = top + rows.size() * ROW_HEIGHT;
         drawing.text(
                 new Point(10, top - 6), Anchor.START, SvgDrawing.TEXT, rows.get(0).deployment());
@@ -84,10 +84,10 @@
         drawing.text(new Point(x, bottom + 16), Anchor.MIDDLE, SvgDrawing.TEXT, label);
     }
 
-    private void drawRow(SvgDrawing drawing, Row row, double y) {
-        Optional<Row> other = Comparison.fastestOther(row, mRows);
+    private void drawRow(SvgDrawing drawing, ResultRow row, double y) {
+        Optional<ResultRow> other = Comparison.fastestOther(row, mRows);
         Point own = new Point(x(row.detectionMedianMillis()), y);
-        Point baseline = new Point(x(other.map(Row::detectionMedianMillis).orElse(-1.0)), y);
+        Point baseline = new Point(x(other.map(ResultRow::detectionMedianMillis).orElse(-1.0)), y);
         drawing.text(new Point(LEFT - 10, y + 4), Anchor.END, SvgDrawing.TEXT, row.fault());
         drawing.line(own, baseline, SvgDrawing.GRID, 3);
         drawing.ring(baseline, 6, SvgDrawing.ORANGE);
@@ -96,7 +96,7 @@
                 new Point(LABEL_X, y + 4),
                 Anchor.START,
                 SvgDrawing.ORANGE,
-                other.map(Row::contender).orElse("none"));
+                other.map(ResultRow::contender).orElse("none"));
     }
 
     private double x(double millis) {
--- a/lab/src/main/java/org/dahliapass/lab/policy/EventQueue.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/EventQueue.java
@@ -19,7 +19,7 @@
         return mNowMicros / 1_000;
     }
 
-    void after(long micros, Runnable action) {
+    void schedule(long micros, Runnable action) {
         mSequence++;
         mEntries.add(new Entry(mNowMicros + micros, mSequence, action));
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
@@ -38,7 +38,7 @@
      *
      * @param load the requests that arrive, as a share of what all slots can do
      */
-    Experiment(Deployment deployment, Fault fault, Contender contender, double load, long seed) {
+    Experiment(Deployment deployment, Fault fault, PolicyVariant contender, double load, long seed) {
         mDeployment = deployment;
         mFault = fault;
         mArrivals = new Random(seed);
@@ -59,10 +59,10 @@
         for (int vm = 0; vm < mVms.size(); vm++) {
             int number = vm;
             // The VMs' ticks are spread over the interval, as they are not in step.
-            mEvents.after((number + 1) * TICK_MILLIS * MICROS / mVms.size(), () -> tick(number));
+            mEvents.schedule((number + 1) * TICK_MILLIS * MICROS / mVms.size(), () -> tick(number));
             for (int target = 0; target < mTargets.size(); target++) {
                 int probed = target;
-                mEvents.after(mChoices.nextLong(probeMicros(vm)), () -> probe(number, probed));
+                mEvents.schedule(mChoices.nextLong(probeMicros(vm)), () -> probe(number, probed));
             }
         }
         mEvents.runUntil((mFaultMillis + FAULT_MILLIS) * MICROS);
@@ -84,12 +84,12 @@
     private Condition condition(int vm, int target) {
         return isFaulty()
                 ? mFault.condition(mDeployment, vm, target, mEvents.nowMillis() - mFaultMillis)
-                : Condition.WELL;
+                : Condition.HEALTHY;
     }
 
     private void scheduleArrival() {
         long gap = (long) (-mMeanGapMicros * Math.log(1 - mArrivals.nextDouble()));
-        mEvents.after(gap, this::arrive);
+        mEvents.schedule(gap, this::arrive);
     }
 
     private void arrive() {
@@ -105,7 +105,7 @@
             vm = (vm + 1) % mVms.size();
         }
         Request request = new Request(vm, mEvents.nowMicros(), (long) (slotMillis * MICROS), luck);
-        int target = mVms.get(vm).pick(guarded, mChoices);
+        int target = mVms.get(vm).selectTarget(guarded, mChoices);
         if (target < 0) {
             mMeasurement.onEnd(request.startMicros(), mEvents.nowMicros(), Outcome.REFUSED_SHED);
             return;
@@ -115,14 +115,14 @@
 
     private void send(Request request, int target) {
         mVms.get(request.vm()).mInFlight[target]++;
-        switch (condition(request.vm(), target).reach()) {
+        switch (condition(request.vm(), target).connectivity()) {
             case REFUSED ->
-                    mEvents.after(HOP_MICROS, () -> end(request, target, Outcome.CONNECT_FAILED));
+                    mEvents.schedule(HOP_MICROS, () -> end(request, target, Outcome.CONNECT_FAILED));
             case SILENT ->
-                    mEvents.after(
+                    mEvents.schedule(
                             CONNECT_TIMEOUT_MICROS,
                             () -> end(request, target, Outcome.CONNECT_FAILED));
-            default -> mEvents.after(HOP_MICROS, () -> reach(request, target));
+            default -> mEvents.schedule(HOP_MICROS, () -> reach(request, target));
         }
     }
 
@@ -136,7 +136,7 @@
                                 + (long) (request.slotMicros() * condition.slowdown()),
                         request.startMicros() + mDeployment.deadlineMillis() * MICROS,
                         inTime ->
-                                mEvents.after(
+                                mEvents.schedule(
                                         HOP_MICROS,
                                         () ->
                                                 end(
@@ -144,7 +144,7 @@
                                                         target,
                                                         inTime ? outcome : Outcome.TIMEOUT)));
         if (!mTargets.get(target).offer(work)) {
-            mEvents.after(HOP_MICROS, () -> end(request, target, Outcome.REFUSED_SHED));
+            mEvents.schedule(HOP_MICROS, () -> end(request, target, Outcome.REFUSED_SHED));
         }
     }
 
@@ -159,13 +159,13 @@
         vm.mSelector.onOutcome(target, outcome, latencyMillis, mEvents.nowMillis());
         if (outcome.isFailure()) {
             vm.mSelector
-                    .takeUrgentReport(mEvents.nowMillis())
+                    .drainUrgentReport(mEvents.nowMillis())
                     .ifPresent(
                             report ->
-                                    mEvents.after(HOP_MICROS, () -> deliver(request.vm(), report)));
+                                    mEvents.schedule(HOP_MICROS, () -> deliver(request.vm(), report)));
         }
         mMeasurement.onEnd(request.startMicros(), mEvents.nowMicros(), outcome);
-        mMeasurement.noteWeight(request.vm(), target, mEvents.nowMillis());
+        mMeasurement.recordWeight(request.vm(), target, mEvents.nowMillis());
     }
 
     private void probe(int vm, int target) {
@@ -173,17 +173,17 @@
             return;
         }
         Condition condition = condition(vm, target);
-        boolean answered = condition.reach() == Condition.Reach.OPEN;
+        boolean answered = condition.connectivity() == Condition.Connectivity.OPEN;
         mMeasurement.onProbe(mEvents.nowMillis());
-        mEvents.after(
+        mEvents.schedule(
                 answered ? PROBE_MICROS : CONNECT_TIMEOUT_MICROS,
                 () -> {
                     mVms.get(vm)
                             .mSelector
                             .onProbe(target, answered, condition.report(), mEvents.nowMillis());
-                    mMeasurement.noteWeight(vm, target, mEvents.nowMillis());
+                    mMeasurement.recordWeight(vm, target, mEvents.nowMillis());
                 });
-        mEvents.after(probeMicros(vm), () -> probe(vm, target));
+        mEvents.schedule(probeMicros(vm), () -> probe(vm, target));
     }
 
     private void tick(int vm) {
@@ -192,11 +192,11 @@
         }
         long nowMillis = mEvents.nowMillis();
         Selector selector = mVms.get(vm).mSelector;
-        EvidenceReport report = selector.takeReport(nowMillis);
-        mEvents.after(HOP_MICROS, () -> deliver(vm, report));
+        EvidenceReport report = selector.drainReport(nowMillis);
+        mEvents.schedule(HOP_MICROS, () -> deliver(vm, report));
         selector.onTick(nowMillis);
         mMeasurement.onTick(vm, nowMillis);
-        mEvents.after(TICK_MILLIS * MICROS, () -> tick(vm));
+        mEvents.schedule(TICK_MILLIS * MICROS, () -> tick(vm));
     }
 
     private void deliver(int sender, EvidenceReport report) {
@@ -211,7 +211,7 @@
     private void noteAll(int vm, EvidenceReport report) {
         if (!report.evidence().isEmpty()) {
             for (int target = 0; target < mTargets.size(); target++) {
-                mMeasurement.noteWeight(vm, target, mEvents.nowMillis());
+                mMeasurement.recordWeight(vm, target, mEvents.nowMillis());
             }
         }
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/FakeTarget.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/FakeTarget.java
@@ -35,12 +35,12 @@
         long leftMicros = work.deadlineMicros() - mEvents.nowMicros();
         boolean inTime = work.slotMicros() <= leftMicros;
         // Cancellation is passed on: a caller that gave up frees the slot.
-        mEvents.after(inTime ? work.slotMicros() : leftMicros, () -> end(work, inTime));
+        mEvents.schedule(inTime ? work.slotMicros() : leftMicros, () -> end(work, inTime));
     }
 
     private void end(Work work, boolean inTime) {
         mBusy--;
-        work.done().accept(inTime);
+        work.done().onCompleted(inTime);
         while (mBusy < mSlots && !mWaiting.isEmpty()) {
             startOrDrop(mWaiting.remove());
         }
@@ -48,7 +48,7 @@
 
     private void startOrDrop(Work next) {
         if (next.deadlineMicros() <= mEvents.nowMicros()) {
-            next.done().accept(false);
+            next.done().onCompleted(false);
             return;
         }
         start(next);
@@ -61,11 +61,11 @@
      * @param deadlineMicros when the caller gives up
      * @param done is told whether the work ended in time
      */
-    record Work(long slotMicros, long deadlineMicros, Done done) {}
+    record Work(long slotMicros, long deadlineMicros, CompletionListener done) {}
 
     /** Is told of the end of a piece of work. */
-    interface Done {
+    interface CompletionListener {
         /** Takes in whether the work ended before its deadline. */
-        void accept(boolean inTime);
+        void onCompleted(boolean inTime);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/FakeVm.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/FakeVm.java
@@ -14,8 +14,8 @@
     }
 
     /** Returns the target for a request, or -1 if none may get it. */
-    int pick(boolean guarded, RandomGenerator random) {
-        if (mSelector.takesTurns()) {
+    int selectTarget(boolean guarded, RandomGenerator random) {
+        if (mSelector.isRoundRobin()) {
             return next();
         }
         int best = leastBusy(guarded, random);
@@ -39,7 +39,7 @@
         for (int step = 0; step < mInFlight.length; step++) {
             int target = (start + step) % mInFlight.length;
             double weight = mSelector.weight(target);
-            if (weight > 0 && (!guarded || mSelector.mayCarryGuarded(target))) {
+            if (weight > 0 && (!guarded || mSelector.acceptsAtMostOnce(target))) {
                 double busy = (mInFlight[target] + 1) / weight;
                 if (busy < bestBusy) {
                     bestBusy = busy;
--- a/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
@@ -11,41 +11,41 @@
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             long phase = (sinceMillis + target * 733L) % 15_000;
-            return phase < 500 ? Condition.stalled(500 - phase) : Condition.WELL;
+            return phase < 500 ? Condition.stalled(500 - phase) : Condition.HEALTHY;
         }
     },
     /** One target's process is gone. */
     HARD_STOP("hard stop", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.STOPPED;
         }
     },
     /** One target fails a tenth of its work and answers probes. */
     FAILS_TENTH("fails 10%, probes answered", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.failing(0.1);
         }
     },
     /** One target fails half of its work and answers probes. */
     FAILS_HALF("fails 50%, probes answered", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.failing(0.5);
         }
     },
     /** One target fails all of its work and answers probes. */
     FAILS_ALL("fails 100%, probes answered", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.failing(1);
         }
     },
     /** One target takes three times as long. */
     SLOW_THREEFOLD("slowed 3x", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.slowed(3);
         }
 
@@ -57,7 +57,7 @@
     /** One target takes ten times as long. */
     SLOW_TENFOLD("slowed 10x", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.slowed(10);
         }
 
@@ -69,51 +69,51 @@
     /** One target fails all work for a second, is well for a second, and so on. */
     FLAPS_FAST("flaps, 1 s each way", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return sinceMillis / 1_000 % 2 == 0 ? Condition.failing(1) : Condition.WELL;
+        Condition faultyCondition(long sinceMillis) {
+            return sinceMillis / 1_000 % 2 == 0 ? Condition.failing(1) : Condition.HEALTHY;
         }
     },
     /** One target fails all work for five seconds, is well for five, and so on. */
     FLAPS_SLOWLY("flaps, 5 s each way", 1) {
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return sinceMillis / 5_000 % 2 == 0 ? Condition.failing(1) : Condition.WELL;
+        Condition faultyCondition(long sinceMillis) {
+            return sinceMillis / 5_000 % 2 == 0 ? Condition.failing(1) : Condition.HEALTHY;
         }
     },
     /** One VM gets no answer from the targets of one zone. */
     VM_CUT_OFF("one VM cut off from a zone's targets") {
         @Override
-        boolean isSick(Deployment deployment, int vm, int target) {
+        boolean isFaulty(Deployment deployment, int vm, int target) {
             return vm == 0 && target % Deployment.ZONES == 1;
         }
 
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return Condition.CUT_OFF;
+        Condition faultyCondition(long sinceMillis) {
+            return Condition.UNREACHABLE;
         }
     },
     /** One VM gets no answer from one target. */
     PATH_CUT("one VM cut off from one target") {
         @Override
-        boolean isSick(Deployment deployment, int vm, int target) {
+        boolean isFaulty(Deployment deployment, int vm, int target) {
             return vm == 0 && target == 1;
         }
 
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return Condition.CUT_OFF;
+        Condition faultyCondition(long sinceMillis) {
+            return Condition.UNREACHABLE;
         }
     },
     /** The VMs of one zone get no answer from the targets of another. */
     ZONE_CUT_OFF("a zone's VMs cut off from a zone's targets") {
         @Override
-        boolean isSick(Deployment deployment, int vm, int target) {
+        boolean isFaulty(Deployment deployment, int vm, int target) {
             return vm % Deployment.ZONES == 0 && target % Deployment.ZONES == 1;
         }
 
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return Condition.CUT_OFF;
+        Condition faultyCondition(long sinceMillis) {
+            return Condition.UNREACHABLE;
         }
     },
     /** A third of the targets say that they are sick while they work well. */
@@ -121,8 +121,8 @@
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             return target % Deployment.ZONES == 1
-                    ? Condition.saying(HealthReport.UNHEALTHY, 1)
-                    : Condition.WELL;
+                    ? Condition.reporting(HealthReport.UNHEALTHY, 1)
+                    : Condition.HEALTHY;
         }
     },
     /** Something behind all targets makes them slow. */
@@ -142,12 +142,12 @@
     /** As many targets fail as the floor lets out, and two more. */
     SEVERAL_FAIL("sick up to the floor and two more") {
         @Override
-        boolean isSick(Deployment deployment, int vm, int target) {
+        boolean isFaulty(Deployment deployment, int vm, int target) {
             return target < deployment.targets() - deployment.floorTargets() + 2;
         }
 
         @Override
-        Condition sickCondition(long sinceMillis) {
+        Condition faultyCondition(long sinceMillis) {
             return Condition.failing(1);
         }
     },
@@ -156,8 +156,8 @@
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             return sinceMillis < 5_000 + 200L * target
-                    ? Condition.saying(HealthReport.COLD, 4)
-                    : Condition.WELL;
+                    ? Condition.reporting(HealthReport.COLD, 4)
+                    : Condition.HEALTHY;
         }
     },
     /** One VM of the cell is lost; its callers go to the others. */
@@ -175,13 +175,13 @@
         }
 
         @Override
-        boolean isSick(Deployment deployment, int vm, int target) {
+        boolean isFaulty(Deployment deployment, int vm, int target) {
             return target % Deployment.ZONES == 0;
         }
 
         @Override
-        Condition sickCondition(long sinceMillis) {
-            return Condition.CUT_OFF;
+        Condition faultyCondition(long sinceMillis) {
+            return Condition.UNREACHABLE;
         }
     };
 
@@ -205,21 +205,21 @@
     }
 
     /** Returns whether one target alone is sick. */
-    boolean isSingle() {
+    boolean affectsSingleTarget() {
         return mSickTargets == 1;
     }
 
     /** Returns whether the target should get nothing from this VM while the fault lasts. */
-    boolean isSick(Deployment deployment, int vm, int target) {
+    boolean isFaulty(Deployment deployment, int vm, int target) {
         return target < mSickTargets;
     }
 
     Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
-        return isSick(deployment, vm, target) ? sickCondition(sinceMillis) : Condition.WELL;
+        return isFaulty(deployment, vm, target) ? faultyCondition(sinceMillis) : Condition.HEALTHY;
     }
 
-    Condition sickCondition(long sinceMillis) {
-        return Condition.WELL;
+    Condition faultyCondition(long sinceMillis) {
+        return Condition.HEALTHY;
     }
 
     boolean isVmLost(int vm) {
--- a/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public boolean mayCarryGuarded(int target) {
+    public boolean acceptsAtMostOnce(int target) {
         return mHealth.view().acceptsAtMostOnce(Deployment.endpoint(target));
     }
 
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public EvidenceReport takeReport(long nowMillis) {
+    public EvidenceReport drainReport(long nowMillis) {
         return mHealth.takeReport(nowMillis);
     }
 
     @Override
-    public Optional<EvidenceReport> takeUrgentReport(long nowMillis) {
+    public Optional<EvidenceReport> drainUrgentReport(long nowMillis) {
         return mHealth.takeUrgentReport(nowMillis);
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/Measurement.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Measurement.java
@@ -56,10 +56,10 @@
     }
 
     /** Notes whether a sick target gets no more work from a VM. */
-    void noteWeight(int vm, int target, long nowMillis) {
+    void recordWeight(int vm, int target, long nowMillis) {
         if (nowMillis >= mFaultMillis
                 && mFoundMillis[vm][target] == NOT_FOUND
-                && mFault.isSick(mDeployment, vm, target)
+                && mFault.isFaulty(mDeployment, vm, target)
                 && mVms.get(vm).mSelector.weight(target) <= mFault.detectedAtWeight()) {
             mFoundMillis[vm][target] = nowMillis - mFaultMillis;
         }
@@ -71,8 +71,8 @@
         }
         int healthy = 0;
         for (int target = 0; target < mDeployment.targets(); target++) {
-            noteWeight(vm, target, nowMillis);
-            if (mFault.isSick(mDeployment, vm, target)) {
+            recordWeight(vm, target, nowMillis);
+            if (mFault.isFaulty(mDeployment, vm, target)) {
                 continue;
             }
             if (mVms.get(vm).mSelector.weight(target) > 0) {
@@ -94,7 +94,7 @@
     }
 
     /** Returns for how many pairs of a VM and a sick target there was something to find. */
-    int sickPairs() {
+    int faultyPairs() {
         int[] pairs = new int[1];
         forEachSick((vm, target) -> pairs[0]++);
         return pairs[0];
@@ -109,7 +109,7 @@
     private void forEachSick(Pair action) {
         for (int vm = 0; vm < mDeployment.vms(); vm++) {
             for (int target = 0; target < mDeployment.targets(); target++) {
-                if (!mFault.isVmLost(vm) && mFault.isSick(mDeployment, vm, target)) {
+                if (!mFault.isVmLost(vm) && mFault.isFaulty(mDeployment, vm, target)) {
                     action.accept(vm, target);
                 }
             }
@@ -120,7 +120,7 @@
         return mHealthyEjectedSeconds;
     }
 
-    int lowestHealthy() {
+    int minHealthyTargets() {
         return mLowestHealthy;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
@@ -54,7 +54,7 @@
     protected ExitCode run(OptionSet options) {
         PolicyTable table =
                 new PolicyTable((Long) options.valueOf("seed"), (Integer) options.valueOf("runs"));
-        List<Row> rows = options.has("curve-only") ? List.of() : printTable(table, options);
+        List<ResultRow> rows = options.has("curve-only") ? List.of() : printTable(table, options);
         List<CurvePoint> curve = options.has("no-curve") ? List.of() : printCurve(table);
         if (options.has("json")) {
             write(new Figures(rows, curve), (String) options.valueOf("json"));
@@ -66,14 +66,14 @@
         return ExitCode.OK;
     }
 
-    private List<Row> printTable(PolicyTable table, OptionSet options) {
-        List<Row> rows = new ArrayList<>();
-        mOutput.println(Row.HEADER);
+    private List<ResultRow> printTable(PolicyTable table, OptionSet options) {
+        List<ResultRow> rows = new ArrayList<>();
+        mOutput.println(ResultRow.HEADER);
         for (Deployment deployment : List.of(Deployment.HIMAL_DESK, Deployment.VATULELE_RANKINGS)) {
             for (double load : PolicyTable.LOADS) {
                 for (Fault fault : Fault.values()) {
                     if (isChosen(options, load, fault)) {
-                        List<Row> added = table.rows(deployment, load, fault);
+                        List<ResultRow> added = table.rows(deployment, load, fault);
                         added.forEach(mOutput::println);
                         rows.addAll(added);
                     }
@@ -121,5 +121,5 @@
      * @param rows the table
      * @param curve the curve over the tolerance
      */
-    record Figures(List<Row> rows, List<CurvePoint> curve) {}
+    record Figures(List<ResultRow> rows, List<CurvePoint> curve) {}
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
@@ -22,7 +22,7 @@
      * @return the files written
      * @throws OperationException if a file can't be written
      */
-    static List<Path> write(Path directory, List<Row> rows, List<CurvePoint> curve) {
+    static List<Path> write(Path directory, List<ResultRow> rows, List<CurvePoint> curve) {
         List<Path> files = new ArrayList<>();
         if (!curve.isEmpty()) {
             files.add(write(directory.resolve(CURVE_FILE), new CurvePlot(curve).draw()));
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyTable.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyTable.java
@@ -28,17 +28,17 @@
     }
 
     /** Returns the rows of one deployment, load and fault, one for each contender. */
-    List<Row> rows(Deployment deployment, double load, Fault fault) {
-        return rows(deployment, load, fault, List.of(Contender.values()));
+    List<ResultRow> rows(Deployment deployment, double load, Fault fault) {
+        return rows(deployment, load, fault, List.of(PolicyVariant.values()));
     }
 
     /** Returns the row of one contender. */
-    Row row(Deployment deployment, Fault fault, Contender contender, double load) {
+    ResultRow row(Deployment deployment, Fault fault, PolicyVariant contender, double load) {
         return rows(deployment, load, fault, List.of(contender)).get(0);
     }
 
-    private List<Row> rows(
-            Deployment deployment, double load, Fault fault, List<Contender> contenders) {
+    private List<ResultRow> rows(
+            Deployment deployment, double load, Fault fault, List<PolicyVariant> contenders) {
         // Runs share nothing and keep their order, so the sums don't depend on the threads.
         List<Measurement> runs =
                 IntStream.range(0, contenders.size() * mRuns)
@@ -53,10 +53,10 @@
                                                         mSeed + number % mRuns * SEED_STEP)
                                                 .run())
                         .toList();
-        List<Row> rows = new ArrayList<>();
+        List<ResultRow> rows = new ArrayList<>();
         for (int index = 0; index < contenders.size(); index++) {
             List<Measurement> own = runs.subList(index * mRuns, (index + 1) * mRuns);
-            rows.add(Row.of(deployment, fault, contenders.get(index), load, own));
+            rows.add(ResultRow.of(deployment, fault, contenders.get(index), load, own));
         }
         return rows;
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/Contender.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyVariant.java
@@ -1,7 +1,7 @@
 package org.dahliapass.lab.policy;
 
 /** Who decides which targets get work. */
-enum Contender {
+enum PolicyVariant {
     /** The production decisions. */
     CELL("cell") {
         @Override
@@ -33,7 +33,7 @@
 
     private final String mTitle;
 
-    Contender(String title) {
+    PolicyVariant(String title) {
         mTitle = title;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/Row.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ResultRow.java
@@ -24,7 +24,7 @@
  * @param refusedPercent requests that were refused
  * @param probesPercent probes for each hundred requests
  */
-record Row(
+record ResultRow(
         String deployment,
         int loadPercent,
         String fault,
@@ -59,20 +59,20 @@
                     "probes");
 
     /** Sums up the runs of one cell of the table. */
-    static Row of(
+    static ResultRow of(
             Deployment deployment,
             Fault fault,
-            Contender contender,
+            PolicyVariant contender,
             double load,
             List<Measurement> runs) {
         List<Long> found = new ArrayList<>();
         runs.forEach(run -> found.addAll(run.detectionMillis()));
         Collections.sort(found);
-        int pairs = runs.stream().mapToInt(Measurement::sickPairs).sum();
+        int pairs = runs.stream().mapToInt(Measurement::faultyPairs).sum();
         double requests = runs.stream().mapToInt(Measurement::requests).sum();
-        int lowest = runs.stream().mapToInt(Measurement::lowestHealthy).min().orElse(0);
+        int lowest = runs.stream().mapToInt(Measurement::minHealthyTargets).min().orElse(0);
         int floor = deployment.floorTargets();
-        return new Row(
+        return new ResultRow(
                 deployment.name(),
                 (int) Math.round(load * 100),
                 fault.title(),
@@ -95,7 +95,7 @@
         for (int vm = 0; vm < deployment.vms(); vm++) {
             int healthy = 0;
             for (int target = 0; target < deployment.targets(); target++) {
-                healthy += fault.isSick(deployment, vm, target) ? 0 : 1;
+                healthy += fault.isFaulty(deployment, vm, target) ? 0 : 1;
             }
             fewest = fault.isVmLost(vm) ? fewest : Math.min(fewest, healthy);
         }
--- a/lab/src/main/java/org/dahliapass/lab/policy/Selector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Selector.java
@@ -11,12 +11,12 @@
     double weight(int target);
 
     /** Returns whether the target may get work that must run at most once. */
-    default boolean mayCarryGuarded(int target) {
+    default boolean acceptsAtMostOnce(int target) {
         return weight(target) > 0;
     }
 
     /** Returns whether targets are taken in turn, rather than the least busy first. */
-    default boolean takesTurns() {
+    default boolean isRoundRobin() {
         return false;
     }
 
@@ -31,10 +31,10 @@
     void onTick(long nowMillis);
 
     /** Returns what the other VMs of the cell are told. */
-    EvidenceReport takeReport(long nowMillis);
+    EvidenceReport drainReport(long nowMillis);
 
     /** Returns what the other VMs are told at once after a failure, if anything. */
-    default Optional<EvidenceReport> takeUrgentReport(long nowMillis) {
+    default Optional<EvidenceReport> drainUrgentReport(long nowMillis) {
         return Optional.empty();
     }
 
--- a/lab/src/test/java/org/dahliapass/lab/OneWayCutTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/AsymmetricPartitionTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Checks what a cut between two VMs does that lets messages pass one way only. */
-public final class OneWayCutTest {
+public final class AsymmetricPartitionTest {
     private static final String SIGN_OFF = "/services/himal/desk/sign-offs/7";
 
     /** Enough lost pings and answers for several suspicions to run out in a fleet of three. */
@@ -27,7 +27,7 @@
 
     @AfterMethod
     public void mendLinks() {
-        mFleet.mendLinks();
+        mFleet.healLinks();
     }
 
     @AfterClass
@@ -48,7 +48,7 @@
                     assertNobodyDead();
                     return mFleet.lostMessages(from) >= LOST_MESSAGES;
                 });
-        mFleet.mendLinks();
+        mFleet.healLinks();
         mFleet.awaitServing();
     }
 
--- a/lab/src/test/java/org/dahliapass/lab/ConfigurationForceTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ConfigurationRolloutTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Checks how accepted changes come into force on real VMs, with the store there and away. */
-public final class ConfigurationForceTest {
+public final class ConfigurationRolloutTest {
     private static final String TEMPLATE = "/operations/templates/himal";
 
     private TestFleet mFleet;
--- a/lab/src/test/java/org/dahliapass/lab/GrayTargetTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GrayFailureTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that a target that fails its work and answers its probes stops receiving work. */
-public final class GrayTargetTest {
+public final class GrayFailureTest {
     private static final TargetFaults GRAY =
             new TargetFaults(1.0, true, 1, false, false, true, null, 0, false);
     private static final Set<String> OUT = Set.of("ejected", "avoided-here");
--- a/lab/src/test/java/org/dahliapass/lab/HttpCalls.java
+++ b/lab/src/test/java/org/dahliapass/lab/HttpCalls.java
@@ -31,11 +31,11 @@
 
     /** Sends a GET request and returns the whole answer. */
     static AggregatedHttpResponse get(Endpoint endpoint, String path) {
-        return getLater(endpoint, path).join();
+        return getAsync(endpoint, path).join();
     }
 
     /** Sends a GET request; fails if the answer doesn't come whole. */
-    static CompletableFuture<AggregatedHttpResponse> getLater(Endpoint endpoint, String path) {
+    static CompletableFuture<AggregatedHttpResponse> getAsync(Endpoint endpoint, String path) {
         return client("http", endpoint).get(path).aggregate();
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** Asks a VM which addresses serve {@code himal}'s desk; none if it doesn't answer. */
-    static List<Address> ask(Endpoint callers) {
+    static List<Address> discover(Endpoint callers) {
         AggregatedHttpResponse answer = get(callers, "/ask?customer=himal&service=desk");
         List<Address> addresses = new ArrayList<>();
         if (answer.status().isSuccess()) {
--- a/lab/src/test/java/org/dahliapass/lab/JournalPages.java
+++ b/lab/src/test/java/org/dahliapass/lab/JournalPages.java
@@ -37,7 +37,7 @@
                             entry.id() + " broke " + rule + ", which no page on findings says.");
                 }
             }
-            if (entry.givenUp() && parts(findings, entry.id()).findAny().isEmpty()) {
+            if (entry.aborted() && parts(findings, entry.id()).findAny().isEmpty()) {
                 problems.add(entry.id() + " was given up, which no page on findings says.");
             }
             if (!entry.brokenRules().isEmpty() && isCalledClean(entry.id(), all)) {
--- a/lab/src/test/java/org/dahliapass/lab/JournalRecord.java
+++ b/lab/src/test/java/org/dahliapass/lab/JournalRecord.java
@@ -18,7 +18,7 @@
  * @param vms the VMs of the deployment, 0 if no day was played
  * @param days how many days were played
  * @param brokenRules the rules that any of its days broke
- * @param givenUp whether any of its days was not played to its end
+ * @param aborted whether any of its days was not played to its end
  */
 record JournalRecord(
         String id,
@@ -28,7 +28,7 @@
         int vms,
         int days,
         Set<String> brokenRules,
-        boolean givenUp) {
+        boolean aborted) {
     private static final ObjectMapper PARSER = new ObjectMapper();
 
     /**
--- a/lab/src/test/java/org/dahliapass/lab/LinkCuts.java
+++ b/lab/src/test/java/org/dahliapass/lab/LinkFaults.java
@@ -8,7 +8,7 @@
 import org.dahliapass.wire.LinkFilter;
 
 /** Cuts links of one VM one way while it runs, and counts what is lost by it. */
-final class LinkCuts implements LinkFilter {
+final class LinkFaults implements LinkFilter {
     private record Link(Endpoint peer, Direction direction) {}
 
     private final Set<Link> mCut = ConcurrentHashMap.newKeySet();
@@ -20,12 +20,12 @@
     }
 
     /** Lets everything pass again. */
-    void mend() {
+    void healAll() {
         mCut.clear();
     }
 
     /** Returns how many messages were lost so far. */
-    int lost() {
+    int lostMessages() {
         return mLost.get();
     }
 
--- a/lab/src/test/java/org/dahliapass/lab/ProcessFailureTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ProcessFailureTest.java
@@ -46,7 +46,7 @@
     public void mend() {
         mFleet.platform().setFaults(TargetFaults.NONE);
         if (mHome.isAlive()) {
-            mHome.wake();
+            mHome.resume();
         }
     }
 
@@ -119,7 +119,7 @@
         CompletableFuture<AggregatedHttpResponse> first =
                 HttpCalls.post(mHome.callers(), SIGN_OFF, key);
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "not-run");
-        mHome.wake();
+        mHome.resume();
         assertEquals(first.join().headers().get("x-outcome"), "not-run");
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "not-run");
         assertEquals(runs(key), 0);
@@ -137,7 +137,7 @@
         awaitRun(key);
         mFleet.freeze(mHome);
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "unknown");
-        mHome.wake();
+        mHome.resume();
         assertEquals(first.join().status().code(), 200);
         mFleet.platform()
                 .await(
@@ -181,7 +181,7 @@
                 SlowReader.start(
                                 mHome.callers(),
                                 "/services/himal/desk/listings/long?bytes=" + BYTES)
-                        .awaitBegun();
+                        .awaitStarted();
         mFleet.platform().setFaults(SLOW);
         CompletableFuture<AggregatedHttpResponse> signOff =
                 HttpCalls.post(mHome.callers(), SIGN_OFF, key);
@@ -191,7 +191,7 @@
         mFleet.platform().await("asks stop naming it", () -> !isNamed(mThird, mHome));
         assertEquals(signOff.join().status().code(), 200);
         assertTrue(mHome.isAlive(), "It ended with a listing in flight.");
-        assertEquals(listing.readOn().join(), BYTES);
+        assertEquals(listing.resume().join(), BYTES);
         String output = mHome.awaitEnd();
         assertTrue(output.contains("Stopped."), output);
         assertEquals(mHome.exitCode(), ENDED_BY_SIGTERM);
@@ -199,7 +199,7 @@
     }
 
     private static boolean isNamed(VmProcess asked, VmProcess named) {
-        return HttpCalls.ask(asked.callers()).stream()
+        return HttpCalls.discover(asked.callers()).stream()
                 .anyMatch(address -> address.address().equals(named.callers().toString()));
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/FloodTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/RateLimitTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that one customer's flood is refused and harms no other. */
-public final class FloodTest {
+public final class RateLimitTest {
     private static final int RATE_PER_SECOND = 1;
     private static final int FLOOD = 200;
     private static final int OTHERS = 20;
@@ -47,7 +47,7 @@
             String customer, int requests, Endpoint vm) {
         List<CompletableFuture<AggregatedHttpResponse>> answers = new ArrayList<>();
         for (int number = 0; number < requests; number++) {
-            answers.add(HttpCalls.getLater(vm, "/services/" + customer + "/desk/listings/1"));
+            answers.add(HttpCalls.getAsync(vm, "/services/" + customer + "/desk/listings/1"));
         }
         return answers;
     }
--- a/lab/src/test/java/org/dahliapass/lab/OwnAnswerTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ResponseIntegrityTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that every caller gets the whole answer to its own request, or a visible failure. */
-public final class OwnAnswerTest {
+public final class ResponseIntegrityTest {
     private static final String LISTINGS = "/services/himal/desk/listings/";
     private static final TargetFaults CUT =
             new TargetFaults(0, false, 1, false, true, false, null, 0, false);
@@ -65,7 +65,7 @@
         mFleet.platform().setFaults(CUT);
         for (EntryVm vm : mFleet.vms()) {
             CompletableFuture<AggregatedHttpResponse> answer =
-                    HttpCalls.getLater(vm.callerEndpoint(), LISTINGS + path);
+                    HttpCalls.getAsync(vm.callerEndpoint(), LISTINGS + path);
             boolean failed =
                     answer.handle((whole, failure) -> failure != null || !isGood(whole)).join();
             assertTrue(failed, "Half a body was passed off as whole.");
@@ -87,12 +87,12 @@
             for (int number = 0; number < CALLERS; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getLater(vm.callerEndpoint(), "/services/himal/desk" + path));
+                answers.put(path, HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
                 SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES)
-                        .awaitBegun()
+                        .awaitStarted()
                         .cancel();
             }
-            answers.forEach(OwnAnswerTest::assertOwn);
+            answers.forEach(ResponseIntegrityTest::assertOwn);
         }
     }
 
@@ -109,9 +109,9 @@
             for (int number = 0; number < CROWD; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/crowd-" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getLater(vm.callerEndpoint(), "/services/himal/desk" + path));
+                answers.put(path, HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
             }
-            leavers.forEach(leaver -> leaver.awaitBegun().cancel());
+            leavers.forEach(leaver -> leaver.awaitStarted().cancel());
             served += countOwn(answers);
         }
         assertTrue(served >= ROUNDS * CROWD / 2, served + " were served.");
@@ -162,7 +162,7 @@
         long before = mFleet.platform().cancelled();
         SlowReader halfway =
                 SlowReader.start(mFleet.vms().get(0).callerEndpoint(), LISTINGS + "halfway?bytes=" + BYTES)
-                        .awaitBegun();
+                        .awaitStarted();
         halfway.cancel();
         mFleet.await(
                 "the body's end is cancelled", () -> mFleet.platform().cancelled() >= before + 1);
--- a/lab/src/test/java/org/dahliapass/lab/SlowReader.java
+++ b/lab/src/test/java/org/dahliapass/lab/SlowReader.java
@@ -29,13 +29,13 @@
     }
 
     /** Waits for the first piece. */
-    SlowReader awaitBegun() {
+    SlowReader awaitStarted() {
         mBegun.join();
         return this;
     }
 
     /** Reads on; the future has the length of the whole answer, or fails if it was cut or wrong. */
-    CompletableFuture<Long> readOn() {
+    CompletableFuture<Long> resume() {
         mBegun.join().request(Long.MAX_VALUE);
         return mEnd;
     }
--- a/lab/src/test/java/org/dahliapass/lab/StoreAwayTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/StoreOutageTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that the fleet serves on without the configuration store. */
-public final class StoreAwayTest {
+public final class StoreOutageTest {
     private static final StoreFaults AWAY = new StoreFaults(true, true, 0, 0);
     private static final int ROUNDS = 30;
     private static final int FAILED_CALLS = 6;
--- a/lab/src/test/java/org/dahliapass/lab/TargetLeaveTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/TargetDrainTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that a target that drains gets no new work. */
-public final class TargetLeaveTest {
+public final class TargetDrainTest {
     private static final TargetFaults SLOW =
             new TargetFaults(0, false, 100, false, false, false, null, 0, false);
     private static final Pattern SHED =
@@ -56,7 +56,7 @@
     private static List<CompletableFuture<AggregatedHttpResponse>> sendBurst(Endpoint vm) {
         List<CompletableFuture<AggregatedHttpResponse>> answers = new ArrayList<>();
         for (int number = 0; number < BURST; number++) {
-            answers.add(HttpCalls.getLater(vm, "/services/himal/desk/listings/before-" + number));
+            answers.add(HttpCalls.getAsync(vm, "/services/himal/desk/listings/before-" + number));
         }
         return answers;
     }
--- a/lab/src/test/java/org/dahliapass/lab/TestFleet.java
+++ b/lab/src/test/java/org/dahliapass/lab/TestFleet.java
@@ -29,7 +29,7 @@
 
     private final TestPlatform mPlatform;
     private final List<EntryVm> mVms = new ArrayList<>();
-    private final Map<EntryVm, LinkCuts> mCuts = new HashMap<>();
+    private final Map<EntryVm, LinkFaults> mCuts = new HashMap<>();
 
     private TestFleet(TestPlatform platform) {
         mPlatform = platform;
@@ -45,7 +45,7 @@
         TestFleet fleet = new TestFleet(new TestPlatform(targets, askTimeToLive));
         fleet.accept(fleet.template("30s"), 0);
         for (int number = 1; number <= vms; number++) {
-            LinkCuts cuts = new LinkCuts();
+            LinkFaults cuts = new LinkFaults();
             fleet.mCuts.put(fleet.startVm(number, cuts), cuts);
         }
         fleet.awaitServing();
@@ -63,7 +63,7 @@
     }
 
     /** Begins a planned stop; the VM no longer counts as one of the fleet's. */
-    CompletableFuture<Void> leave(EntryVm vm) {
+    CompletableFuture<Void> shutDown(EntryVm vm) {
         mVms.remove(vm);
         return vm.leaveAndStop();
     }
@@ -75,13 +75,13 @@
     }
 
     /** Lets all messages of a VM pass again. */
-    void mendLinks() {
-        mCuts.values().forEach(LinkCuts::mend);
+    void healLinks() {
+        mCuts.values().forEach(LinkFaults::healAll);
     }
 
     /** Returns how many messages a VM lost by cuts so far. */
     int lostMessages(EntryVm vm) {
-        return mCuts.get(vm).lost();
+        return mCuts.get(vm).lostMessages();
     }
 
     private static Endpoint peers(EntryVm vm) {
--- a/lab/src/test/java/org/dahliapass/lab/VmProcess.java
+++ b/lab/src/test/java/org/dahliapass/lab/VmProcess.java
@@ -123,7 +123,7 @@
     }
 
     /** Wakes it by SIGCONT. */
-    void wake() {
+    void resume() {
         signal("-CONT");
     }
 
--- a/lab/src/test/java/org/dahliapass/lab/VmLeaveTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/VmShutdownTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that a planned stop of a VM cuts off nothing and loses nobody. */
-public final class VmLeaveTest {
+public final class VmShutdownTest {
     private static final Duration ASK_TIME_TO_LIVE = Duration.ofSeconds(1);
     private static final long BYTES = 64L * 1024 * 1024;
     private static final TargetFaults SLOW =
@@ -33,21 +33,21 @@
             SlowReader listing = startListing(leaver.callerEndpoint());
             CompletableFuture<AggregatedHttpResponse> signOff = startSignOff(fleet, leaver, key);
 
-            CompletableFuture<Void> left = fleet.leave(leaver);
+            CompletableFuture<Void> left = fleet.shutDown(leaver);
             Instant lastAsk = awaitUnnamed(fleet, leaver.callerEndpoint(), other.callerEndpoint());
             serveUntil(fleet, leaver.callerEndpoint(), lastAsk.plus(ASK_TIME_TO_LIVE));
 
             assertEquals(signOff.join().status().code(), 200);
             assertEquals(fleet.platform().runs(key), 1);
             assertFalse(left.isDone(), "The VM stopped with a listing in flight.");
-            assertEquals(listing.readOn().join(), BYTES);
+            assertEquals(listing.resume().join(), BYTES);
             left.orTimeout(TestPlatform.LIMIT.toSeconds(), TimeUnit.SECONDS).join();
         }
     }
 
     private static SlowReader startListing(Endpoint vm) {
         return SlowReader.start(vm, "/services/himal/desk/listings/long?bytes=" + BYTES)
-                .awaitBegun();
+                .awaitStarted();
     }
 
     private static CompletableFuture<AggregatedHttpResponse> startSignOff(
@@ -68,7 +68,7 @@
                 () -> {
                     Instant before = fleet.clock().instant();
                     boolean named =
-                            HttpCalls.ask(asked).stream()
+                            HttpCalls.discover(asked).stream()
                                     .anyMatch(found -> found.address().equals(leaver.toString()));
                     last[0] = named ? before : last[0];
                     return !named;
--- a/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
@@ -20,8 +20,8 @@
     public void runRepeatsWithItsSeed() {
         Scenario scenario = Scenario.ofName("mixed-errors");
         assertEquals(
-                FleetRun.play(scenario, PlacementChoice.PRODUCTION, 7),
-                FleetRun.play(scenario, PlacementChoice.PRODUCTION, 7));
+                FleetSimulation.simulate(scenario, PlacementStrategy.PRODUCTION, 7),
+                FleetSimulation.simulate(scenario, PlacementStrategy.PRODUCTION, 7));
     }
 
     /**
@@ -31,9 +31,9 @@
      */
     @Test
     public void locksLeaveTargetsThatAnswerErrors() {
-        double failed = mean("locks-errors", PlacementChoice.PRODUCTION, FleetFigures::failed);
+        double failed = mean("locks-errors", PlacementStrategy.PRODUCTION, FleetResult::failed);
         assertTrue(failed < 0.03, "failed: " + failed);
-        double byLoad = mean("locks-errors", PlacementChoice.POWER_OF_TWO, FleetFigures::failed);
+        double byLoad = mean("locks-errors", PlacementStrategy.POWER_OF_TWO, FleetResult::failed);
         assertTrue(byLoad > 0.15, "failed by load alone: " + byLoad);
     }
 
@@ -43,10 +43,10 @@
      */
     @Test
     public void readsKeepTheirFurtherTriesForFailures() {
-        double served = mean("reads-errors", PlacementChoice.PRODUCTION, FleetFigures::served);
+        double served = mean("reads-errors", PlacementStrategy.PRODUCTION, FleetResult::served);
         assertTrue(served > 0.97, "served: " + served);
         double further =
-                mean("reads-errors", PlacementChoice.PRODUCTION, FleetFigures::furtherTries);
+                mean("reads-errors", PlacementStrategy.PRODUCTION, FleetResult::extraAttempts);
         assertTrue(further < 0.08, "further tries: " + further);
     }
 
@@ -56,7 +56,7 @@
      */
     @Test
     public void locksLeavePathsThatSwallowThem() {
-        double failed = mean("cut-paths", PlacementChoice.PRODUCTION, FleetFigures::failed);
+        double failed = mean("cut-paths", PlacementStrategy.PRODUCTION, FleetResult::failed);
         assertTrue(failed < 0.035, "failed: " + failed);
     }
 
@@ -69,25 +69,25 @@
     @Test
     public void workStaysSpreadOverTheFloorWhileAnswersAreLost() {
         double below =
-                mean("lost-answers", PlacementChoice.PRODUCTION, FleetFigures::windowsBelowFloor);
+                mean("lost-answers", PlacementStrategy.PRODUCTION, FleetResult::windowsBelowFloor);
         assertEquals(below, 0.0, "windows in which less than the floor was in use");
     }
 
     /** Guards against a read that takes a service down target by target, at any VM. */
     @Test
     public void requestThatEndsItsTargetsIsKeptFromThem() {
-        double ended = mean("poison", PlacementChoice.PRODUCTION, FleetFigures::poisonEnds);
+        double ended = mean("poison", PlacementStrategy.PRODUCTION, FleetResult::poisonCrashes);
         assertTrue(ended <= 6, "targets ended: " + ended);
-        double late = mean("poison", PlacementChoice.PRODUCTION, FleetFigures::poisonLate);
+        double late = mean("poison", PlacementStrategy.PRODUCTION, FleetResult::latePoisonDeliveries);
         assertEquals(late, 0.0, "sent later than 3 s after the third end");
-        double without = mean("poison", PlacementChoice.POWER_OF_TWO, FleetFigures::poisonEnds);
+        double without = mean("poison", PlacementStrategy.POWER_OF_TWO, FleetResult::poisonCrashes);
         assertTrue(without > 30, "targets ended without it: " + without);
     }
 
     /** Guards against reads that are refused since a rack was lost under many of them. */
     @Test
     public void readsThatAreAlikeAreServedAfterARackIsLost() {
-        double held = mean("rack-lost", PlacementChoice.PRODUCTION, FleetFigures::heldBack);
+        double held = mean("rack-lost", PlacementStrategy.PRODUCTION, FleetResult::quarantined);
         assertEquals(held, 0.0, "held back");
     }
 
@@ -101,8 +101,8 @@
     /** Whatever goes wrong, work that looks at its targets earns no less than work that doesn't. */
     @Test(dataProvider = "scenarios")
     public void earnsNoLessThanAChoiceByLoad(String name) {
-        double worth = mean(name, PlacementChoice.PRODUCTION, FleetFigures::worth);
-        double byLoad = mean(name, PlacementChoice.POWER_OF_TWO, FleetFigures::worth);
+        double worth = mean(name, PlacementStrategy.PRODUCTION, FleetResult::payoffRatio);
+        double byLoad = mean(name, PlacementStrategy.POWER_OF_TWO, FleetResult::payoffRatio);
         assertTrue(worth > byLoad - 0.005, worth + " against " + byLoad);
     }
 
@@ -117,12 +117,12 @@
     }
 
     private static double mean(
-            String name, PlacementChoice choice, ToDoubleFunction<FleetFigures> figure) {
+            String name, PlacementStrategy choice, ToDoubleFunction<FleetResult> figure) {
         Scenario scenario = Scenario.ofName(name);
-        List<FleetFigures> runs =
+        List<FleetResult> runs =
                 LongStream.rangeClosed(1, RUNS)
                         .parallel()
-                        .mapToObj(seed -> FleetRun.play(scenario, choice, seed))
+                        .mapToObj(seed -> FleetSimulation.simulate(scenario, choice, seed))
                         .toList();
         return runs.stream().mapToDouble(figure).average().orElseThrow();
     }
--- a/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
@@ -60,7 +60,7 @@
     private record Owner(String service, TargetInstance instance) {}
 
     private static final class Run {
-        private final Timeline mTimeline = new Timeline();
+        private final EventScheduler mTimeline = new EventScheduler();
         private final SplittableRandom mRandom;
         private final Map<Endpoint, Owner> mOwners = new LinkedHashMap<>();
         private final Map<String, ServiceRuntime> mRuntimes = new LinkedHashMap<>();
@@ -80,7 +80,7 @@
                 view(service);
                 arrive(service);
             }
-            mTimeline.every(CHANGE_MILLIS, this::change);
+            mTimeline.schedulePeriodically(CHANGE_MILLIS, this::change);
         }
 
         private Owner newOwner(Endpoint address) {
@@ -95,7 +95,7 @@
             Endpoint address = addresses.get(mRandom.nextInt(addresses.size()));
             mOwners.put(address, newOwner(address));
             for (String service : SERVICES) {
-                mTimeline.after(mRandom.nextInt(LATEST_NEWS_MILLIS), () -> view(service));
+                mTimeline.schedule(mRandom.nextInt(LATEST_NEWS_MILLIS), () -> view(service));
             }
         }
 
@@ -128,12 +128,12 @@
                     template,
                     mTimeline.clock(),
                     mRandom.split(),
-                    new NoSink(),
+                    new NoOpTargetEventListener(),
                     new EntryMetrics());
         }
 
         private void arrive(String service) {
-            mTimeline.every(REQUEST_MILLIS, () -> new Request(service).start());
+            mTimeline.schedulePeriodically(REQUEST_MILLIS, () -> new Request(service).start());
         }
 
         /** One request: waits for a slot, is sent, and perhaps sent once more. */
@@ -161,7 +161,7 @@
             private void send(Slot slot) {
                 mSent++;
                 mTried.add(slot.target());
-                mTimeline.after(1 + mRandom.nextInt(20), () -> reach(slot));
+                mTimeline.schedule(1 + mRandom.nextInt(20), () -> reach(slot));
             }
 
             /** A target runs what names it, and refuses what names another one. */
@@ -171,7 +171,7 @@
                 mForeignByAddress += isForeign ? 1 : 0;
                 if (owner.instance().name().equals(slot.instance().name())) {
                     mForeign += isForeign ? 1 : 0;
-                    mTimeline.after(
+                    mTimeline.schedule(
                             WORK_MILLIS,
                             () -> mRuntime.release(slot, Outcome.SUCCESS, WORK_MILLIS));
                     return;
--- a/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
@@ -56,14 +56,14 @@
 
     @Test
     public void fasterDetectionIsDrawnFurtherLeft() throws Exception {
-        Element drawn = detection(row(Contender.CELL, 80, 475), row(Contender.PROBES, 80, 1275));
+        Element drawn = detection(row(PolicyVariant.CELL, 80, 475), row(PolicyVariant.PROBES, 80, 1275));
         assertTrue(
                 lastX(drawn, SvgDrawing.BLUE, "fill") < lastX(drawn, SvgDrawing.ORANGE, "stroke"));
     }
 
     @Test
     public void faultThatWasNotFoundIsDrawnBeyondTheSlowestThatWas() throws Exception {
-        Element missed = detection(row(Contender.CELL, 80, -1), row(Contender.PROBES, 80, 30_000));
+        Element missed = detection(row(PolicyVariant.CELL, 80, -1), row(PolicyVariant.PROBES, 80, 30_000));
         assertTrue(
                 lastX(missed, SvgDrawing.BLUE, "fill")
                         > lastX(missed, SvgDrawing.ORANGE, "stroke"));
@@ -77,7 +77,7 @@
 
     @Test
     public void rowsOfAnotherLoadGiveNoPlot() {
-        List<Row> rows = List.of(row(Contender.CELL, 50, 475));
+        List<ResultRow> rows = List.of(row(PolicyVariant.CELL, 50, 475));
         assertTrue(PolicyPlots.write(mDirectory, rows, List.of()).isEmpty());
         assertFalse(Files.exists(mDirectory.resolve(PolicyPlots.DETECTION_FILE)));
     }
@@ -94,7 +94,7 @@
         return parse(PolicyPlots.write(mDirectory, List.of(), points));
     }
 
-    private Element detection(Row... rows) throws Exception {
+    private Element detection(ResultRow... rows) throws Exception {
         return parse(PolicyPlots.write(mDirectory, List.of(rows), List.of()));
     }
 
@@ -128,8 +128,8 @@
         return last;
     }
 
-    private static Row row(Contender contender, int load, double medianMillis) {
-        return new Row(
+    private static ResultRow row(PolicyVariant contender, int load, double medianMillis) {
+        return new ResultRow(
                 "himal",
                 load,
                 "hard stop",
