--- a/entry/src/main/java/org/dahliapass/entry/AtMostOnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceService.java
@@ -98,7 +98,8 @@
     /** Takes the proof that an attempt ran nothing. */
     CompletableFuture<HomeAction> targetRefused(
             Operation operation, int attempt, boolean anotherTarget) {
-        return applyDecision(() -> mLedger.targetRefused(operation, attempt, anotherTarget, mClock.millis()));
+        return applyDecision(
+                () -> mLedger.targetRefused(operation, attempt, anotherTarget, mClock.millis()));
     }
 
     /** Takes that an attempt may have run and its answer is lost. */
@@ -117,7 +118,10 @@
                 .thenApply(
                         action -> {
                             if (action instanceof HomeAction.Respond settle) {
-                                settle.notice().ifPresent(notice -> notifyWitness(notice, MAX_NOTICE_ATTEMPTS));
+                                settle.notice()
+                                        .ifPresent(
+                                                notice ->
+                                                        notifyWitness(notice, MAX_NOTICE_ATTEMPTS));
                             }
                             return action;
                         });
--- a/entry/src/main/java/org/dahliapass/entry/CallerServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerServer.java
@@ -51,7 +51,8 @@
         TokenIssuer tokens = new TokenIssuer(mClock, fleet, once.witnessReachability());
         ConfigurationService configuration =
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class);
-        DiscoveryHandler asks = new DiscoveryHandler(mSettings, ids, fleet, configuration, tokens, mReadiness);
+        DiscoveryHandler asks =
+                new DiscoveryHandler(mSettings, ids, fleet, configuration, tokens, mReadiness);
         return Server.builder()
                 .port(
                         new InetSocketAddress(mSettings.address(), mSettings.callersPort()),
@@ -59,7 +60,8 @@
                 .service("/ask", asks)
                 .service("/outcomes/{customer}/{key}", new OutcomeHandler(ids, once, tokens))
                 .serviceUnder(ServicePath.PREFIX, newRequestHandler(kernel, ids, tokens))
-                .workerGroup(kernel.find(TargetClients.NAME, TargetClients.class).eventLoops(), false)
+                .workerGroup(
+                        kernel.find(TargetClients.NAME, TargetClients.class).eventLoops(), false)
                 .requestTimeoutMillis(0)
                 .maxRequestLength(0)
                 .gracefulShutdown(
@@ -73,7 +75,8 @@
                 .build();
     }
 
-    private CallerRequestHandler newRequestHandler(Kernel kernel, RequestIdGenerator ids, TokenIssuer tokens) {
+    private CallerRequestHandler newRequestHandler(
+            Kernel kernel, RequestIdGenerator ids, TokenIssuer tokens) {
         FleetService fleet = kernel.find(FleetService.NAME, FleetService.class);
         TargetClients clients = kernel.find(TargetClients.NAME, TargetClients.class);
         ServiceTable services = kernel.find(ServiceTable.NAME, ServiceTable.class);
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -194,8 +194,7 @@
                 mPeers.fetchChanges(fetch.peer(), fetch.request()),
                 (answer, failure) -> {
                     if (failure == null) {
-                        mLoop.execute(
-                                () -> execute(mFollower.onAnswer(answer, mLoop.nowMillis())));
+                        mLoop.execute(() -> execute(mFollower.onAnswer(answer, mLoop.nowMillis())));
                     }
                 });
     }
@@ -312,7 +311,8 @@
         mFleet.onChange(this::onMembersChanged);
         mLoop.execute(mWatch::probe);
         mLoop.execute(mWatch::refresh);
-        mLoop.scheduleWithFixedDelay(TICK_PERIOD, () -> execute(mFollower.onTick(mLoop.nowMillis())));
+        mLoop.scheduleWithFixedDelay(
+                TICK_PERIOD, () -> execute(mFollower.onTick(mLoop.nowMillis())));
         return CompletableFuture.completedFuture(null);
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/Forwarder.java
+++ b/entry/src/main/java/org/dahliapass/entry/Forwarder.java
@@ -56,7 +56,8 @@
                 request.headers().toBuilder()
                         .set(CallerHeaders.FORWARDED_BY, mFleet.view().self().identity().name())
                         .build();
-        return mClients.send(vm.callerEndpoint(), request.withHeaders(headers), CELL_TIMEOUT).response();
+        return mClients.send(vm.callerEndpoint(), request.withHeaders(headers), CELL_TIMEOUT)
+                .response();
     }
 
     /**
@@ -64,7 +65,8 @@
      *
      * @return empty if the home gave no word: it is unknown here, didn't answer, or is another life
      */
-    CompletableFuture<Optional<HttpResponse>> forwardToHome(CallerRequest request, Operation operation) {
+    CompletableFuture<Optional<HttpResponse>> forwardToHome(
+            CallerRequest request, Operation operation) {
         Optional<Vm> home = mFleet.view().find(operation.key().home());
         boolean forwarded = request.message().headers().contains(CallerHeaders.FORWARDED_BY);
         if (home.isEmpty() || forwarded) {
--- a/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
@@ -85,7 +85,8 @@
         startAttempt(CompletableFuture.completedFuture(slot.get()));
     }
 
-    private synchronized void onResult(TargetAttempt from, AttemptResult result, Throwable failure) {
+    private synchronized void onResult(
+            TargetAttempt from, AttemptResult result, Throwable failure) {
         mInFlight--;
         mRunning.remove(from);
         if (mDone) {
@@ -137,7 +138,12 @@
         mTriedTargets = AttemptResult.union(mTriedTargets, target);
         FailedAttempt failed =
                 new FailedAttempt(
-                        mRequest.kind(), kind, true, mTriedTargets, mAttempts, mRequest.deadlineMillis());
+                        mRequest.kind(),
+                        kind,
+                        true,
+                        mTriedTargets,
+                        mAttempts,
+                        mRequest.deadlineMillis());
         Optional<Slot> slot = mInFlight > 0 ? Optional.empty() : mRuntime.retry(mRequest, failed);
         slot.ifPresent(found -> startAttempt(CompletableFuture.completedFuture(found)));
         return slot.isPresent();
--- a/entry/src/main/java/org/dahliapass/entry/OperatorResponses.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorResponses.java
@@ -58,7 +58,8 @@
 
     /** Returns this VM's state. */
     CompletableFuture<String> status() {
-        return mOperations.recordCounts()
+        return mOperations
+                .recordCounts()
                 .thenApply(
                         sizes -> {
                             ObjectNode root = MAPPER.createObjectNode();
--- a/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
@@ -50,7 +50,8 @@
                 .service("/metrics", (context, request) -> metrics())
                 .service("/operations/status", (context, request) -> json(mResponses.status()))
                 .service(
-                        "/operations/members", (context, request) -> json(completed(mResponses.members())))
+                        "/operations/members",
+                        (context, request) -> json(completed(mResponses.members())))
                 .service(
                         "/operations/templates/{customer}", (context, request) -> template(context))
                 .service("/operations/targets", (context, request) -> json(mResponses.targets()))
@@ -60,7 +61,10 @@
                 .service(
                         "/operations/burn",
                         (context, request) ->
-                                json(completed(mResponses.errorBudget(context.queryParam("customer")))))
+                                json(
+                                        completed(
+                                                mResponses.errorBudget(
+                                                        context.queryParam("customer")))))
                 .service("/operations/drain", (context, request) -> drain(request.method()))
                 .build();
     }
@@ -86,7 +90,8 @@
     }
 
     private HttpResponse template(ServiceRequestContext context) {
-        return mResponses.template(context.pathParam("customer"))
+        return mResponses
+                .template(context.pathParam("customer"))
                 .map(text -> json(completed(text)))
                 .orElseGet(
                         () ->
--- a/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
@@ -34,7 +34,8 @@
                     "The path must end in a whole Idempotency-Key.\n");
         }
         Operation operation = new Operation(context.pathParam("customer"), key.get());
-        return HttpResponse.of(mOperations.queryOutcome(operation).thenApply(answer -> toResponse(id, answer)));
+        return HttpResponse.of(
+                mOperations.queryOutcome(operation).thenApply(answer -> toResponse(id, answer)));
     }
 
     private HttpResponse toResponse(String id, OperationAnswer answer) {
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -103,7 +103,8 @@
     public CompletableFuture<Void> recordOutcome(VmIdentity witness, OutcomeNotice notice) {
         PeerRequest.Builder request =
                 PeerRequest.newBuilder().setRecordOutcome(AtMostOnceCodec.outcome(notice));
-        return request(witness, "record outcome", request, OPERATION_TIMEOUT).thenApply(reply -> null);
+        return request(witness, "record outcome", request, OPERATION_TIMEOUT)
+                .thenApply(reply -> null);
     }
 
     @Override
@@ -111,7 +112,10 @@
         PeerRequest.Builder request =
                 PeerRequest.newBuilder().setResolveKey(AtMostOnceCodec.resolve(operation));
         return request(peer, "resolve key", request, OPERATION_TIMEOUT)
-                .thenApply(reply -> new ResolveReply(peer, AtMostOnceCodec.decode(reply.getResolveKey())));
+                .thenApply(
+                        reply ->
+                                new ResolveReply(
+                                        peer, AtMostOnceCodec.decode(reply.getResolveKey())));
     }
 
     @Override
--- a/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
@@ -106,7 +106,8 @@
         if (operation.isEmpty()) {
             return completed(intentReply(IntentStatus.INTENT_REFUSED));
         }
-        return mOperations.get()
+        return mOperations
+                .get()
                 .onIntent(sender, operation.get())
                 .thenApply(reply -> intentReply(AtMostOnceCodec.encode(reply)));
     }
@@ -118,7 +119,8 @@
     }
 
     private CompletableFuture<PeerReply> onOutcome(VmIdentity sender, RecordOutcome message) {
-        AtMostOnceCodec.decode(message).ifPresent(notice -> mOperations.get().onOutcome(sender, notice));
+        AtMostOnceCodec.decode(message)
+                .ifPresent(notice -> mOperations.get().onOutcome(sender, notice));
         return completed(
                 PeerReply.newBuilder()
                         .setRecordOutcome(RecordOutcomeReply.getDefaultInstance())
@@ -138,7 +140,10 @@
                                                 new OperationAnswer.Unknown(
                                                         UnknownReason.NO_WORD)));
         return answer.thenApply(
-                found -> PeerReply.newBuilder().setResolveKey(AtMostOnceCodec.encode(found)).build());
+                found ->
+                        PeerReply.newBuilder()
+                                .setResolveKey(AtMostOnceCodec.encode(found))
+                                .build());
     }
 
     private CompletableFuture<PeerReply> onEvidence(EvidenceReport report) {
--- a/entry/src/main/java/org/dahliapass/entry/RequestDispatcher.java
+++ b/entry/src/main/java/org/dahliapass/entry/RequestDispatcher.java
@@ -52,7 +52,8 @@
             return dispatchAtMostOnce(request);
         }
         ServiceRuntime runtime = runtime(request);
-        return new IdempotentExchange(request, runtime, mClients, mLoop, mClock, mResponder).start();
+        return new IdempotentExchange(request, runtime, mClients, mLoop, mClock, mResponder)
+                .start();
     }
 
     private ServiceRuntime runtime(CallerRequest request) {
@@ -68,11 +69,13 @@
         }
         Operation operation = new Operation(request.route().customer(), key.get());
         return HttpResponse.of(
-                mOperations.begin(operation, digest(request), request.deadlineMillis())
+                mOperations
+                        .begin(operation, digest(request), request.deadlineMillis())
                         .thenApply(beginning -> startExchange(request, operation, beginning)));
     }
 
-    private HttpResponse startExchange(CallerRequest request, Operation operation, BeginResult beginning) {
+    private HttpResponse startExchange(
+            CallerRequest request, Operation operation, BeginResult beginning) {
         if (beginning instanceof BeginResult.WrongHome) {
             return HttpResponse.of(
                     mForwarder
@@ -96,8 +99,10 @@
                 .start(beginning);
     }
 
-    private CompletableFuture<HttpResponse> resolveWithoutHome(CallerRequest request, Operation operation) {
-        return mOperations.resolveWithoutHome(operation)
+    private CompletableFuture<HttpResponse> resolveWithoutHome(
+            CallerRequest request, Operation operation) {
+        return mOperations
+                .resolveWithoutHome(operation)
                 .thenApply(
                         answer ->
                                 answer instanceof OperationAnswer.Result result
@@ -117,7 +122,8 @@
         String message =
                 "This kind runs at most once. Send an Idempotency-Key header: the token of an ask,"
                         + " a dot, and a part of your own that is unique to the operation.";
-        return Refusal.of(RefusalCode.KEY_REQUIRED, message, 0).withToken(mTokenIssuer.issueForSelf());
+        return Refusal.of(RefusalCode.KEY_REQUIRED, message, 0)
+                .withToken(mTokenIssuer.issueForSelf());
     }
 
     private static String unquote(String text) {
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -52,7 +52,8 @@
     private final Map<ServiceId, TargetHealth> mHealth = new HashMap<>();
     private final Map<ServiceId, ServiceTemplate> mTemplates = new HashMap<>();
     private final Map<ServiceId, ServiceView> mPublished = new HashMap<>();
-    private BiConsumer<ServiceTemplate, EvidenceReport> mUrgentReportSender = (template, report) -> {};
+    private BiConsumer<ServiceTemplate, EvidenceReport> mUrgentReportSender =
+            (template, report) -> {};
     private volatile Map<ServiceId, ServiceRuntime> mRuntimes = Map.of();
 
     ServiceTable(Clock clock, RandomGenerator random, VmSettings settings) {
@@ -181,7 +182,8 @@
         runtimes.keySet().forEach(this::publish);
     }
 
-    private ServiceRuntime updateRuntime(ServiceTemplate template, VmIdentity self, List<VmIdentity> cell) {
+    private ServiceRuntime updateRuntime(
+            ServiceTemplate template, VmIdentity self, List<VmIdentity> cell) {
         ServiceTemplate before = mTemplates.put(template.id(), template);
         ServiceRuntime runtime = mRuntimes.get(template.id());
         if (runtime == null || !runtime.isCompatibleWith(template)) {
--- a/entry/src/main/java/org/dahliapass/entry/StoreHeadWatcher.java
+++ b/entry/src/main/java/org/dahliapass/entry/StoreHeadWatcher.java
@@ -35,7 +35,8 @@
     private long mLastResponseMillis;
     private long mLastProbeMillis;
 
-    StoreHeadWatcher(StoreClient store, ControlLoop loop, FleetService fleet, Consumer<Head> onHead) {
+    StoreHeadWatcher(
+            StoreClient store, ControlLoop loop, FleetService fleet, Consumer<Head> onHead) {
         mStore = store;
         mLoop = loop;
         mFleet = fleet;
--- a/entry/src/main/java/org/dahliapass/entry/TargetAttempt.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetAttempt.java
@@ -60,7 +60,8 @@
     private volatile long mSentMillis;
     private volatile long mHeadMillis;
 
-    TargetAttempt(CallerRequest request, ServiceRuntime runtime, TargetClients clients, Clock clock) {
+    TargetAttempt(
+            CallerRequest request, ServiceRuntime runtime, TargetClients clients, Clock clock) {
         mRequest = request;
         mRuntime = runtime;
         mClients = clients;
@@ -137,7 +138,8 @@
         }
         boolean error = headers.status().code() >= MIN_SERVER_ERROR;
         mSent.context().clearResponseTimeout();
-        StalledResponseMonitor.WatchedResponse watched = mClients.stallMonitor().watch(mSent.response(), stallTimeout());
+        StalledResponseMonitor.WatchedResponse watched =
+                mClients.stallMonitor().watch(mSent.response(), stallTimeout());
         StreamMessage<HttpData> body = split.body().peek(piece -> watched.onProgress());
         Futures.whenDone(
                 body.whenComplete(),
--- a/entry/src/main/java/org/dahliapass/entry/TargetClients.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetClients.java
@@ -43,7 +43,8 @@
 
     private final EventLoopGroup mEventLoops =
             EventLoopGroups.newEventLoopGroup(
-                    Math.min(MAX_EVENT_LOOPS, Runtime.getRuntime().availableProcessors()), "traffic");
+                    Math.min(MAX_EVENT_LOOPS, Runtime.getRuntime().availableProcessors()),
+                    "traffic");
     private final Map<Endpoint, WebClient> mClients = new ConcurrentHashMap<>();
     private final ClientFactory mFactory =
             ClientFactory.builder()
@@ -111,7 +112,8 @@
 
     private void shutDown(CompletableFuture<Void> stopped) {
         Future<?> unused =
-                mEventLoops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                mEventLoops
+                        .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                         .addListener(done -> stopped.complete(null));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/TokenIssuer.java
+++ b/entry/src/main/java/org/dahliapass/entry/TokenIssuer.java
@@ -37,7 +37,8 @@
                 .filter(vm -> !vm.identity().name().equals(home.identity().name()))
                 .min(
                         Comparator.comparingLong(
-                                        (Vm vm) -> mReachability.lastTimeoutMillis(vm.identity(), now))
+                                        (Vm vm) ->
+                                                mReachability.lastTimeoutMillis(vm.identity(), now))
                                 .thenComparing(vm -> sameZone(vm, home))
                                 .thenComparing(vm -> distance(home, vm)))
                 .map(witness -> token(home.identity(), witness.identity()))
--- a/entry/src/main/java/org/dahliapass/entry/VmSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmSettings.java
@@ -99,7 +99,11 @@
                                 Duration.ofMillis(20),
                                 Duration.ofSeconds(2),
                                 Duration.ofMillis(250)),
-                        control.size("evidence-budget", MIN_EVIDENCE_BYTES_PER_SECOND, MAX_EVIDENCE_BYTES_PER_SECOND, DEFAULT_EVIDENCE_BYTES_PER_SECOND),
+                        control.size(
+                                "evidence-budget",
+                                MIN_EVIDENCE_BYTES_PER_SECOND,
+                                MAX_EVIDENCE_BYTES_PER_SECOND,
+                                DEFAULT_EVIDENCE_BYTES_PER_SECOND),
                         control.duration(
                                 "operation-window",
                                 Duration.ofMinutes(1),
--- a/entry/src/test/java/org/dahliapass/entry/AtMostOnceCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/AtMostOnceCodecTest.java
@@ -46,7 +46,8 @@
                 new RecordedResult(200, List.of(), Optional.of(RecordedBody.copyOf(new byte[0])));
         OperationAnswer answer = new OperationAnswer.Result(without);
         assertEquals(roundTrip(answer), answer);
-        assertEquals(roundTrip(new OperationAnswer.Result(empty)), new OperationAnswer.Result(empty));
+        assertEquals(
+                roundTrip(new OperationAnswer.Result(empty)), new OperationAnswer.Result(empty));
     }
 
     @Test
@@ -70,7 +71,8 @@
     public void unknownWordsReadAsTheWeakest() {
         assertEquals(AtMostOnceCodec.decode(IntentStatus.UNRECOGNIZED), IntentReply.REFUSED);
         ResolveKeyReply newer = ResolveKeyReply.newBuilder().setAnswerValue(99).build();
-        assertEquals(AtMostOnceCodec.decode(newer), new OperationAnswer.Unknown(UnknownReason.NO_WORD));
+        assertEquals(
+                AtMostOnceCodec.decode(newer), new OperationAnswer.Unknown(UnknownReason.NO_WORD));
     }
 
     @Test
@@ -78,7 +80,8 @@
         OutcomeNotice ran = new OutcomeNotice(OPERATION, Optional.of(RESULT));
         OutcomeNotice givenUp = new OutcomeNotice(OPERATION, Optional.empty());
         assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.outcome(ran)), Optional.of(ran));
-        assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.outcome(givenUp)), Optional.of(givenUp));
+        assertEquals(
+                AtMostOnceCodec.decode(AtMostOnceCodec.outcome(givenUp)), Optional.of(givenUp));
         assertTrue(AtMostOnceCodec.operation("himal", "no key").isEmpty());
     }
 }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayCallerDisconnectTest.java
@@ -157,7 +157,9 @@
     }
 
     private int closedConnections() {
-        return mFixture.mTargets.stream().mapToInt(SigningTargetStandIn::closedConnectionCount).sum();
+        return mFixture.mTargets.stream()
+                .mapToInt(SigningTargetStandIn::closedConnectionCount)
+                .sum();
     }
 
     private void behave(Behaviour behaviour) {
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayHedgeTest.java
@@ -67,7 +67,8 @@
     }
 
     /** Locks and the first read hang. */
-    private static Behaviour behaviour(SigningTargetStandIn.ReceivedRequest seen, AtomicBoolean first) {
+    private static Behaviour behaviour(
+            SigningTargetStandIn.ReceivedRequest seen, AtomicBoolean first) {
         boolean hangs = seen.requestLine().startsWith("POST") || first.getAndSet(false);
         return hangs ? Behaviour.HANG : Behaviour.RESPOND;
     }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayPoisonTest.java
@@ -93,7 +93,8 @@
             AtomicInteger crashes = new AtomicInteger();
             fleet.behave(
                     seen ->
-                            seen.requestLine().contains("/r/beside") && crashes.getAndIncrement() < 1
+                            seen.requestLine().contains("/r/beside")
+                                            && crashes.getAndIncrement() < 1
                                     ? Behaviour.CRASH
                                     : Behaviour.RESPOND);
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
@@ -108,7 +109,10 @@
     public void brokenConnectionsDoNotQuarantine() {
         try (FleetFixture fleet = new FleetFixture(1)) {
             fleet.behave(
-                    seen -> seen.requestLine().contains("/r/reset") ? Behaviour.CLOSE : Behaviour.RESPOND);
+                    seen ->
+                            seen.requestLine().contains("/r/reset")
+                                    ? Behaviour.CLOSE
+                                    : Behaviour.RESPOND);
             for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
                 assertEquals(CallerStandIn.status(fleet.get(0, "/r/reset")), 502);
             }
--- a/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
+++ b/gateway/src/test/java/org/dahliapass/gateway/GatewayTargetInstanceTest.java
@@ -52,7 +52,10 @@
             joined.countDown();
             response.join();
             fixture.mStore.remove("servers/i-gone");
-            assertEquals(foreign.receivedRequests().size(), 0, "Requests executed by a foreign service.");
+            assertEquals(
+                    foreign.receivedRequests().size(),
+                    0,
+                    "Requests executed by a foreign service.");
             return foreign.misdirectedCount() > before;
         }
     }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
@@ -53,7 +53,8 @@
     }
 
     @Override
-    public Optional<FleetTarget> retry(SimulatedRequest<FleetTarget> attempt, FailedAttempt failed) {
+    public Optional<FleetTarget> retry(
+            SimulatedRequest<FleetTarget> attempt, FailedAttempt failed) {
         boolean allowed = failed.kind().idempotency().isRepeatable() || !failed.mayHaveRun();
         return allowed && failed.attempts() < 2
                 ? Optional.of(choose(failed.tried()))
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetResult.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetResult.java
@@ -18,7 +18,8 @@
  * @param windowsBelowFloor the number of such windows, one each half second, in which requests were
  *     lost while less than the floor share of the sound targets was in use
  * @param poisonCrashes targets that ended under a request that ends its targets
- * @param latePoisonDeliveries how often such a request reached a target later than 3 s after the third end
+ * @param latePoisonDeliveries how often such a request reached a target later than 3 s after the
+ *     third end
  * @param quarantined other requests that were kept from all targets for what ended beside them
  */
 record FleetResult(
@@ -59,7 +60,8 @@
     /** Writes the means of several runs, the worth with its 95% interval. */
     static String line(String scenario, String placement, List<FleetResult> runs) {
         double mean = mean(runs, FleetResult::payoffRatio);
-        double squares = runs.stream().mapToDouble(run -> Math.pow(run.payoffRatio() - mean, 2)).sum();
+        double squares =
+                runs.stream().mapToDouble(run -> Math.pow(run.payoffRatio() - mean, 2)).sum();
         double error = Math.sqrt(squares / Math.max(1, runs.size() - 1) / runs.size());
         return String.format(
                 Locale.ROOT,
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetSimulation.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetSimulation.java
@@ -98,7 +98,9 @@
             runtime.setObservationListener((service, news) -> tell(runtimes, self, news));
             mTimeline.schedule(
                     mRandom.nextLong(REPORT_MILLIS),
-                    () -> mTimeline.schedulePeriodically(REPORT_MILLIS, () -> report(runtimes, self)));
+                    () ->
+                            mTimeline.schedulePeriodically(
+                                    REPORT_MILLIS, () -> report(runtimes, self)));
             mTimeline.schedulePeriodically(UPKEEP_MILLIS, runtime::runMaintenance);
             placers.add(new RuntimePlacer(runtime));
         }
@@ -131,7 +133,12 @@
                         mScenario.loads().stream().map(RequestLoad::kind).toList());
         ServiceRuntime runtime =
                 new ServiceRuntime(
-                        ZONE, template, mTimeline.clock(), mRandom.split(), new NoOpTargetEventListener(), mMetrics);
+                        ZONE,
+                        template,
+                        mTimeline.clock(),
+                        mRandom.split(),
+                        new NoOpTargetEventListener(),
+                        mMetrics);
         runtime.onTemplate(template);
         runtime.onTargets(
                 mTargets.stream()
@@ -181,7 +188,9 @@
     }
 
     private void tellOthers(
-            List<PoisonPolicy.Production> guards, PoisonPolicy.Production self, SuspectReport news) {
+            List<PoisonPolicy.Production> guards,
+            PoisonPolicy.Production self,
+            SuspectReport news) {
         for (PoisonPolicy.Production other : guards) {
             if (other != self && mNewsRandom.nextDouble() >= mScenario.messageLossRate()) {
                 mTimeline.schedule(mScenario.messageDelayMillis(), () -> other.onPeerReport(news));
@@ -216,7 +225,8 @@
             List<Placer<S>> placers,
             List<PoisonPolicy> guards,
             SplittableRandom random) {
-        double factor = mScenario.isMiddleThird(mTimeline.elapsedMillis()) ? mScenario.burstFactor() : 1;
+        double factor =
+                mScenario.isMiddleThird(mTimeline.elapsedMillis()) ? mScenario.burstFactor() : 1;
         double meanMillis = 1_000 / (load.requestsPerSecond() * factor);
         mTimeline.schedule(
                 Math.round(-meanMillis * Math.log(1 - random.nextDouble())),
@@ -236,7 +246,10 @@
     }
 
     private RequestDigest digest(RequestLoad load) {
-        long number = load.distinctRequests() == 0 ? mRequestNumber++ : mDigestRandom.nextInt(load.distinctRequests());
+        long number =
+                load.distinctRequests() == 0
+                        ? mRequestNumber++
+                        : mDigestRandom.nextInt(load.distinctRequests());
         return new RequestDigest(load.kind().name().hashCode(), number);
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetStatistics.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetStatistics.java
@@ -123,7 +123,8 @@
      * @param bouts the bouts of each target
      * @param lengthMillis how long the run was
      */
-    FleetResult result(Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts, long lengthMillis) {
+    FleetResult result(
+            Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts, long lengthMillis) {
         TargetUsageTracker.TargetUsage spread = mSpread.usage(bouts, lengthMillis);
         double worst =
                 mWindows.stream()
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
@@ -52,7 +52,9 @@
     }
 
     private long untilTurn() {
-        double mean = (mInBout ? mScenario.meanFailurePeriod() : mScenario.meanHealthyPeriod()).toMillis();
+        double mean =
+                (mInBout ? mScenario.meanFailurePeriod() : mScenario.meanHealthyPeriod())
+                        .toMillis();
         return Math.max(1, Math.round(-mean * Math.log(1 - mRandom.nextDouble())));
     }
 
@@ -60,14 +62,18 @@
     List<TargetUsageTracker.FailurePeriod> failurePeriods() {
         List<TargetUsageTracker.FailurePeriod> bouts = new ArrayList<>(mBouts);
         if (mInBout) {
-            bouts.add(new TargetUsageTracker.FailurePeriod(mBoutFromMillis, mTimeline.elapsedMillis()));
+            bouts.add(
+                    new TargetUsageTracker.FailurePeriod(
+                            mBoutFromMillis, mTimeline.elapsedMillis()));
         }
         return bouts;
     }
 
     private void turn() {
         if (mInBout) {
-            mBouts.add(new TargetUsageTracker.FailurePeriod(mBoutFromMillis, mTimeline.elapsedMillis()));
+            mBouts.add(
+                    new TargetUsageTracker.FailurePeriod(
+                            mBoutFromMillis, mTimeline.elapsedMillis()));
         }
         mInBout = !mInBout;
         mBoutFromMillis = mTimeline.elapsedMillis();
@@ -84,7 +90,9 @@
             mTimeline.schedule(1, () -> end.accept(FailureKind.CONNECT_FAILED));
             return;
         }
-        if (mInBout && mScenario.failureMode() != FailureMode.SLOW && fails(mScenario.failureShare())) {
+        if (mInBout
+                && mScenario.failureMode() != FailureMode.SLOW
+                && fails(mScenario.failureShare())) {
             failInBout(end);
             return;
         }
@@ -126,7 +134,8 @@
         mQueue.clear();
         List<Consumer<FailureKind>> atWork = List.copyOf(mAtWork);
         mAtWork.clear();
-        atWork.forEach(end -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND)));
+        atWork.forEach(
+                end -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND)));
         mTimeline.schedule(
                 mScenario.restartDelay().toMillis(),
                 () -> {
@@ -165,7 +174,10 @@
     private long workMillis(RequestLoad load) {
         double spread = load.serviceTimeSigma();
         double scale = Math.exp(spread * mRandom.nextGaussian() - spread * spread / 2);
-        boolean slow = mInBout && mScenario.failureMode() == FailureMode.SLOW && fails(mScenario.failureShare());
+        boolean slow =
+                mInBout
+                        && mScenario.failureMode() == FailureMode.SLOW
+                        && fails(mScenario.failureShare());
         return Math.max(1, Math.round(load.meanServiceMillis() * scale * (slow ? SLOW_FACTOR : 1)));
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/PoisonPolicy.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/PoisonPolicy.java
@@ -24,7 +24,8 @@
     }
 
     /** Takes that the connection to a target broke while it had a request. */
-    void onConnectionBroken(FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
+    void onConnectionBroken(
+            FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
         whenChecked.run();
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
@@ -25,8 +25,8 @@
  * @param failureShare the share of work that it fails then
  * @param meanFailurePeriod the mean length of a bout
  * @param meanHealthyPeriod the mean time between bouts
- * @param lossyPathShare the share of pairs of a VM and a target whose path loses all, for the middle
- *     third
+ * @param lossyPathShare the share of pairs of a VM and a target whose path loses all, for the
+ *     middle third
  * @param restartDelay how long a target that ended takes to be back
  * @param rackShare the share of the targets that end at once at the begin of the middle third
  * @param burstFactor the load in the middle third, as a multiple
--- a/lab/src/main/java/org/dahliapass/lab/policy/Condition.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Condition.java
@@ -12,10 +12,17 @@
  * @param report what its health report says
  */
 record Condition(
-        Connectivity connectivity, double failureRate, double slowdown, long stallMillis, HealthReport report) {
-    static final Condition HEALTHY = new Condition(Connectivity.OPEN, 0, 1, 0, HealthReport.SERVING);
-    static final Condition STOPPED = new Condition(Connectivity.REFUSED, 0, 1, 0, HealthReport.SERVING);
-    static final Condition UNREACHABLE = new Condition(Connectivity.SILENT, 0, 1, 0, HealthReport.SERVING);
+        Connectivity connectivity,
+        double failureRate,
+        double slowdown,
+        long stallMillis,
+        HealthReport report) {
+    static final Condition HEALTHY =
+            new Condition(Connectivity.OPEN, 0, 1, 0, HealthReport.SERVING);
+    static final Condition STOPPED =
+            new Condition(Connectivity.REFUSED, 0, 1, 0, HealthReport.SERVING);
+    static final Condition UNREACHABLE =
+            new Condition(Connectivity.SILENT, 0, 1, 0, HealthReport.SERVING);
 
     static Condition failing(double rate) {
         return new Condition(Connectivity.OPEN, rate, 1, 0, HealthReport.SERVING);
--- a/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
@@ -38,7 +38,8 @@
      *
      * @param load the requests that arrive, as a share of what all slots can do
      */
-    Experiment(Deployment deployment, Fault fault, PolicyVariant contender, double load, long seed) {
+    Experiment(
+            Deployment deployment, Fault fault, PolicyVariant contender, double load, long seed) {
         mDeployment = deployment;
         mFault = fault;
         mArrivals = new Random(seed);
@@ -117,7 +118,8 @@
         mVms.get(request.vm()).mInFlight[target]++;
         switch (condition(request.vm(), target).connectivity()) {
             case REFUSED ->
-                    mEvents.schedule(HOP_MICROS, () -> end(request, target, Outcome.CONNECT_FAILED));
+                    mEvents.schedule(
+                            HOP_MICROS, () -> end(request, target, Outcome.CONNECT_FAILED));
             case SILENT ->
                     mEvents.schedule(
                             CONNECT_TIMEOUT_MICROS,
@@ -162,7 +164,8 @@
                     .drainUrgentReport(mEvents.nowMillis())
                     .ifPresent(
                             report ->
-                                    mEvents.schedule(HOP_MICROS, () -> deliver(request.vm(), report)));
+                                    mEvents.schedule(
+                                            HOP_MICROS, () -> deliver(request.vm(), report)));
         }
         mMeasurement.onEnd(request.startMicros(), mEvents.nowMicros(), outcome);
         mMeasurement.recordWeight(request.vm(), target, mEvents.nowMillis());
--- a/lab/src/test/java/org/dahliapass/lab/GrayFailureTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GrayFailureTest.java
@@ -69,7 +69,8 @@
         for (EntryVm vm : fleet.vms()) {
             HttpCalls.json(
                             HttpCalls.get(
-                                    vm.operatorEndpoint(), "/operations/explanations?target=" + target))
+                                    vm.operatorEndpoint(),
+                                    "/operations/explanations?target=" + target))
                     .forEach(found::add);
         }
         found.removeIf(node -> !TAKEN_OUT.contains(node.path("action").asText()));
--- a/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
@@ -27,7 +27,8 @@
 
     private String token() {
         EntryVm home = mFleet.vms().get(0);
-        AggregatedHttpResponse answer = TestFleet.post(home.callerEndpoint(), SIGN_OFF, "not a key");
+        AggregatedHttpResponse answer =
+                TestFleet.post(home.callerEndpoint(), SIGN_OFF, "not a key");
         assertEquals(answer.status().code(), 428);
         return answer.headers().get("x-operation-token");
     }
@@ -44,7 +45,8 @@
     @Test
     public void repeatedKeyAtAnyVmGetsRecordedAnswer() {
         String key = token() + ".repeated";
-        AggregatedHttpResponse first = TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
+        AggregatedHttpResponse first =
+                TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
         assertEquals(first.status().code(), 200);
         for (EntryVm vm : mFleet.vms()) {
             AggregatedHttpResponse again = TestFleet.post(vm.callerEndpoint(), SIGN_OFF, key);
@@ -59,9 +61,11 @@
     public void askedForFirstIsNeverRun() {
         String key = token() + ".asked-first";
         EntryVm other = mFleet.vms().get(1);
-        AggregatedHttpResponse outcome = TestFleet.get(other.callerEndpoint(), "/outcomes/himal/" + key);
+        AggregatedHttpResponse outcome =
+                TestFleet.get(other.callerEndpoint(), "/outcomes/himal/" + key);
         assertEquals(outcome.headers().get("x-outcome"), "not-run");
-        AggregatedHttpResponse late = TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
+        AggregatedHttpResponse late =
+                TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
         assertEquals(late.headers().get("x-outcome"), "not-run");
         assertEquals(runs(key), 0);
     }
--- a/lab/src/test/java/org/dahliapass/lab/ResponseIntegrityTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ResponseIntegrityTest.java
@@ -87,7 +87,9 @@
             for (int number = 0; number < CALLERS; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
+                answers.put(
+                        path,
+                        HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
                 SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES)
                         .awaitStarted()
                         .cancel();
@@ -109,7 +111,9 @@
             for (int number = 0; number < CROWD; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/crowd-" + round + "-" + number + "-";
-                answers.put(path, HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
+                answers.put(
+                        path,
+                        HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
             }
             leavers.forEach(leaver -> leaver.awaitStarted().cancel());
             served += countOwn(answers);
@@ -161,7 +165,9 @@
     public void cancelReachesTarget() {
         long before = mFleet.platform().cancelled();
         SlowReader halfway =
-                SlowReader.start(mFleet.vms().get(0).callerEndpoint(), LISTINGS + "halfway?bytes=" + BYTES)
+                SlowReader.start(
+                                mFleet.vms().get(0).callerEndpoint(),
+                                LISTINGS + "halfway?bytes=" + BYTES)
                         .awaitStarted();
         halfway.cancel();
         mFleet.await(
@@ -170,7 +176,8 @@
         mFleet.platform().setFaults(STALL);
         long served = mFleet.platform().served();
         var stalled =
-                HttpCalls.client("h1c", mFleet.vms().get(1).callerEndpoint()).get(LISTINGS + "stalled");
+                HttpCalls.client("h1c", mFleet.vms().get(1).callerEndpoint())
+                        .get(LISTINGS + "stalled");
         CompletableFuture<AggregatedHttpResponse> whole = stalled.aggregate();
         mFleet.await("it has begun", () -> mFleet.platform().served() > served);
         assertFalse(whole.isDone());
--- a/lab/src/test/java/org/dahliapass/lab/TargetDrainTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/TargetDrainTest.java
@@ -64,7 +64,8 @@
     private static void sendOneByOne(TestFleet fleet) {
         for (int number = 0; number < REQUESTS; number++) {
             EntryVm vm = fleet.vms().get(number % fleet.vms().size());
-            assertServed(HttpCalls.get(vm.callerEndpoint(), "/services/himal/desk/listings/" + number));
+            assertServed(
+                    HttpCalls.get(vm.callerEndpoint(), "/services/himal/desk/listings/" + number));
         }
     }
 
@@ -75,7 +76,8 @@
     private static boolean allKnow(TestFleet fleet, Endpoint target) {
         Optional<String> leaving = Optional.of("leaving");
         return fleet.vms().stream()
-                .allMatch(vm -> HttpCalls.targetState(vm.operatorEndpoint(), target).equals(leaving));
+                .allMatch(
+                        vm -> HttpCalls.targetState(vm.operatorEndpoint(), target).equals(leaving));
     }
 
     private static int refusals(TestFleet fleet) {
--- a/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/FleetRunTest.java
@@ -78,7 +78,8 @@
     public void requestThatEndsItsTargetsIsKeptFromThem() {
         double ended = mean("poison", PlacementStrategy.PRODUCTION, FleetResult::poisonCrashes);
         assertTrue(ended <= 6, "targets ended: " + ended);
-        double late = mean("poison", PlacementStrategy.PRODUCTION, FleetResult::latePoisonDeliveries);
+        double late =
+                mean("poison", PlacementStrategy.PRODUCTION, FleetResult::latePoisonDeliveries);
         assertEquals(late, 0.0, "sent later than 3 s after the third end");
         double without = mean("poison", PlacementStrategy.POWER_OF_TWO, FleetResult::poisonCrashes);
         assertTrue(without > 30, "targets ended without it: " + without);
--- a/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
@@ -56,14 +56,16 @@
 
     @Test
     public void fasterDetectionIsDrawnFurtherLeft() throws Exception {
-        Element drawn = detection(row(PolicyVariant.CELL, 80, 475), row(PolicyVariant.PROBES, 80, 1275));
+        Element drawn =
+                detection(row(PolicyVariant.CELL, 80, 475), row(PolicyVariant.PROBES, 80, 1275));
         assertTrue(
                 lastX(drawn, SvgDrawing.BLUE, "fill") < lastX(drawn, SvgDrawing.ORANGE, "stroke"));
     }
 
     @Test
     public void faultThatWasNotFoundIsDrawnBeyondTheSlowestThatWas() throws Exception {
-        Element missed = detection(row(PolicyVariant.CELL, 80, -1), row(PolicyVariant.PROBES, 80, 30_000));
+        Element missed =
+                detection(row(PolicyVariant.CELL, 80, -1), row(PolicyVariant.PROBES, 80, 30_000));
         assertTrue(
                 lastX(missed, SvgDrawing.BLUE, "fill")
                         > lastX(missed, SvgDrawing.ORANGE, "stroke"));
--- a/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
@@ -82,7 +82,8 @@
         printOutcome(mInvocation, accepted);
         Optional<Endpoint> vm = mInvocation.endpoint("vm");
         if (vm.isPresent()) {
-            new RolloutConfirmation(mInvocation, customer(), accepted.number()).awaitAndPrint(vm.get());
+            new RolloutConfirmation(mInvocation, customer(), accepted.number())
+                    .awaitAndPrint(vm.get());
         }
         return ExitCode.OK;
     }
--- a/operator/src/main/java/org/dahliapass/operator/Invocation.java
+++ b/operator/src/main/java/org/dahliapass/operator/Invocation.java
@@ -78,7 +78,8 @@
 
     ConfigurationStore store() {
         return new ConfigurationStore(
-                mEnvironment.storeFactory().apply(requiredEndpoint("store")), mEnvironment.retryDelay());
+                mEnvironment.storeFactory().apply(requiredEndpoint("store")),
+                mEnvironment.retryDelay());
     }
 
     /** Waits for a call, each of which has its own time-out; rethrows its failure. */
--- a/operator/src/main/java/org/dahliapass/operator/RolloutConfirmation.java
+++ b/operator/src/main/java/org/dahliapass/operator/RolloutConfirmation.java
@@ -87,12 +87,16 @@
 
     private RolloutState stateOf(TemplateStatus template) {
         if (template.held()) {
-            return template.changeNumber() >= mChangeNumber ? RolloutState.IN_FORCE : RolloutState.OUTDATED;
+            return template.changeNumber() >= mChangeNumber
+                    ? RolloutState.IN_FORCE
+                    : RolloutState.OUTDATED;
         }
         if (template.headNumber() == 0) {
             return RolloutState.NO_TEMPLATE;
         }
-        return template.headNumber() >= mChangeNumber ? RolloutState.NOT_SERVING : RolloutState.OUTDATED;
+        return template.headNumber() >= mChangeNumber
+                ? RolloutState.NOT_SERVING
+                : RolloutState.OUTDATED;
     }
 
     private void printSummary() {
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -132,7 +132,9 @@
 
     /** Returns all names, for messages. */
     static String names() {
-        return Arrays.stream(values()).map(Subcommand::commandName).collect(Collectors.joining(", "));
+        return Arrays.stream(values())
+                .map(Subcommand::commandName)
+                .collect(Collectors.joining(", "));
     }
 
     private String commandName() {
--- a/report/src/main/java/org/dahliapass/report/AgeRange.java
+++ b/report/src/main/java/org/dahliapass/report/AgeRange.java
@@ -20,7 +20,9 @@
 
     /** Returns which part of this span lies within another, 0 to 1. */
     double fractionWithin(AgeRange other) {
-        long overlap = Math.min(maxAgeMillis, other.maxAgeMillis) - Math.max(minAgeMillis, other.minAgeMillis);
+        long overlap =
+                Math.min(maxAgeMillis, other.maxAgeMillis)
+                        - Math.max(minAgeMillis, other.minAgeMillis);
         return overlap <= 0 ? 0 : (double) overlap / (maxAgeMillis - minAgeMillis);
     }
 }
--- a/report/src/main/java/org/dahliapass/report/BurnAggregator.java
+++ b/report/src/main/java/org/dahliapass/report/BurnAggregator.java
@@ -64,7 +64,11 @@
                         .map(window -> new WindowCoverage(window, coverage(0, window.millis())))
                         .toList(),
                 IntStream.range(0, ReportTimeline.STEP_COUNT)
-                        .mapToObj(step -> coverage(ReportTimeline.minAgeMillis(step), ReportTimeline.maxAgeMillis(step)))
+                        .mapToObj(
+                                step ->
+                                        coverage(
+                                                ReportTimeline.minAgeMillis(step),
+                                                ReportTimeline.maxAgeMillis(step)))
                         .toList(),
                 series);
     }
--- a/report/src/main/java/org/dahliapass/report/BurnCollector.java
+++ b/report/src/main/java/org/dahliapass/report/BurnCollector.java
@@ -54,7 +54,8 @@
      * @return completes when every VM has answered or failed; never fails for a VM's sake
      */
     CompletableFuture<BurnAggregator> collect(List<String> contacts) {
-        BurnAggregator burn = new BurnAggregator(name -> mCustomer.isEmpty() || name.equals(mCustomer.get()));
+        BurnAggregator burn =
+                new BurnAggregator(name -> mCustomer.isEmpty() || name.equals(mCustomer.get()));
         Map<String, Member> members = new TreeMap<>();
         List<UnresponsiveVm> silentContacts = new ArrayList<>();
         CompletableFuture<Void> lists =
@@ -91,7 +92,9 @@
                         (list, failure) -> {
                             if (failure != null) {
                                 synchronized (members) {
-                                    silent.add(new UnresponsiveVm(contact, contact, reasonOf(failure)));
+                                    silent.add(
+                                            new UnresponsiveVm(
+                                                    contact, contact, reasonOf(failure)));
                                 }
                                 return null;
                             }
--- a/report/src/main/java/org/dahliapass/report/HtmlReport.java
+++ b/report/src/main/java/org/dahliapass/report/HtmlReport.java
@@ -80,7 +80,8 @@
                         + " time.");
         mPage.append("<div class='tiles'>");
         for (Verdict verdict : Verdict.values()) {
-            mPage.append("<div class='tile' style='border-left-color:" + tileColour(verdict) + "'>");
+            mPage.append(
+                    "<div class='tile' style='border-left-color:" + tileColour(verdict) + "'>");
             mPage.appendElement("b", "", Long.toString(mReport.count(verdict)));
             mPage.appendElement("span", "", tileLabel(verdict)).append("</div>");
         }
@@ -97,7 +98,8 @@
         List<String> unknowns = DataGaps.of(mReport);
         mPage.append("<div class='unknown'>");
         if (unknowns.isEmpty()) {
-            mPage.appendElement("b", "", "Every VM told, and each has counted for the whole 6 hours.");
+            mPage.appendElement(
+                    "b", "", "Every VM told, and each has counted for the whole 6 hours.");
         } else {
             mPage.appendElement("b", "", "What this report doesn't know").append("<ul>");
             unknowns.forEach(sentence -> mPage.appendElement("li", "", sentence));
@@ -124,8 +126,12 @@
 
     private void writeTableHead() {
         mPage.append("<div class='wide'><table><thead><tr><th colspan='5'></th>");
-        mPage.append("<th class='group' colspan='" + BurnWindow.values().length + "'>burn rate</th>");
-        mPage.append("<th class='group' colspan='" + (OutcomeStyle.NOT_GOOD.size() + 2) + "'>requests in 6h");
+        mPage.append(
+                "<th class='group' colspan='" + BurnWindow.values().length + "'>burn rate</th>");
+        mPage.append(
+                "<th class='group' colspan='"
+                        + (OutcomeStyle.NOT_GOOD.size() + 2)
+                        + "'>requests in 6h");
         mPage.append("</th></tr><tr>");
         for (String heading : List.of("Verdict", "Customer", "Service", "Kind")) {
             mPage.appendElement("th", "class='left'", heading);
@@ -134,7 +140,8 @@
         Arrays.stream(BurnWindow.values())
                 .forEach(window -> mPage.appendElement("th", "", window.label()));
         mPage.appendElement("th", "", "all").appendElement("th", "", "bad");
-        OutcomeStyle.NOT_GOOD.forEach(outcome -> mPage.appendElement("th", "", OutcomeStyle.label(outcome)));
+        OutcomeStyle.NOT_GOOD.forEach(
+                outcome -> mPage.appendElement("th", "", OutcomeStyle.label(outcome)));
         mPage.append("</tr></thead><tbody>");
     }
 
@@ -142,7 +149,9 @@
         OutcomeTally tally = burn.windows().of(BurnWindow.SIX_HOURS).tally();
         mPage.append("<tr>");
         mPage.appendElement(
-                "td", "class='left verdict " + cssClass(burn.verdict()) + "'", burn.verdict().label());
+                "td",
+                "class='left verdict " + cssClass(burn.verdict()) + "'",
+                burn.verdict().label());
         mPage.appendElement("td", "class='left'", burn.customer());
         mPage.appendElement("td", "class='left'", burn.service());
         mPage.appendElement("td", "class='left'", burn.kind());
@@ -150,7 +159,8 @@
         burn.windows().windows().forEach(this::writeRate);
         mPage.appendElement("td", "", ReportFormat.groupedCount(tally.total()));
         mPage.appendElement("td", "", ReportFormat.groupedCount(tally.bad()));
-        OutcomeStyle.NOT_GOOD.forEach(outcome -> mPage.appendElement("td", "", countOrDot(tally.count(outcome))));
+        OutcomeStyle.NOT_GOOD.forEach(
+                outcome -> mPage.appendElement("td", "", countOrDot(tally.count(outcome))));
         mPage.append("</tr>");
     }
 
@@ -170,7 +180,8 @@
         mPage.appendElement("h2", "", "The last six hours");
         if (mReport.series().size() > MAX_PLOTS) {
             String left = Integer.toString(mReport.series().size() - MAX_PLOTS);
-            mPage.appendElement("p", "class='note'", "The worst 40; " + left + " more in the table.");
+            mPage.appendElement(
+                    "p", "class='note'", "The worst 40; " + left + " more in the table.");
         }
         writeLegends();
         mPage.append("<div class='plots'>");
--- a/report/src/main/java/org/dahliapass/report/SeriesAggregator.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesAggregator.java
@@ -27,7 +27,10 @@
         }
         for (int step = 0; step < ReportTimeline.STEP_COUNT; step++) {
             double part =
-                    span.fractionWithin(new AgeRange(ReportTimeline.minAgeMillis(step), ReportTimeline.maxAgeMillis(step)));
+                    span.fractionWithin(
+                            new AgeRange(
+                                    ReportTimeline.minAgeMillis(step),
+                                    ReportTimeline.maxAgeMillis(step)));
             if (part > 0) {
                 mTimeline.set(step, mTimeline.get(step).plus(OutcomeTally.of(bucket, part)));
             }
--- a/report/src/main/java/org/dahliapass/report/SeriesBurn.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesBurn.java
@@ -25,7 +25,8 @@
     /** The worst first: by verdict, then by the burn of the last hour. */
     static final Comparator<SeriesBurn> WORST_FIRST =
             Comparator.comparing(SeriesBurn::verdict)
-                    .thenComparing(Comparator.comparingDouble(SeriesBurn::oneHourBurnRate).reversed())
+                    .thenComparing(
+                            Comparator.comparingDouble(SeriesBurn::oneHourBurnRate).reversed())
                     .thenComparing(SeriesBurn::qualifiedName);
 
     SeriesBurn {
--- a/report/src/main/java/org/dahliapass/report/TextReport.java
+++ b/report/src/main/java/org/dahliapass/report/TextReport.java
@@ -19,7 +19,9 @@
         lines.add(
                 String.format(
                         "Burn report of %s: %d of %d VMs told what they know.",
-                        ReportFormat.time(report.generatedMillis()), report.answered().size(), vms));
+                        ReportFormat.time(report.generatedMillis()),
+                        report.answered().size(),
+                        vms));
         lines.add("");
         addTable(report, lines);
         lines.add("");
@@ -67,7 +69,11 @@
     private static String outcomeCounts(OutcomeTally tally) {
         return Arrays.stream(Outcome.values())
                 .filter(outcome -> outcome != Outcome.GOOD && tally.count(outcome) > 0)
-                .map(outcome -> ReportFormat.count(tally.count(outcome)) + " " + OutcomeStyle.label(outcome))
+                .map(
+                        outcome ->
+                                ReportFormat.count(tally.count(outcome))
+                                        + " "
+                                        + OutcomeStyle.label(outcome))
                 .collect(
                         Collectors.collectingAndThen(
                                 Collectors.joining(", "),
--- a/report/src/main/java/org/dahliapass/report/TimelinePlot.java
+++ b/report/src/main/java/org/dahliapass/report/TimelinePlot.java
@@ -103,7 +103,8 @@
     }
 
     private void drawOutcomes() {
-        double most = mBurn.course().stream().mapToDouble(TimelinePlot::notGoodCount).max().orElse(0);
+        double most =
+                mBurn.course().stream().mapToDouble(TimelinePlot::notGoodCount).max().orElse(0);
         drawLine(LEFT, OUTCOMES_BOTTOM, RIGHT, OUTCOMES_BOTTOM, "class='grid'");
         drawText(LEFT - 5, OUTCOMES_BOTTOM + 3.5, "end", "0");
         if (most <= 0) {
--- a/report/src/test/java/org/dahliapass/report/BurnAggregatorTest.java
+++ b/report/src/test/java/org/dahliapass/report/BurnAggregatorTest.java
@@ -59,7 +59,8 @@
                         NOW - ago * MINUTE);
             }
         }
-        mAggregator.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
+        mAggregator.add(
+                new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
 
         assertEquals(mAggregator.toReport(NOW).series().get(0).verdict(), verdict);
     }
@@ -68,7 +69,8 @@
     public void countsAreAlignedByAgeDespiteClockSkew() {
         long wrongClock = NOW - 3 * HOUR;
         mAggregator.add(snapshot("a~1", NOW, bucket(NOW - MINUTE / 2, 10_000, 90, 10)));
-        mAggregator.add(snapshot("b~1", wrongClock, bucket(wrongClock - MINUTE / 2, 10_000, 100, 0)));
+        mAggregator.add(
+                snapshot("b~1", wrongClock, bucket(wrongClock - MINUTE / 2, 10_000, 100, 0)));
 
         WindowBurn minute =
                 mAggregator.toReport(NOW).series().get(0).windows().of(BurnWindow.ONE_MINUTE);
@@ -98,7 +100,10 @@
                 report.series().get(0).windows().of(BurnWindow.ONE_MINUTE).tally().total(),
                 7,
                 DELTA);
-        assertEquals(report.series().get(0).course().get(ReportTimeline.STEP_COUNT - 1).total(), 7, DELTA);
+        assertEquals(
+                report.series().get(0).course().get(ReportTimeline.STEP_COUNT - 1).total(),
+                7,
+                DELTA);
     }
 
     // All VMs were replaced half an hour ago and keep nothing. The new ones know of no failure
--- a/report/src/test/java/org/dahliapass/report/ReportMainTest.java
+++ b/report/src/test/java/org/dahliapass/report/ReportMainTest.java
@@ -52,7 +52,8 @@
                         .service(
                                 "/operations/burn",
                                 (context, request) ->
-                                        HttpResponse.of(mBurnStatus, MediaType.JSON, snapshotJson()))
+                                        HttpResponse.of(
+                                                mBurnStatus, MediaType.JSON, snapshotJson()))
                         .build();
         mServer.start().join();
         mAddress = "127.0.0.1:" + mServer.activeLocalPort();
--- a/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
+++ b/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
@@ -56,7 +56,8 @@
 
     @Test
     void interestingTracesExist() {
-        assertTrue(mRunner.isSatisfiable("interesting"), "No interesting trace: the facts contradict");
+        assertTrue(
+                mRunner.isSatisfiable("interesting"), "No interesting trace: the facts contradict");
     }
 
     @Test(dataProvider = "promises")
--- a/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
@@ -59,7 +59,8 @@
     }
 
     /** Writes the key if its modify index is the expected one; 0 expects that it is absent. */
-    public synchronized boolean compareAndSwap(String key, String value, long expected, long nowMillis) {
+    public synchronized boolean compareAndSwap(
+            String key, String value, long expected, long nowMillis) {
         lapse(nowMillis);
         if (!isAt(key, expected)) {
             return false;
--- a/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
@@ -202,7 +202,8 @@
     private HttpResponse grant(JsonNode body) {
         double seconds = body.path("ttl_s_time").asDouble();
         long lease = mTable.grant((long) (seconds * MILLIS_PER_SECOND), mClock.millis());
-        return HttpResponses.json(JSON.createObjectNode().put("lease", lease).put("ttl_s_time", seconds));
+        return HttpResponses.json(
+                JSON.createObjectNode().put("lease", lease).put("ttl_s_time", seconds));
     }
 
     private HttpResponse renew(ServiceRequestContext context) {
--- a/standins/src/main/java/org/dahliapass/standins/StoreService.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreService.java
@@ -157,8 +157,13 @@
         String timeToLive =
                 body.content().isEmpty()
                         ? ""
-                        : HttpResponses.decode(body.contentUtf8(), JsonNode.class).path("TTL").asText();
-        long millis = timeToLive.isEmpty() ? KeyValueTable.UNLIMITED : BlockingReadParameters.parseMillis(timeToLive);
+                        : HttpResponses.decode(body.contentUtf8(), JsonNode.class)
+                                .path("TTL")
+                                .asText();
+        long millis =
+                timeToLive.isEmpty()
+                        ? KeyValueTable.UNLIMITED
+                        : BlockingReadParameters.parseMillis(timeToLive);
         return HttpResponses.json(Map.of("ID", mTable.createSession(millis, mClock.millis())));
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
@@ -41,7 +41,9 @@
         new StoreService(this, mClock, mTable, mWaiting).declare(builder);
         builder.route().get("/calls").build(HttpResponses.valueService(this::calls));
         builder.route().get("/faults").build(HttpResponses.valueService(this::faults));
-        builder.route().put("/faults").build(HttpResponses.replaceService(StoreFaults.class, this::setFaults));
+        builder.route()
+                .put("/faults")
+                .build(HttpResponses.replaceService(StoreFaults.class, this::setFaults));
     }
 
     @Override
--- a/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
@@ -42,8 +42,12 @@
         builder.route().get("/served").build(HttpResponses.valueService(mState::served));
         builder.route().get("/cancelled").build(HttpResponses.valueService(mState::cancelled));
         builder.route().get("/faults").build(HttpResponses.valueService(mState::faults));
-        builder.route().put("/faults").build(HttpResponses.replaceService(TargetFaults.class, this::setFaults));
-        builder.route().put("/drain").build(HttpResponses.replaceService(Boolean.class, this::setDraining));
+        builder.route()
+                .put("/faults")
+                .build(HttpResponses.replaceService(TargetFaults.class, this::setFaults));
+        builder.route()
+                .put("/drain")
+                .build(HttpResponses.replaceService(Boolean.class, this::setDraining));
     }
 
     @Override
--- a/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
@@ -50,7 +50,9 @@
                             return HttpResponse.of(HttpStatus.OK);
                         });
         builder.route().get("/faults").build(HttpResponses.valueService(() -> mFaults));
-        builder.route().put("/faults").build(HttpResponses.replaceService(VmListFaults.class, this::setFaults));
+        builder.route()
+                .put("/faults")
+                .build(HttpResponses.replaceService(VmListFaults.class, this::setFaults));
     }
 
     @Override
@@ -102,7 +104,10 @@
             return HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
         }
         return HttpResponse.of(
-                mWaiting.await(name, BlockingReadParameters.of(context.queryParams()), context.eventLoop())
+                mWaiting.await(
+                                name,
+                                BlockingReadParameters.of(context.queryParams()),
+                                context.eventLoop())
                         .thenApply(nothing -> show(name)));
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/WorkService.java
+++ b/standins/src/main/java/org/dahliapass/standins/WorkService.java
@@ -70,7 +70,9 @@
             work.schedule(deadlineMillis, () -> work.fail(HttpStatus.GATEWAY_TIMEOUT));
         }
         if (outcome != RequestOutcome.STALL) {
-            work.schedule(mState.serviceTimeMillis(), () -> end(work, request, outcome, streamLength, runs));
+            work.schedule(
+                    mState.serviceTimeMillis(),
+                    () -> end(work, request, outcome, streamLength, runs));
         }
     }
 
@@ -81,7 +83,11 @@
     }
 
     private static void end(
-            InFlightRequest work, HttpRequest request, RequestOutcome outcome, long streamLength, int runs) {
+            InFlightRequest work,
+            HttpRequest request,
+            RequestOutcome outcome,
+            long streamLength,
+            int runs) {
         if (outcome == RequestOutcome.FAIL_AFTER_RUN) {
             work.fail(HttpStatus.INTERNAL_SERVER_ERROR);
             return;
@@ -92,6 +98,8 @@
             return;
         }
         String operation = request.headers().get("x-operation", "");
-        work.respond(HttpResponses.encode(new WorkResponse(request.path(), operation, runs)), closeEarly);
+        work.respond(
+                HttpResponses.encode(new WorkResponse(request.path(), operation, runs)),
+                closeEarly);
     }
 }
