--- a/report/src/main/java/org/dahliapass/report/BurnAggregator.java
+++ b/report/src/main/java/org/dahliapass/report/BurnAggregator.java
@@ -11,10 +11,10 @@
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
 /**
- * Adds up what the VMs tell, one after another, so that no more than one VM's answer is held.
+ * Aggregates the VMs' snapshots incrementally, without retaining them.
  *
- * <p>All times are ages by the telling VM's own clock; clocks of different VMs are never compared.
- * Safe from any thread, as answers arrive on several.
+ * <p>All times are ages by the clock of the VM that counted; clocks of different VMs are never
+ * compared. Thread-safe.
  */
 final class BurnAggregator {
     private final Predicate<String> mCustomerFilter;
@@ -23,12 +23,12 @@
     private final List<UnresponsiveVm> mUnresponsive = new ArrayList<>();
     private long mUncounted;
 
-    /** Starts with nothing; requests of other customers than those asked for are left out. */
-    BurnAggregator(Predicate<String> customers) {
-        mCustomerFilter = customers;
+    /** Creates an empty aggregator that ignores customers rejected by the filter. */
+    BurnAggregator(Predicate<String> customerFilter) {
+        mCustomerFilter = customerFilter;
     }
 
-    /** Adds what a VM tells. */
+    /** Adds a VM's snapshot. */
     synchronized void add(ErrorBudgetSnapshot snapshot) {
         long age = Math.max(0, snapshot.nowMillis() - snapshot.sinceMillis());
         mResponding.add(new RespondingVm(snapshot.vm(), age));
@@ -43,12 +43,12 @@
         }
     }
 
-    /** Notes a VM that tells nothing. */
+    /** Adds a VM whose snapshot could not be read. */
     synchronized void addUnresponsive(UnresponsiveVm vm) {
         mUnresponsive.add(vm);
     }
 
-    /** Returns the report on all that was added. */
+    /** Returns the report on all VMs added. */
     synchronized BurnReport toReport(long nowMillis) {
         List<SeriesBurn> series =
                 mSeries.entrySet().stream()
@@ -57,7 +57,9 @@
                         .toList();
         return new BurnReport(
                 nowMillis,
-                mResponding.stream().sorted((a, b) -> a.vm().compareTo(b.vm())).toList(),
+                mResponding.stream()
+                        .sorted((left, right) -> left.vm().compareTo(right.vm()))
+                        .toList(),
                 mUnresponsive,
                 mUncounted,
                 Arrays.stream(BurnWindow.values())
@@ -74,17 +76,17 @@
     }
 
     /**
-     * Returns which part of the VMs' time between two ages is known. A VM younger than that stands
-     * in for one that was replaced and took its counts with it; a silent VM counts as not known.
+     * Returns the fraction of all VMs' time between two ages that was counted. The time before a
+     * VM's start counts as missing, since the VM it replaced took its counts with it.
      */
     private double coverage(long newestAge, long oldestAge) {
         int vms = mResponding.size() + mUnresponsive.size();
         if (vms == 0) {
             return 0;
         }
-        AgeRange span = new AgeRange(newestAge, oldestAge);
+        AgeRange range = new AgeRange(newestAge, oldestAge);
         return mResponding.stream()
-                        .mapToDouble(vm -> span.fractionWithin(new AgeRange(0, vm.ageMillis())))
+                        .mapToDouble(vm -> range.fractionWithin(new AgeRange(0, vm.ageMillis())))
                         .sum()
                 / vms;
     }
--- a/report/src/main/java/org/dahliapass/report/BurnCollector.java
+++ b/report/src/main/java/org/dahliapass/report/BurnCollector.java
@@ -21,7 +21,7 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.burn.ErrorBudgetSnapshot;
 
-/** Asks all VMs of the fleet for what they know of the burn, a bounded number at once. */
+/** Collects error budget snapshots from all VMs of the fleet with bounded concurrency. */
 final class BurnCollector {
     private static final int MAX_CONCURRENT_REQUESTS = 64;
     private static final long MAX_RESPONSE_BYTES = 64L << 20;
@@ -34,8 +34,8 @@
     /**
      * Creates a collector.
      *
-     * @param timeout how long each VM may take
-     * @param customer the only customer to report on; empty for all
+     * @param timeout the response timeout for each VM
+     * @param customer the only customer to report on; empty for all customers
      */
     BurnCollector(Duration timeout, Optional<String> customer) {
         mClient =
@@ -47,30 +47,32 @@
     }
 
     /**
-     * Collects from the fleet.
+     * Collects the snapshots of all VMs in the contacts' member lists.
      *
-     * @param contacts operators' addresses of some VMs; the lists of all that answer are joined, so
-     *     that both sides of a partition are found if each has a contact
-     * @return completes when every VM has answered or failed; never fails for a VM's sake
+     * @param contacts operators' addresses of some VMs; their member lists are merged to cover both
+     *     sides of a network partition
+     * @return a future that completes when every VM has responded or failed; a failing VM does not
+     *     fail it
      */
     CompletableFuture<BurnAggregator> collect(List<String> contacts) {
         BurnAggregator burn =
                 new BurnAggregator(name -> mCustomer.isEmpty() || name.equals(mCustomer.get()));
         Map<String, Member> members = new TreeMap<>();
-        List<UnresponsiveVm> silentContacts = new ArrayList<>();
+        List<UnresponsiveVm> unresponsiveContacts = new ArrayList<>();
         CompletableFuture<Void> lists =
-                runConcurrently(contacts, contact -> readMembers(contact, members, silentContacts));
+                runConcurrently(
+                        contacts, contact -> readMembers(contact, members, unresponsiveContacts));
         return lists.thenCompose(
                         ignored -> {
-                            addUnlistedContacts(silentContacts, members.values(), burn);
-                            List<Member> asked =
+                            addUnlistedContacts(unresponsiveContacts, members.values(), burn);
+                            List<Member> queried =
                                     members.values().stream().filter(Member::isQueryable).toList();
-                            return runConcurrently(asked, member -> readBurn(member, burn));
+                            return runConcurrently(queried, member -> readBurn(member, burn));
                         })
                 .thenApply(ignored -> burn);
     }
 
-    /** Notes contacts that were silent and aren't asked again as a member of a list. */
+    /** Adds unresponsive contacts that are not queried as members of another list. */
     private static void addUnlistedContacts(
             List<UnresponsiveVm> contacts, Collection<Member> members, BurnAggregator burn) {
         contacts.stream()
@@ -86,13 +88,13 @@
     }
 
     private CompletableFuture<Void> readMembers(
-            String contact, Map<String, Member> members, List<UnresponsiveVm> silent) {
+            String contact, Map<String, Member> members, List<UnresponsiveVm> unresponsive) {
         return get("read members", contact, "/operations/members", Member[].class)
                 .handle(
                         (list, failure) -> {
                             if (failure != null) {
                                 synchronized (members) {
-                                    silent.add(
+                                    unresponsive.add(
                                             new UnresponsiveVm(
                                                     contact, contact, reasonOf(failure)));
                                 }
@@ -101,7 +103,12 @@
                             synchronized (members) {
                                 Arrays.stream(list)
                                         .filter(Member::hasNameAndAddress)
-                                        .forEach(m -> members.merge(m.name(), m, Member::newer));
+                                        .forEach(
+                                                member ->
+                                                        members.merge(
+                                                                member.name(),
+                                                                member,
+                                                                Member::newer));
                             }
                             return null;
                         });
@@ -125,53 +132,56 @@
                         });
     }
 
-    /** Asks one VM; an address that is no address fails the future like a VM that is away. */
-    private <T> CompletableFuture<T> get(String step, String peer, String path, Class<T> type) {
-        return CompletableFuture.completedFuture("http://" + peer + path)
-                .thenCompose(address -> mClient.get(address).aggregate())
-                .thenApply(response -> parse(step, peer, response, type));
+    /** Queries one VM; an invalid address fails the future like an unreachable VM. */
+    private <T> CompletableFuture<T> get(
+            String operation, String address, String path, Class<T> type) {
+        return CompletableFuture.completedFuture("http://" + address + path)
+                .thenCompose(url -> mClient.get(url).aggregate())
+                .thenApply(response -> parse(operation, address, response, type));
     }
 
     private static <T> T parse(
-            String step, String peer, AggregatedHttpResponse response, Class<T> type) {
+            String operation, String address, AggregatedHttpResponse response, Class<T> type) {
         if (!response.status().equals(HttpStatus.OK)) {
-            throw new OperationException(step, peer, "it answered " + response.status());
+            throw new OperationException(
+                    operation, address, "VM responded with status " + response.status());
         }
         try {
             return JSON.readValue(response.contentUtf8(), type);
         } catch (JsonProcessingException failure) {
-            throw new OperationException(step, peer, "its answer isn't the JSON expected", failure);
+            throw new OperationException(
+                    operation, address, "response is not the expected JSON", failure);
         }
     }
 
     private static String reasonOf(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof OperationException step) {
-            return step.getMessage();
+        if (cause instanceof OperationException exception) {
+            return exception.getMessage();
         }
         if (cause instanceof ResponseTimeoutException) {
-            return "no answer in time";
+            return "response timed out";
         }
         return cause instanceof UnprocessedRequestException
-                ? "no connection"
-                : "the connection broke";
+                ? "could not connect"
+                : "connection failed";
     }
 
-    /** Runs one step for each item, at most {@link #MAX_CONCURRENT_REQUESTS} at once. */
-    private static <T> CompletableFuture<Void> runConcurrently(List<T> items, AsyncTask<T> step) {
-        List<CompletableFuture<Void>> lanes = new ArrayList<>();
-        for (int lane = 0; lane < Math.min(MAX_CONCURRENT_REQUESTS, items.size()); lane++) {
+    /** Runs a task for each item, at most {@link #MAX_CONCURRENT_REQUESTS} at once. */
+    private static <T> CompletableFuture<Void> runConcurrently(List<T> items, AsyncTask<T> task) {
+        List<CompletableFuture<Void>> chains = new ArrayList<>();
+        for (int offset = 0; offset < Math.min(MAX_CONCURRENT_REQUESTS, items.size()); offset++) {
             CompletableFuture<Void> chain = CompletableFuture.completedFuture(null);
-            for (int index = lane; index < items.size(); index += MAX_CONCURRENT_REQUESTS) {
+            for (int index = offset; index < items.size(); index += MAX_CONCURRENT_REQUESTS) {
                 T item = items.get(index);
-                chain = chain.thenCompose(ignored -> step.run(item));
+                chain = chain.thenCompose(ignored -> task.run(item));
             }
-            lanes.add(chain);
+            chains.add(chain);
         }
-        return CompletableFuture.allOf(lanes.toArray(CompletableFuture<?>[]::new));
+        return CompletableFuture.allOf(chains.toArray(CompletableFuture<?>[]::new));
     }
 
-    /** What is done for one item; its future never fails. */
+    /** An asynchronous task for one item; its future never fails. */
     private interface AsyncTask<T> {
         CompletableFuture<Void> run(T item);
     }
--- a/report/src/main/java/org/dahliapass/report/BurnReport.java
+++ b/report/src/main/java/org/dahliapass/report/BurnReport.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The burn of the whole fleet, and what isn't known of it.
+ * The error budget burn of the whole fleet, with the coverage of the data.
  *
- * @param generatedMillis when it was collected
- * @param answered the VMs that told what they know
- * @param silent the VMs that told nothing
- * @param uncounted requests that VMs left out as their memory for kinds was full
- * @param coverage how much of each window is known
- * @param courseCoverage how much of each step of {@link ReportTimeline} is known, oldest first
- * @param series the request kinds, the worst first
+ * @param generatedMillis when the report was generated, in milliseconds since 1970
+ * @param answered the VMs whose counts are included
+ * @param silent the VMs whose counts could not be read
+ * @param uncounted the number of requests not counted by VMs that track too many request kinds
+ * @param coverage the coverage of each window
+ * @param courseCoverage the coverage of each step of {@link ReportTimeline}, 0 to 1, oldest first
+ * @param series the burn of each request kind, worst first
  */
 record BurnReport(
         long generatedMillis,
@@ -29,12 +29,12 @@
         series = List.copyOf(series);
     }
 
-    /** Returns how many request kinds got a verdict. */
+    /** Returns the number of request kinds with a verdict. */
     long count(Verdict verdict) {
         return series.stream().filter(burn -> burn.verdict() == verdict).count();
     }
 
-    /** Returns whether every VM answered and has counted for the longest window. */
+    /** Returns whether all VMs responded and cover the longest window. */
     boolean isComplete() {
         return silent.isEmpty()
                 && uncounted == 0
--- a/report/src/main/java/org/dahliapass/report/BurnWindow.java
+++ b/report/src/main/java/org/dahliapass/report/BurnWindow.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.time.Duration;
 
-/** A span of time up to now over which a burn rate is taken. */
+/** A time window up to the present over which a burn rate is computed. */
 enum BurnWindow {
-    /** Shows what happens right now; too short for an alarm. */
+    /** Shows the current state; too short for an alert. */
     ONE_MINUTE("1m", Duration.ofMinutes(1)),
-    /** Ends a fast alarm soon after its cause. */
+    /** Short window of the fast burn alert; clears it soon after recovery. */
     FIVE_MINUTES("5m", Duration.ofMinutes(5)),
-    /** Ends a slow alarm soon after its cause. */
+    /** Short window of the slow burn alert; clears it soon after recovery. */
     THIRTY_MINUTES("30m", Duration.ofMinutes(30)),
-    /** Keeps a short burst from raising a fast alarm. */
+    /** Long window of the fast burn alert; ignores short bursts of errors. */
     ONE_HOUR("1h", Duration.ofHours(1)),
-    /** Keeps a passing fault from raising a slow alarm. */
+    /** Long window of the slow burn alert; ignores transient faults. */
     SIX_HOURS("6h", Duration.ofHours(6));
 
     private final String mLabel;
@@ -24,7 +24,7 @@
         mLength = length;
     }
 
-    /** Returns how the window is written. */
+    /** Returns the label used in reports. */
     @JsonValue
     String label() {
         return mLabel;
--- a/report/src/main/java/org/dahliapass/report/DataGaps.java
+++ b/report/src/main/java/org/dahliapass/report/DataGaps.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Says in sentences what a report doesn't know. */
+/** Describes the data missing from a report. */
 final class DataGaps {
     private static final int MAX_LISTED_VMS = 20;
 
     private DataGaps() {}
 
-    /** Returns the sentences; none if the report knows all. */
+    /** Returns one sentence for each gap; empty if the data is complete. */
     static List<String> of(BurnReport report) {
         List<String> sentences = new ArrayList<>();
         report.silent().stream()
@@ -20,43 +20,49 @@
                                 vm.name()
                                         + " ("
                                         + vm.operators()
-                                        + ") didn't tell: "
+                                        + ") didn't respond: "
                                         + vm.reason()
                                         + ".")
                 .forEach(sentences::add);
         if (report.silent().size() > MAX_LISTED_VMS) {
-            sentences.add(report.silent().size() - MAX_LISTED_VMS + " more VMs didn't tell.");
+            sentences.add(report.silent().size() - MAX_LISTED_VMS + " more VMs didn't respond.");
         }
         addCoverage(report, sentences);
         if (report.uncounted() > 0) {
             sentences.add(
                     report.uncounted()
-                            + " requests weren't counted, as a VM's memory for kinds was full.");
+                            + " requests weren't counted; a VM tracks too many request kinds.");
         }
         return sentences;
     }
 
     private static void addCoverage(BurnReport report, List<String> sentences) {
-        String partly =
+        String partialWindows =
                 report.coverage().stream()
                         .filter(window -> window.share() < 1)
-                        .map(w -> w.window().label() + " " + ReportFormat.coverage(w.share()))
+                        .map(
+                                window ->
+                                        window.window().label()
+                                                + " "
+                                                + ReportFormat.coverage(window.share()))
                         .collect(Collectors.joining(", "));
-        if (partly.isEmpty()) {
+        if (partialWindows.isEmpty()) {
             return;
         }
         sentences.add(
-                "Known share of all VMs' time: " + partly + ". A service's own VMs may differ.");
-        long young =
+                "Share of all VMs' time covered: "
+                        + partialWindows
+                        + ". It may differ for single services.");
+        long newVms =
                 report.answered().stream()
                         .filter(vm -> vm.ageMillis() < BurnWindow.SIX_HOURS.millis())
                         .count();
-        if (young > 0) {
+        if (newVms > 0) {
             sentences.add(
-                    young
-                            + (young == 1 ? " VM is" : " VMs are")
-                            + " younger than 6h; what the VMs in their place counted before is"
-                            + " gone.");
+                    newVms
+                            + (newVms == 1 ? " VM is" : " VMs are")
+                            + " younger than 6h; counts of the VMs they replaced are"
+                            + " lost.");
         }
     }
 }
--- a/report/src/main/java/org/dahliapass/report/HtmlReport.java
+++ b/report/src/main/java/org/dahliapass/report/HtmlReport.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.dahliapass.model.burn.Outcome;
 
-/** Writes the report as one page that needs nothing else: no script, no other file, no network. */
+/** Formats the report as a self-contained HTML page without scripts or external resources. */
 final class HtmlReport {
     private static final int MAX_PLOTS = 40;
     private static final String STYLE =
@@ -55,7 +55,7 @@
     private String write() {
         mPage.append("<!doctype html>")
                 .append("<html lang='en'><head><meta charset='utf-8'>")
-                .append("<title>dahliapass burn report</title><style>")
+                .append("<title>dahliapass error budget burn report</title><style>")
                 .append(STYLE)
                 .append("</style></head><body>");
         writeHead();
@@ -67,7 +67,7 @@
 
     private void writeHead() {
         int vms = mReport.answered().size() + mReport.silent().size();
-        mPage.appendElement("h1", "", "Service-level burn");
+        mPage.appendElement("h1", "", "Error budget burn");
         mPage.appendElement(
                 "p",
                 "class='note'",
@@ -76,8 +76,8 @@
                         + mReport.answered().size()
                         + " of "
                         + vms
-                        + " VMs told what they know. Burn rate 1 spends the error budget just in"
-                        + " time.");
+                        + " VMs responded. A burn rate of 1 uses up exactly the error"
+                        + " budget.");
         mPage.append("<div class='tiles'>");
         for (Verdict verdict : Verdict.values()) {
             mPage.append(
@@ -88,30 +88,29 @@
         mPage.append("</div>");
     }
 
-    /** What wasn't seen may have been bad: a good verdict says so unless all is known. */
+    /** Marks a good verdict as provisional if data is missing, as uncounted requests may be bad. */
     private String tileLabel(Verdict verdict) {
-        boolean certain = verdict != Verdict.WITHIN_BUDGET || mReport.isComplete();
-        return certain ? verdict.label() : verdict.label() + ", as far as known";
+        boolean conclusive = verdict != Verdict.WITHIN_BUDGET || mReport.isComplete();
+        return conclusive ? verdict.label() : verdict.label() + ", based on partial data";
     }
 
     private void writeDataGaps() {
-        List<String> unknowns = DataGaps.of(mReport);
+        List<String> gaps = DataGaps.of(mReport);
         mPage.append("<div class='unknown'>");
-        if (unknowns.isEmpty()) {
-            mPage.appendElement(
-                    "b", "", "Every VM told, and each has counted for the whole 6 hours.");
+        if (gaps.isEmpty()) {
+            mPage.appendElement("b", "", "All VMs responded and cover the full 6 hours.");
         } else {
-            mPage.appendElement("b", "", "What this report doesn't know").append("<ul>");
-            unknowns.forEach(sentence -> mPage.appendElement("li", "", sentence));
+            mPage.appendElement("b", "", "Missing data").append("<ul>");
+            gaps.forEach(sentence -> mPage.appendElement("li", "", sentence));
             mPage.append("</ul>");
         }
         mPage.append("</div>");
     }
 
     private void writeTable() {
-        mPage.appendElement("h2", "", "Request kinds, the worst first");
+        mPage.appendElement("h2", "", "Request kinds, worst first");
         if (mReport.series().isEmpty()) {
-            mPage.appendElement("p", "", "No request was counted in the last 6 hours.");
+            mPage.appendElement("p", "", "No requests were counted in the last 6 hours.");
             return;
         }
         writeTableHead();
@@ -121,7 +120,7 @@
                 "p",
                 "class='note'",
                 "Fast burn: 5m and 1h both over 14.4. Slow burn: 30m and 6h both over 6. Over"
-                        + " budget: 6h over 1, without an alarm.");
+                        + " budget: 6h over 1, below the alert thresholds.");
     }
 
     private void writeTableHead() {
@@ -139,7 +138,7 @@
         mPage.appendElement("th", "", "Objective");
         Arrays.stream(BurnWindow.values())
                 .forEach(window -> mPage.appendElement("th", "", window.label()));
-        mPage.appendElement("th", "", "all").appendElement("th", "", "bad");
+        mPage.appendElement("th", "", "total").appendElement("th", "", "bad");
         OutcomeStyle.NOT_GOOD.forEach(
                 outcome -> mPage.appendElement("th", "", OutcomeStyle.label(outcome)));
         mPage.append("</tr></thead><tbody>");
@@ -166,11 +165,11 @@
 
     private void writeRate(WindowBurn burn) {
         double rate = burn.burnRate().orElse(0);
-        String shade = rate > Verdict.FAST_BURN_THRESHOLD ? "fast" : rate > 1 ? "over" : "";
+        String cssClass = rate > Verdict.FAST_BURN_THRESHOLD ? "fast" : rate > 1 ? "over" : "";
         if (rate > Verdict.SLOW_BURN_THRESHOLD && rate <= Verdict.FAST_BURN_THRESHOLD) {
-            shade = "slow";
+            cssClass = "slow";
         }
-        mPage.appendElement("td", "class='" + shade + "'", ReportFormat.rate(burn.burnRate()));
+        mPage.appendElement("td", "class='" + cssClass + "'", ReportFormat.rate(burn.burnRate()));
     }
 
     private void writePlots() {
@@ -179,9 +178,9 @@
         }
         mPage.appendElement("h2", "", "The last six hours");
         if (mReport.series().size() > MAX_PLOTS) {
-            String left = Integer.toString(mReport.series().size() - MAX_PLOTS);
+            String omitted = Integer.toString(mReport.series().size() - MAX_PLOTS);
             mPage.appendElement(
-                    "p", "class='note'", "The worst 40; " + left + " more in the table.");
+                    "p", "class='note'", "Worst 40 only; " + omitted + " more in the table.");
         }
         writeLegends();
         mPage.append("<div class='plots'>");
@@ -202,7 +201,7 @@
         mPage.append("</p><p class='legend'>Background: ");
         writeLegendEntry(
                 "#d3d5d8",
-                "not known, as VMs are silent or younger than this; the darker, the less is known");
+                "missing data, as VMs didn't respond or are newer; darker means less data");
         mPage.append("</p>");
     }
 
--- a/report/src/main/java/org/dahliapass/report/JsonReport.java
+++ b/report/src/main/java/org/dahliapass/report/JsonReport.java
@@ -11,7 +11,7 @@
 import java.util.OptionalDouble;
 import org.dahliapass.kernel.OperationException;
 
-/** Writes the report as JSON; a burn rate without requests is null. */
+/** Formats the report as JSON; the burn rate is null if there were no requests. */
 final class JsonReport {
     private static final ObjectMapper JSON =
             new ObjectMapper()
@@ -27,7 +27,7 @@
             return JSON.writeValueAsString(report) + "\n";
         } catch (JsonProcessingException failure) {
             throw new OperationException(
-                    "write JSON", "self", "This is a fault; report it.", failure);
+                    "write JSON", "self", "Unexpected internal error; please report it.", failure);
         }
     }
 
--- a/report/src/main/java/org/dahliapass/report/MarkupBuilder.java
+++ b/report/src/main/java/org/dahliapass/report/MarkupBuilder.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** Collects HTML and SVG text; everything that comes from outside goes through {@link #escape}. */
+/** A builder for HTML and SVG; external text must be escaped by {@link #escape}. */
 final class MarkupBuilder {
     private final StringBuilder mText = new StringBuilder();
 
-    /** Returns a text in which no character is read as markup. */
+    /** Returns the text with markup characters escaped. */
     static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
@@ -14,18 +14,18 @@
                 .replace("\"", "&quot;");
     }
 
-    /** Adds markup. */
+    /** Appends markup unescaped. */
     MarkupBuilder append(String markup) {
         mText.append(markup).append('\n');
         return this;
     }
 
-    /** Adds markup made by a format; numbers are written without regard to the locale. */
+    /** Appends formatted markup unescaped; numbers are formatted independently of the locale. */
     MarkupBuilder append(String format, Object... values) {
         return append(String.format(Locale.ROOT, format, values));
     }
 
-    /** Adds an element with a text. */
+    /** Appends an element with escaped text. */
     MarkupBuilder appendElement(String name, String attributes, String text) {
         String opening = attributes.isEmpty() ? name : name + " " + attributes;
         return append("<" + opening + ">" + escape(text) + "</" + name + ">");
--- a/report/src/main/java/org/dahliapass/report/Member.java
+++ b/report/src/main/java/org/dahliapass/report/Member.java
@@ -4,30 +4,30 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * A VM as another VM lists it.
+ * An entry of a VM's member list.
  *
- * @param name its name
- * @param incarnation its incarnation in base 36
- * @param operators where operators reach it
- * @param state its state in the membership, in lower case
+ * @param name the VM's name
+ * @param incarnation the VM's incarnation in base 36
+ * @param operators the VM's operators' address
+ * @param state the VM's membership state, in lower case
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record Member(String name, String incarnation, String operators, String state) {
     private static final String DEAD = "dead";
 
-    /** Returns whether it says enough to be asked. */
+    /** Returns whether the name and the operators' address are present. */
     boolean hasNameAndAddress() {
         return name != null && operators != null;
     }
 
-    /** Returns whether it may still answer. */
+    /** Returns whether the VM is not known to be dead. */
     boolean isQueryable() {
         return !DEAD.equals(state);
     }
 
-    /** Returns the later life of a VM; of two lists' words on one life, any will do. */
-    static Member newer(Member one, Member other) {
-        return one.incarnationNumber() >= other.incarnationNumber() ? one : other;
+    /** Returns the entry with the higher incarnation; the first if they are equal. */
+    static Member newer(Member first, Member second) {
+        return first.incarnationNumber() >= second.incarnationNumber() ? first : second;
     }
 
     private long incarnationNumber() {
--- a/report/src/main/java/org/dahliapass/report/OutcomeStyle.java
+++ b/report/src/main/java/org/dahliapass/report/OutcomeStyle.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import org.dahliapass.model.burn.Outcome;
 
-/** How the outcomes other than good are written and coloured. */
+/** The labels and colours of request outcomes. */
 final class OutcomeStyle {
-    /** The outcomes other than good, in the order in which plots stack them. */
+    /** The outcomes other than good, in stacking order of the plots. */
     static final List<Outcome> NOT_GOOD =
             List.of(Outcome.FAILED, Outcome.CUT, Outcome.UNKNOWN, Outcome.REFUSED, Outcome.LATE);
 
--- a/report/src/main/java/org/dahliapass/report/OutcomeTally.java
+++ b/report/src/main/java/org/dahliapass/report/OutcomeTally.java
@@ -6,15 +6,15 @@
 import org.dahliapass.model.burn.Outcome;
 
 /**
- * How many requests ended in which way. A span of a VM that lies only partly in a window counts by
- * the part, so that the counts need not be whole.
+ * Counts of requests by outcome. Counts may be fractional, since a bucket that overlaps a window
+ * only partly is prorated.
  *
- * @param good whole and in time
- * @param failed with an error of the target's
- * @param refused told that they were not run
- * @param unknown told that nobody knows whether they ran
- * @param late begun too late
- * @param cut with a body that ended early
+ * @param good completed in time
+ * @param failed failed with an error of the target
+ * @param refused reported as not executed
+ * @param unknown reported as possibly executed
+ * @param late started too late
+ * @param cut ended with a truncated body
  * @param bad counted against the objective
  */
 record OutcomeTally(
@@ -27,16 +27,16 @@
         double bad) {
     static final OutcomeTally EMPTY = new OutcomeTally(0, 0, 0, 0, 0, 0, 0);
 
-    /** Returns a part of a VM's span. */
-    static OutcomeTally of(ErrorBudgetBucket bucket, double part) {
+    /** Returns the counts of a bucket, scaled by a fraction from 0 to 1. */
+    static OutcomeTally of(ErrorBudgetBucket bucket, double fraction) {
         return new OutcomeTally(
-                bucket.good() * part,
-                bucket.failed() * part,
-                bucket.refused() * part,
-                bucket.unknown() * part,
-                bucket.late() * part,
-                bucket.cut() * part,
-                bucket.bad() * part);
+                bucket.good() * fraction,
+                bucket.failed() * fraction,
+                bucket.refused() * fraction,
+                bucket.unknown() * fraction,
+                bucket.late() * fraction,
+                bucket.cut() * fraction,
+                bucket.bad() * fraction);
     }
 
     OutcomeTally plus(OutcomeTally other) {
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns how many times faster than allowed the error budget is spent: 1 spends all of it just
-     * in time. Empty if there was no request, as nothing is known then.
+     * Returns the burn rate, the bad share of requests divided by the share that the objective
+     * allows. Empty if there were no requests.
      */
     OptionalDouble burnRate(double objective) {
         if (total() <= 0) {
--- a/report/src/main/java/org/dahliapass/report/ReportFormat.java
+++ b/report/src/main/java/org/dahliapass/report/ReportFormat.java
@@ -6,14 +6,14 @@
 import java.util.Locale;
 import java.util.OptionalDouble;
 
-/** Writes figures the way that all forms of the report show them. */
+/** Formats numbers and times uniformly in all output formats of the report. */
 final class ReportFormat {
     private static final double MIN_WHOLE_RATE = 10;
     private static final double PERCENT = 100;
 
     private ReportFormat() {}
 
-    /** Returns a burn rate with one decimal if it is small; a dash without requests. */
+    /** Returns a burn rate, with one decimal below 10; a dash if there were no requests. */
     static String rate(OptionalDouble rate) {
         if (rate.isEmpty()) {
             return "-";
@@ -25,23 +25,23 @@
         return String.format(Locale.ROOT, value < MIN_WHOLE_RATE ? "%.1f" : "%.0f", value);
     }
 
-    /** Returns a share as a percentage without needless zeros. */
+    /** Returns a share as a percentage without trailing zeros. */
     static String percentage(double share) {
         String text = String.format(Locale.ROOT, "%.4f", share * PERCENT);
         return text.replaceAll("0+$", "").replaceAll("\\.$", "") + "%";
     }
 
-    /** Returns a share as a whole percentage that is 100% only if nothing is missing. */
+    /** Returns a share as a whole percentage, rounded down. */
     static String coverage(double share) {
         return (int) Math.floor(share * PERCENT) + "%";
     }
 
-    /** Returns a count, which may be prorated, as a whole number; a trace of one counts as one. */
+    /** Returns a prorated count as a whole number; counts between 0 and 1 are rounded up. */
     static String count(double count) {
         return Long.toString(roundCount(count));
     }
 
-    /** Returns a count like {@link #count} with its thousands set apart. */
+    /** Returns a count like {@link #count}, with thousands separators. */
     static String groupedCount(double count) {
         return String.format(Locale.ROOT, "%,d", roundCount(count));
     }
@@ -50,12 +50,12 @@
         return count > 0 && count < 1 ? 1 : Math.round(count);
     }
 
-    /** Returns a time in UTC to the second. */
+    /** Returns a time in UTC, truncated to seconds. */
     static String time(long millis) {
         return Instant.ofEpochMilli(millis).truncatedTo(ChronoUnit.SECONDS).toString();
     }
 
-    /** Returns how long something lasts, such as 2h 5m or 40s. */
+    /** Returns a duration such as 2h 5m or 40s. */
     static String duration(long millis) {
         Duration duration = Duration.ofMillis(millis);
         if (duration.toHours() > 0) {
--- a/report/src/main/java/org/dahliapass/report/ReportMain.java
+++ b/report/src/main/java/org/dahliapass/report/ReportMain.java
@@ -21,7 +21,7 @@
 import org.dahliapass.kernel.SettingsProblem;
 import org.dahliapass.model.Endpoint;
 
-/** Prints the report on service-level burn, collected from all VMs of the fleet. */
+/** Prints the error budget burn report, collected from all VMs of the fleet. */
 public final class ReportMain extends Program {
     private static final String VM = "vm";
     private static final String CUSTOMER = "customer";
@@ -34,11 +34,11 @@
     private final PrintStream mOutput;
     private final Clock mClock;
 
-    /** Creates the program with what it prints to and the clock that dates the report. */
+    /** Creates the program with its output and the clock for the time of the report. */
     public ReportMain(PrintStream output, Clock clock) {
         super(
                 "dahliapass-report",
-                "Prints how fast each customer's request kinds spend their error budgets, collected"
+                "Prints the error budget burn rates of each customer's request kinds, collected"
                         + " from all VMs.");
         mOutput = output;
         mClock = clock;
@@ -55,9 +55,10 @@
         parser.accepts(VM, "Operators' address of any VM, HOST:PORT; may be given several times.")
                 .withRequiredArg();
         parser.accepts(CUSTOMER, "Report on this customer only.").withRequiredArg();
-        parser.accepts(JSON, "Print JSON in place of text.");
-        parser.accepts(HTML, "Write a page with plots to this file as well.").withRequiredArg();
-        parser.accepts(TIMEOUT, "Seconds that each VM may take to answer.")
+        parser.accepts(JSON, "Print JSON instead of text.");
+        parser.accepts(HTML, "Also write an HTML report with plots to this file.")
+                .withRequiredArg();
+        parser.accepts(TIMEOUT, "Response timeout for each VM, in seconds.")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(DEFAULT_TIMEOUT_SECONDS);
@@ -109,8 +110,8 @@
         return NAME.matcher(text).matches();
     }
 
-    private static SettingsProblem problem(String option, String met, String allowed) {
-        return new SettingsProblem("command line", "", option, met, allowed);
+    private static SettingsProblem problem(String option, String actual, String expected) {
+        return new SettingsProblem("command line", "", option, actual, expected);
     }
 
     private BurnReport collect(OptionSet options) throws InterruptedException {
@@ -122,7 +123,10 @@
             return burn.toReport(mClock.millis());
         } catch (ExecutionException failure) {
             throw new OperationException(
-                    "collect", "the fleet", "This is a fault; report it.", failure.getCause());
+                    "collect",
+                    "the fleet",
+                    "Unexpected internal error; please report it.",
+                    failure.getCause());
         }
     }
 
@@ -131,7 +135,10 @@
             Files.writeString(Path.of(file), page);
         } catch (IOException failure) {
             throw new OperationException(
-                    "write the page", file, "It can't be written. Name another file.", failure);
+                    "write HTML report",
+                    file,
+                    "Cannot write the file; choose another path.",
+                    failure);
         }
     }
 }
--- a/report/src/main/java/org/dahliapass/report/ReportTimeline.java
+++ b/report/src/main/java/org/dahliapass/report/ReportTimeline.java
@@ -2,22 +2,20 @@
 
 import java.time.Duration;
 
-/** The steps of time into which the plots divide the last six hours, by age. */
+/** The time steps of the plots over the last six hours, oldest first. */
 final class ReportTimeline {
-    /** The length of a step. */
     static final long STEP_MILLIS = Duration.ofMinutes(5).toMillis();
 
-    /** The number of steps. */
     static final int STEP_COUNT = (int) (BurnWindow.SIX_HOURS.millis() / STEP_MILLIS);
 
     private ReportTimeline() {}
 
-    /** Returns the age at which a step begins; step 0 is the oldest. */
+    /** Returns the age of a step's start, in milliseconds; step 0 is the oldest. */
     static long maxAgeMillis(int step) {
         return (STEP_COUNT - step) * STEP_MILLIS;
     }
 
-    /** Returns the age at which a step ends. */
+    /** Returns the age of a step's end, in milliseconds. */
     static long minAgeMillis(int step) {
         return maxAgeMillis(step) - STEP_MILLIS;
     }
--- a/report/src/main/java/org/dahliapass/report/RespondingVm.java
+++ b/report/src/main/java/org/dahliapass/report/RespondingVm.java
@@ -1,9 +1,9 @@
 package org.dahliapass.report;
 
 /**
- * A VM that told what it knows.
+ * A VM whose counts are included in the report.
  *
- * @param vm its identity
- * @param ageMillis how long it has been counting
+ * @param vm the VM's identity
+ * @param ageMillis how long the VM has been counting, in milliseconds
  */
 record RespondingVm(String vm, long ageMillis) {}
--- a/report/src/main/java/org/dahliapass/report/SeriesAggregator.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesAggregator.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.dahliapass.model.burn.ErrorBudgetBucket;
 
-/** Adds up what all VMs tell of one request kind. */
+/** Aggregates the counts of one request kind over all VMs. */
 final class SeriesAggregator {
     private final Map<BurnWindow, OutcomeTally> mWindows = new EnumMap<>(BurnWindow.class);
     private final List<OutcomeTally> mTimeline =
@@ -16,36 +16,36 @@
     private long mObjectiveAge = Long.MAX_VALUE;
     private double mObjective;
 
-    /** Adds one VM's span. */
-    void add(ErrorBudgetBucket bucket, AgeRange span) {
-        updateObjective(bucket, span);
+    /** Adds a bucket of one VM. */
+    void add(ErrorBudgetBucket bucket, AgeRange range) {
+        updateObjective(bucket, range);
         for (BurnWindow window : BurnWindow.values()) {
-            double part = span.fractionWithin(new AgeRange(0, window.millis()));
-            if (part > 0) {
-                mWindows.merge(window, OutcomeTally.of(bucket, part), OutcomeTally::plus);
+            double fraction = range.fractionWithin(new AgeRange(0, window.millis()));
+            if (fraction > 0) {
+                mWindows.merge(window, OutcomeTally.of(bucket, fraction), OutcomeTally::plus);
             }
         }
         for (int step = 0; step < ReportTimeline.STEP_COUNT; step++) {
-            double part =
-                    span.fractionWithin(
+            double fraction =
+                    range.fractionWithin(
                             new AgeRange(
                                     ReportTimeline.minAgeMillis(step),
                                     ReportTimeline.maxAgeMillis(step)));
-            if (part > 0) {
-                mTimeline.set(step, mTimeline.get(step).plus(OutcomeTally.of(bucket, part)));
+            if (fraction > 0) {
+                mTimeline.set(step, mTimeline.get(step).plus(OutcomeTally.of(bucket, fraction)));
             }
         }
     }
 
-    /** VMs may hold two revisions of a template for some seconds; the newest span's word holds. */
-    private void updateObjective(ErrorBudgetBucket bucket, AgeRange span) {
-        if (span.maxAgeMillis() < mObjectiveAge) {
-            mObjectiveAge = span.maxAgeMillis();
+    /** Keeps the newest bucket's objective, as VMs may briefly use different template revisions. */
+    private void updateObjective(ErrorBudgetBucket bucket, AgeRange range) {
+        if (range.maxAgeMillis() < mObjectiveAge) {
+            mObjectiveAge = range.maxAgeMillis();
             mObjective = bucket.objective();
         }
     }
 
-    /** Returns the burn so far. */
+    /** Returns the burn of all buckets added. */
     SeriesBurn toSeriesBurn(String customer, String service, String kind) {
         List<WindowBurn> burns = Arrays.stream(BurnWindow.values()).map(this::windowBurn).toList();
         WindowBurns windows = new WindowBurns(burns);
--- a/report/src/main/java/org/dahliapass/report/SeriesBurn.java
+++ b/report/src/main/java/org/dahliapass/report/SeriesBurn.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * The burn of one request kind of one customer in the whole fleet.
+ * The error budget burn of one request kind of one customer in the whole fleet.
  *
- * @param customer the customer that asked
- * @param service the service's name in that customer's template
+ * @param customer the customer that sent the requests
+ * @param service the service's name in the customer's template
  * @param kind the request kind's name
- * @param objective the share of requests that shall be good
- * @param verdict what the burn rates mean
+ * @param objective the target share of good requests, 0 to 1
+ * @param verdict the assessment of the burn rates
  * @param windows the burn over each window
- * @param course how requests ended in each step of {@link ReportTimeline}, oldest first
+ * @param course the outcomes in each step of {@link ReportTimeline}, oldest first
  */
 record SeriesBurn(
         String customer,
@@ -22,7 +22,7 @@
         Verdict verdict,
         WindowBurns windows,
         List<OutcomeTally> course) {
-    /** The worst first: by verdict, then by the burn of the last hour. */
+    /** Orders by verdict, worst first, then by descending burn rate of the last hour. */
     static final Comparator<SeriesBurn> WORST_FIRST =
             Comparator.comparing(SeriesBurn::verdict)
                     .thenComparing(
@@ -33,7 +33,7 @@
         course = List.copyOf(course);
     }
 
-    /** Returns the names of customer, service and kind in one text. */
+    /** Returns the names of customer, service and kind, separated by slashes. */
     String qualifiedName() {
         return customer + " / " + service + " / " + kind;
     }
--- a/report/src/main/java/org/dahliapass/report/TextReport.java
+++ b/report/src/main/java/org/dahliapass/report/TextReport.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.dahliapass.model.burn.Outcome;
 
-/** Writes the report as a table for a terminal. */
+/** Formats the report as a plain-text table. */
 final class TextReport {
     private static final String COLUMN_SEPARATOR = "  ";
 
@@ -18,7 +18,7 @@
         int vms = report.answered().size() + report.silent().size();
         lines.add(
                 String.format(
-                        "Burn report of %s: %d of %d VMs told what they know.",
+                        "Burn report of %s: %d of %d VMs responded.",
                         ReportFormat.time(report.generatedMillis()),
                         report.answered().size(),
                         vms));
@@ -26,30 +26,30 @@
         addTable(report, lines);
         lines.add("");
         lines.add(
-                "Burn rate 1 spends the error budget just in time. Fast burn: 5m and 1h over 14.4."
-                        + " Slow burn: 30m and 6h over 6.");
+                "A burn rate of 1 uses up exactly the error budget. Fast burn: 5m and 1h over"
+                        + " 14.4. Slow burn: 30m and 6h over 6.");
         addDataGaps(report, lines);
         return String.join("\n", lines) + "\n";
     }
 
     private static void addTable(BurnReport report, List<String> lines) {
         if (report.series().isEmpty()) {
-            lines.add("No request was counted in the last 6 hours.");
+            lines.add("No requests were counted in the last 6 hours.");
             return;
         }
         List<List<String>> rows = new ArrayList<>();
-        rows.add(heading());
+        rows.add(headerRow());
         report.series().forEach(burn -> rows.add(row(burn)));
         int[] widths = widths(rows);
         rows.forEach(row -> lines.add(line(row, widths)));
     }
 
-    private static List<String> heading() {
+    private static List<String> headerRow() {
         List<String> cells = new ArrayList<>(List.of("VERDICT", "CUSTOMER/SERVICE/KIND"));
         cells.add("OBJECTIVE");
         Arrays.stream(BurnWindow.values()).map(BurnWindow::label).forEach(cells::add);
-        cells.add("BAD/ALL 6h");
-        cells.add("HOW THE 6h ENDED");
+        cells.add("BAD/TOTAL 6h");
+        cells.add("OUTCOMES 6h");
         return cells;
     }
 
@@ -65,7 +65,7 @@
         return cells;
     }
 
-    /** Returns the outcomes other than good that were met, such as 3 refused, 1 cut. */
+    /** Returns the counts of outcomes other than good, such as 3 refused, 1 cut. */
     private static String outcomeCounts(OutcomeTally tally) {
         return Arrays.stream(Outcome.values())
                 .filter(outcome -> outcome != Outcome.GOOD && tally.count(outcome) > 0)
@@ -81,14 +81,14 @@
     }
 
     private static void addDataGaps(BurnReport report, List<String> lines) {
-        List<String> unknowns = DataGaps.of(report);
+        List<String> gaps = DataGaps.of(report);
         lines.add("");
-        if (unknowns.isEmpty()) {
-            lines.add("Every VM told, and each has counted for the whole 6 hours.");
+        if (gaps.isEmpty()) {
+            lines.add("All VMs responded and cover the full 6 hours.");
             return;
         }
-        lines.add("What this report doesn't know:");
-        unknowns.forEach(sentence -> lines.add(COLUMN_SEPARATOR + sentence));
+        lines.add("Missing data:");
+        gaps.forEach(sentence -> lines.add(COLUMN_SEPARATOR + sentence));
     }
 
     private static int[] widths(List<List<String>> rows) {
--- a/report/src/main/java/org/dahliapass/report/TimelinePlot.java
+++ b/report/src/main/java/org/dahliapass/report/TimelinePlot.java
@@ -4,8 +4,8 @@
 import org.dahliapass.model.burn.Outcome;
 
 /**
- * Draws the last six hours of one request kind: the burn rate of each step above, and below it how
- * the bad requests ended. Grey marks what isn't known.
+ * Draws the last six hours of one request kind as SVG: burn rates above, outcomes other than good
+ * below. A grey background marks missing data.
  */
 final class TimelinePlot {
     private static final int WIDTH = 560;
@@ -39,7 +39,7 @@
     /**
      * Returns the plot as SVG.
      *
-     * @param coverage how much of each step is known
+     * @param coverage the fraction of all VMs' time that was counted in each step, 0 to 1
      */
     static String of(SeriesBurn burn, List<Double> coverage) {
         return new TimelinePlot(burn, coverage).draw();
@@ -50,7 +50,7 @@
                 "<svg viewBox='0 0 %d %d' role='img' aria-label='%s'>",
                 WIDTH, HEIGHT, MarkupBuilder.escape("Last six hours of " + mBurn.qualifiedName()));
         drawText(0, TOP - 14, "start", "burn rate");
-        drawText(0, OUTCOMES_TOP - 12, "start", "requests that weren't good, in 5 minutes");
+        drawText(0, OUTCOMES_TOP - 12, "start", "requests other than good, per 5 minutes");
         drawDataGaps();
         drawRateAxis();
         drawRates();
@@ -63,12 +63,12 @@
 
     private void drawDataGaps() {
         for (int step = 0; step < ReportTimeline.STEP_COUNT; step++) {
-            double unknown = 1 - mCoverage.get(step);
-            if (unknown <= 0) {
+            double missing = 1 - mCoverage.get(step);
+            if (missing <= 0) {
                 continue;
             }
             String opacity =
-                    "fill='#9aa0a6' fill-opacity='" + Math.round(unknown * 45) / 100.0 + "'";
+                    "fill='#9aa0a6' fill-opacity='" + Math.round(missing * 45) / 100.0 + "'";
             drawBar(x(step), TOP, STEP_WIDTH, RATE_BOTTOM - TOP, opacity);
             drawBar(x(step), OUTCOMES_TOP, STEP_WIDTH, OUTCOMES_BOTTOM - OUTCOMES_TOP, opacity);
         }
@@ -103,18 +103,18 @@
     }
 
     private void drawOutcomes() {
-        double most =
+        double maxCount =
                 mBurn.course().stream().mapToDouble(TimelinePlot::notGoodCount).max().orElse(0);
         drawLine(LEFT, OUTCOMES_BOTTOM, RIGHT, OUTCOMES_BOTTOM, "class='grid'");
         drawText(LEFT - 5, OUTCOMES_BOTTOM + 3.5, "end", "0");
-        if (most <= 0) {
+        if (maxCount <= 0) {
             drawText((LEFT + RIGHT) / 2, (OUTCOMES_TOP + OUTCOMES_BOTTOM) / 2, "middle", "none");
             return;
         }
         drawLine(LEFT, OUTCOMES_TOP, RIGHT, OUTCOMES_TOP, "class='grid'");
-        drawText(LEFT - 5, OUTCOMES_TOP + 6, "end", ReportFormat.count(most));
+        drawText(LEFT - 5, OUTCOMES_TOP + 6, "end", ReportFormat.count(maxCount));
         for (int step = 0; step < ReportTimeline.STEP_COUNT; step++) {
-            drawOutcomeBar(step, (OUTCOMES_BOTTOM - OUTCOMES_TOP) / most);
+            drawOutcomeBar(step, (OUTCOMES_BOTTOM - OUTCOMES_TOP) / maxCount);
         }
     }
 
@@ -143,7 +143,7 @@
         return tally.total() - tally.good();
     }
 
-    /** Returns the colour of a bar that shows this burn rate. */
+    /** Returns the bar colour for a burn rate. */
     static String rateColour(double rate) {
         if (rate > Verdict.FAST_BURN_THRESHOLD) {
             return "#b3261e";
@@ -158,7 +158,7 @@
         return LEFT + step * STEP_WIDTH;
     }
 
-    /** Places a rate on a scale that is near linear below 1 and logarithmic above. */
+    /** Returns the y coordinate of a rate on a log(1 + rate) scale. */
     private double y(double rate) {
         double share = Math.log1p(rate) / Math.log1p(mMaxRate);
         return RATE_BOTTOM - share * (RATE_BOTTOM - TOP);
--- a/report/src/main/java/org/dahliapass/report/UnresponsiveVm.java
+++ b/report/src/main/java/org/dahliapass/report/UnresponsiveVm.java
@@ -1,10 +1,10 @@
 package org.dahliapass.report;
 
 /**
- * A VM that told nothing.
+ * A VM whose counts could not be read.
  *
- * @param name its name, or its address if the name isn't known
- * @param operators the operators' address that was asked
- * @param reason why it told nothing
+ * @param name the VM's name, or its address if the name is unknown
+ * @param operators the operators' address to which the request was sent
+ * @param reason why the request failed
  */
 record UnresponsiveVm(String name, String operators, String reason) {}
--- a/report/src/main/java/org/dahliapass/report/Verdict.java
+++ b/report/src/main/java/org/dahliapass/report/Verdict.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Arrays;
 
-/** What the burn rates of one request kind mean. Declared from the worst to the best. */
+/** Assesses the burn rates of one request kind; declared from worst to best. */
 enum Verdict {
-    /** The budget of a month would be gone in two days: a person should look now. */
+    /** A 30-day budget is consumed in about two days; requires immediate attention. */
     FAST_BURN("fast burn") {
         @Override
         boolean matches(WindowBurns burns) {
@@ -13,7 +13,7 @@
                     && burns.exceeds(BurnWindow.ONE_HOUR, FAST_BURN_THRESHOLD);
         }
     },
-    /** The budget of a month would be gone in five days: a person should look today. */
+    /** A 30-day budget is consumed in about five days; requires attention the same day. */
     SLOW_BURN("slow burn") {
         @Override
         boolean matches(WindowBurns burns) {
@@ -21,21 +21,21 @@
                     && burns.exceeds(BurnWindow.SIX_HOURS, SLOW_BURN_THRESHOLD);
         }
     },
-    /** More was spent in six hours than the objective allows, but too little for an alarm. */
+    /** The budget of the last six hours is exceeded, but no alert condition is met. */
     OVER_BUDGET("over budget") {
         @Override
         boolean matches(WindowBurns burns) {
             return burns.exceeds(BurnWindow.SIX_HOURS, 1);
         }
     },
-    /** The objective was kept over six hours. */
+    /** The objective was met over the last six hours. */
     WITHIN_BUDGET("within budget") {
         @Override
         boolean matches(WindowBurns burns) {
             return burns.of(BurnWindow.SIX_HOURS).burnRate().isPresent();
         }
     },
-    /** There was no request, so nothing can be said. */
+    /** No requests were counted in the last six hours. */
     NO_REQUESTS("no requests") {
         @Override
         boolean matches(WindowBurns burns) {
@@ -43,10 +43,10 @@
         }
     };
 
-    /** Burn rate that raises the fast alarm: 2% of a 30-day budget in an hour. */
+    /** Alert threshold for a fast burn: 2% of a 30-day budget in one hour. */
     static final double FAST_BURN_THRESHOLD = 14.4;
 
-    /** Burn rate that raises the slow alarm: 5% of a 30-day budget in six hours. */
+    /** Alert threshold for a slow burn: 5% of a 30-day budget in six hours. */
     static final double SLOW_BURN_THRESHOLD = 6;
 
     private final String mLabel;
@@ -55,7 +55,7 @@
         mLabel = label;
     }
 
-    /** Returns the worst verdict that applies. */
+    /** Returns the worst verdict that matches the burn rates. */
     static Verdict of(WindowBurns burns) {
         return Arrays.stream(values())
                 .filter(verdict -> verdict.matches(burns))
@@ -63,7 +63,7 @@
                 .orElse(NO_REQUESTS);
     }
 
-    /** Returns how the verdict is written. */
+    /** Returns the label used in reports. */
     @JsonValue
     String label() {
         return mLabel;
--- a/report/src/main/java/org/dahliapass/report/WindowBurn.java
+++ b/report/src/main/java/org/dahliapass/report/WindowBurn.java
@@ -3,10 +3,11 @@
 import java.util.OptionalDouble;
 
 /**
- * The burn of one request kind over one window.
+ * The error budget burn of one request kind over one window.
  *
  * @param window the window
- * @param tally how the requests ended
- * @param burnRate how many times faster than allowed the budget was spent; empty without requests
+ * @param tally the outcomes of the requests
+ * @param burnRate the burn rate, 1 if the budget is used up exactly; empty if there were no
+ *     requests
  */
 record WindowBurn(BurnWindow window, OutcomeTally tally, OptionalDouble burnRate) {}
--- a/report/src/main/java/org/dahliapass/report/WindowBurns.java
+++ b/report/src/main/java/org/dahliapass/report/WindowBurns.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The burn of one request kind over all windows.
+ * The error budget burn of one request kind over all windows.
  *
- * @param windows one for each {@link BurnWindow}, shortest first
+ * @param windows the burn in each {@link BurnWindow}, shortest window first
  */
 record WindowBurns(@JsonValue List<WindowBurn> windows) {
     WindowBurns {
@@ -17,7 +17,7 @@
         return windows.stream().filter(burn -> burn.window() == window).findFirst().orElseThrow();
     }
 
-    boolean exceeds(BurnWindow window, double limit) {
-        return of(window).burnRate().orElse(0) > limit;
+    boolean exceeds(BurnWindow window, double threshold) {
+        return of(window).burnRate().orElse(0) > threshold;
     }
 }
--- a/report/src/main/java/org/dahliapass/report/WindowCoverage.java
+++ b/report/src/main/java/org/dahliapass/report/WindowCoverage.java
@@ -1,9 +1,9 @@
 package org.dahliapass.report;
 
 /**
- * How much of a window is known.
+ * The coverage of a window by the VMs' counts.
  *
  * @param window the window
- * @param share the part of the VMs' time in it that is known, 0 to 1
+ * @param share the fraction of all VMs' time in the window that was counted, 0 to 1
  */
 record WindowCoverage(BurnWindow window, double share) {}
--- a/report/src/main/java/org/dahliapass/report/package-info.java
+++ b/report/src/main/java/org/dahliapass/report/package-info.java
@@ -1,2 +1,2 @@
-/** The report on service-level burn: collects from all VMs and prints text, JSON or a page. */
+/** The error budget burn report: collects from all VMs and prints text, JSON or HTML. */
 package org.dahliapass.report;
--- a/report/src/test/java/org/dahliapass/report/BurnAggregatorTest.java
+++ b/report/src/test/java/org/dahliapass/report/BurnAggregatorTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests {@link BurnAggregator} and the {@link TargetAssessment} on what it adds up. */
+/** Tests {@link BurnAggregator} and the {@link Verdict} on the aggregated counts. */
 public final class BurnAggregatorTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final long MINUTE = 60_000;
@@ -27,7 +27,9 @@
         mAggregator = new BurnAggregator(customer -> true);
     }
 
-    /** Gives bad requests of 100 in each minute, how many minutes ago they ended, the verdict. */
+    /**
+     * Returns bad requests of 100 per minute, the start and end in minutes ago, and the verdict.
+     */
     @DataProvider
     public Object[][] burnPeriods() {
         return new Object[][] {
@@ -42,15 +44,15 @@
         };
     }
 
-    @Test(dataProvider = "courses")
+    @Test(dataProvider = "burnPeriods")
     public void verdictRequiresShortAndLongWindow(
             int badInMinute, int fromMinutesAgo, int toMinutesAgo, Verdict verdict) {
-        OutcomeHistory ledger = new OutcomeHistory(1);
+        OutcomeHistory history = new OutcomeHistory(1);
         for (int ago = 360; ago > 0; ago--) {
             boolean burning = ago <= fromMinutesAgo && ago > toMinutesAgo;
             for (int request = 0; request < 100; request++) {
                 boolean bad = burning && request < badInMinute;
-                ledger.record(
+                history.record(
                         "himal",
                         "desk",
                         "lock",
@@ -60,7 +62,7 @@
             }
         }
         mAggregator.add(
-                new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, ledger.buckets(NOW)));
+                new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, history.buckets(NOW)));
 
         assertEquals(mAggregator.toReport(NOW).series().get(0).verdict(), verdict);
     }
@@ -106,13 +108,12 @@
                 DELTA);
     }
 
-    // All VMs were replaced half an hour ago and keep nothing. The new ones know of no failure
-    // before. The report must say that it knows little of the long windows, not that all was well.
+    // Time without counts must be reported as missing data, not as time without failures.
     @Test
     public void newAndUnresponsiveVmsReduceCoverage() {
         mAggregator.add(new ErrorBudgetSnapshot("a~1", NOW - 7 * HOUR, NOW, 0, List.of()));
         mAggregator.add(new ErrorBudgetSnapshot("b~1", NOW - 30 * MINUTE, NOW, 3, List.of()));
-        mAggregator.addUnresponsive(new UnresponsiveVm("c", "10.0.0.3:9", "no connection"));
+        mAggregator.addUnresponsive(new UnresponsiveVm("c", "10.0.0.3:9", "could not connect"));
 
         BurnReport report = mAggregator.toReport(NOW);
 
@@ -134,11 +135,11 @@
 
     @Test
     public void objectiveComesFromNewestBucket() {
-        ErrorBudgetBucket old =
+        ErrorBudgetBucket older =
                 new ErrorBudgetBucket(
                         "himal", "desk", "lock", 0.9, NOW - HOUR, 10_000, 1, 0, 0, 0, 0, 0, 0);
         mAggregator.add(snapshot("a~1", NOW, bucket(NOW - MINUTE, 10_000, 1, 0)));
-        mAggregator.add(snapshot("b~1", NOW, old));
+        mAggregator.add(snapshot("b~1", NOW, older));
 
         assertEquals(mAggregator.toReport(NOW).series().get(0).objective(), 0.99);
     }
--- a/report/src/test/java/org/dahliapass/report/ReportMainTest.java
+++ b/report/src/test/java/org/dahliapass/report/ReportMainTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests {@link ReportMain} against a VM's operators' address on loopback. */
+/** Tests {@link ReportMain} against an HTTP server on loopback. */
 public final class ReportMainTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -75,7 +75,7 @@
     @Test
     public void textReportListsKindAndOutcomes() {
         assertEquals(run("--vm", mAddress), ExitCode.OK);
-        assertTrue(output().contains("1 of 1 VMs told"), output());
+        assertTrue(output().contains("1 of 1 VMs responded"), output());
         assertTrue(output().contains("himal/desk/lo<ck"), output());
         assertTrue(output().contains("2/4"), output());
         assertTrue(output().contains("1 failed, 1 refused"), output());
@@ -100,9 +100,11 @@
             String page = Files.readString(file);
 
             assertTrue(page.contains("<svg"));
-            assertTrue(page.contains("lo&lt;ck"), "the kind's name must be escaped");
-            assertFalse(page.contains("lo<ck"), "the kind's name must be escaped");
-            assertFalse(page.matches("(?s).*(src=|href=|<script|url\\().*"), "nothing is loaded");
+            assertTrue(page.contains("lo&lt;ck"), "request kind must be escaped");
+            assertFalse(page.contains("lo<ck"), "request kind must be escaped");
+            assertFalse(
+                    page.matches("(?s).*(src=|href=|<script|url\\().*"),
+                    "page must not load resources");
         } finally {
             Files.delete(file);
         }
@@ -115,8 +117,7 @@
         assertFalse(output().contains("himal"), output());
     }
 
-    // A VM has died and another hangs half alive: its list is good but its counts are not. The
-    // report must still come, and name both with the reason.
+    // Unreachable VMs must not prevent the report; they are listed with the reason.
     @Test
     public void unresponsiveVmsAreListedAndOthersReported() {
         mMembers =
@@ -129,10 +130,11 @@
                         + "]";
 
         assertEquals(run("--vm", "127.0.0.1:3", "--vm", mAddress), ExitCode.OK);
-        assertTrue(output().contains("1 of 3 VMs told"), output());
-        assertTrue(output().contains("b (127.0.0.1:1) didn't tell: no connection."), output());
-        assertTrue(output().contains("127.0.0.1:3 (127.0.0.1:3) didn't tell"), output());
-        assertFalse(output().contains("127.0.0.1:2"), "the dead VM isn't asked: " + output());
+        assertTrue(output().contains("1 of 3 VMs responded"), output());
+        assertTrue(
+                output().contains("b (127.0.0.1:1) didn't respond: could not connect."), output());
+        assertTrue(output().contains("127.0.0.1:3 (127.0.0.1:3) didn't respond"), output());
+        assertFalse(output().contains("127.0.0.1:2"), "dead VM must not be queried: " + output());
     }
 
     @Test
@@ -145,7 +147,7 @@
                         + "]";
 
         assertEquals(run("--vm", mAddress), ExitCode.OK);
-        assertTrue(output().contains("1 of 1 VMs told"), output());
+        assertTrue(output().contains("1 of 1 VMs responded"), output());
     }
 
     @Test
@@ -153,7 +155,7 @@
         mBurnStatus = HttpStatus.SERVICE_UNAVAILABLE;
 
         assertEquals(run("--vm", mAddress), ExitCode.FAILED);
-        assertTrue(output().contains("it answered 503"), output());
+        assertTrue(output().contains("VM responded with status 503"), output());
     }
 
     @Test
@@ -161,7 +163,7 @@
         mMembers = "<html>";
 
         assertEquals(run("--vm", mAddress), ExitCode.FAILED);
-        assertTrue(output().contains("isn't the JSON expected"), output());
+        assertTrue(output().contains("response is not the expected JSON"), output());
     }
 
     @Test
@@ -173,13 +175,13 @@
     }
 
     private static String snapshotJson() {
-        OutcomeHistory ledger = new OutcomeHistory(2);
+        OutcomeHistory history = new OutcomeHistory(2);
         for (Outcome outcome :
                 List.of(Outcome.GOOD, Outcome.GOOD, Outcome.FAILED, Outcome.REFUSED)) {
-            ledger.record("himal", "desk", "lo<ck", 0.99, outcome, NOW);
+            history.record("himal", "desk", "lo<ck", 0.99, outcome, NOW);
         }
-        ledger.record("vatulele", "rankings", "lookup", 0.99, Outcome.GOOD, NOW);
-        return JSON.valueToTree(new ErrorBudgetSnapshot("a~1", 0, NOW, 0, ledger.buckets(NOW)))
+        history.record("vatulele", "rankings", "lookup", 0.99, Outcome.GOOD, NOW);
+        return JSON.valueToTree(new ErrorBudgetSnapshot("a~1", 0, NOW, 0, history.buckets(NOW)))
                 .toString();
     }
 
