--- a/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/AcceptCommand.java
@@ -12,7 +12,7 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.registry.ConfigurationStore;
 
-/** Checks a draft, accepts it, and asks the VMs which of them have it in force. */
+/** Accepts a draft and optionally waits until the VMs have applied it. */
 final class AcceptCommand {
     private final Invocation mInvocation;
     private final Draft mDraft;
@@ -45,22 +45,23 @@
         return printOutcome(mInvocation, outcome);
     }
 
-    /** Prints an outcome that needs no more than its message. */
+    /** Prints an outcome and returns its exit code. */
     static ExitCode printOutcome(Invocation invocation, AcceptOutcome outcome) {
         if (outcome instanceof AcceptOutcome.Accepted accepted) {
             invocation.print("Accepted as change " + accepted.number() + ".");
             return ExitCode.OK;
         }
         if (outcome instanceof AcceptOutcome.Unknown unknown) {
-            invocation.print("Unknown: the change may be accepted or may still get accepted.");
-            invocation.print("Ask later with: resolve " + unknown.handle() + " --store HOST:PORT");
+            invocation.print("Unknown outcome: the change may have been accepted or may still be.");
+            invocation.print(
+                    "Check later with: resolve " + unknown.handle() + " --store HOST:PORT");
             return ExitCode.UNKNOWN;
         }
         if (outcome instanceof AcceptOutcome.NotAccepted notAccepted) {
             invocation.print("Not accepted. " + notAccepted.reason());
             return ExitCode.FAILED;
         }
-        invocation.print("Not accepted: another change of this customer came first.");
+        invocation.print("Not accepted: another change of this customer was accepted first.");
         return ExitCode.CONFLICT;
     }
 
@@ -68,13 +69,10 @@
         return mDraft.template().customer();
     }
 
-    /**
-     * Guards against this process dying while the accept is under way: the operator would not know
-     * what to ask for. It holds because the handle is printed before the swap is sent.
-     */
+    /** Prints the handle before the swap is sent, so that an interrupted accept can be resolved. */
     private void printHandle(AcceptProtocol accept, StoreAction action) {
         if (action instanceof StoreAction.Swap swap && swap.key().equals(StoreKey.HEAD)) {
-            mInvocation.warn("Sending. If this command dies, ask: resolve " + accept.handle());
+            mInvocation.warn("Sending the change. If interrupted, run: resolve " + accept.handle());
         }
     }
 
@@ -88,38 +86,39 @@
         return ExitCode.OK;
     }
 
-    private ExitCode onConflict(AcceptRequest request, Optional<ChangeRecord> standing)
+    private ExitCode onConflict(AcceptRequest request, Optional<ChangeRecord> current)
             throws InterruptedException {
-        if (standing.isEmpty()) {
-            mInvocation.print("Not accepted: " + customer() + " has no change; use --base 0.");
+        if (current.isEmpty()) {
+            mInvocation.print(
+                    "Not accepted: " + customer() + " has no accepted change; use --base 0.");
             return ExitCode.CONFLICT;
         }
-        ChangeRecord first = standing.get();
+        ChangeRecord newest = current.get();
         mInvocation.print(
                 String.format(
-                        "Not accepted: change %d by %s came first, and you started from %d.",
-                        first.number(), first.author(), request.baseNumber()));
-        TemplateHistory accepted = TemplateHistory.read(mStore, customer());
-        Optional<String> base = baseText(accepted, request.baseNumber());
+                        "Not accepted: newest is change %d by %s, but the draft is based on %d.",
+                        newest.number(), newest.author(), request.baseNumber()));
+        TemplateHistory history = TemplateHistory.read(mStore, customer());
+        Optional<String> base = baseText(history, request.baseNumber());
         mInvocation.print(
                 base.isPresent()
-                        ? "What changed since " + request.baseNumber() + ":"
-                        : "What your draft (-) would have to take from change "
-                                + first.number()
-                                + " (+); the text you started from is no longer known:");
-        String old = base.orElse(mDraft.text().text());
-        accepted.text(first)
-                .ifPresent(text -> LineDiff.between(old, text).forEach(mInvocation::print));
+                        ? "Changes since " + request.baseNumber() + ":"
+                        : "Differences from the draft (-) to change "
+                                + newest.number()
+                                + " (+), as the base text is no longer stored:");
+        String oldText = base.orElse(mDraft.text().text());
+        history.text(newest)
+                .ifPresent(text -> LineDiff.between(oldText, text).forEach(mInvocation::print));
         mInvocation.print(
-                "Your draft is untouched. Work the change in, then accept it with --base "
-                        + first.number()
+                "The draft file is unchanged. Merge the change, then accept it with --base "
+                        + newest.number()
                         + ".");
         return ExitCode.CONFLICT;
     }
 
-    private static Optional<String> baseText(TemplateHistory accepted, long number)
+    private static Optional<String> baseText(TemplateHistory history, long number)
             throws InterruptedException {
-        Optional<ChangeRecord> base = accepted.find(number);
-        return base.isPresent() ? accepted.text(base.get()) : Optional.empty();
+        Optional<ChangeRecord> base = history.find(number);
+        return base.isPresent() ? history.text(base.get()) : Optional.empty();
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/Draft.java
+++ b/operator/src/main/java/org/dahliapass/operator/Draft.java
@@ -13,19 +13,19 @@
 import org.dahliapass.model.TemplateParser;
 
 /**
- * A template in a file of the operator's, which has been checked.
+ * A validated template file.
  *
- * @param text its text
- * @param template what it says
+ * @param text the file's text
+ * @param template the parsed template
  */
 record Draft(TemplateText text, Template template) {
-    /** The store's values hold a megabyte; half of it leaves room for its own encoding. */
+    /** Half of the store's limit of 1 MB for a value, to allow for encoding overhead. */
     private static final int MAX_CHARACTERS = 500_000;
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a template file.
      *
-     * @throws SettingsException with all that is wrong
+     * @throws SettingsException with all problems found
      */
     static Draft read(String file) {
         String text = readText(file);
@@ -35,7 +35,7 @@
         return new Draft(new TemplateText(text), TemplateParser.parse(file, text));
     }
 
-    /** Returns the services that the template names, with the cell sizes that it sets. */
+    /** Returns the template's services, with the cell sizes of those that the customer provides. */
     List<ServiceUse> services() {
         return template.services().stream().map(this::toServiceUse).toList();
     }
@@ -49,11 +49,11 @@
         try {
             return Files.readString(Path.of(file));
         } catch (IOException failure) {
-            throw problem(file, "no readable UTF-8 file", "a template in INI");
+            throw problem(file, "no readable UTF-8 file", "a template in INI format");
         }
     }
 
-    private static SettingsException problem(String file, String met, String allowed) {
-        return new SettingsException(List.of(new SettingsProblem(file, "", "", met, allowed)));
+    private static SettingsException problem(String file, String actual, String expected) {
+        return new SettingsException(List.of(new SettingsProblem(file, "", "", actual, expected)));
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/Environment.java
+++ b/operator/src/main/java/org/dahliapass/operator/Environment.java
@@ -9,15 +9,15 @@
 import org.dahliapass.registry.StoreClient;
 
 /**
- * What the command works with; tests bring their own.
+ * The external dependencies of the command; replaced in tests.
  *
- * @param storeFactory opens the store at an address
- * @param vms asks VMs
- * @param operationIds names accepts, each name once
- * @param clock the time
- * @param retryDelay how long to wait before something is tried or asked again
- * @param output where results go
- * @param errors where everything else goes
+ * @param storeFactory creates a store client for an address
+ * @param vms the client for VMs
+ * @param operationIds generates unique operation ids
+ * @param clock the clock
+ * @param retryDelay the delay between retries and between polls
+ * @param output the output for results
+ * @param errors the output for errors and progress
  */
 record Environment(
         Function<Endpoint, StoreClient> storeFactory,
--- a/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/ExplainCommand.java
@@ -12,7 +12,7 @@
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.OperationException;
 
-/** Gathers explanations from all VMs and prints them in the order in which things happened. */
+/** Collects explanations from all VMs and prints them in order of time. */
 final class ExplainCommand {
     private static final Pattern AGE = Pattern.compile("(\\d{1,6})([smh])");
 
@@ -31,37 +31,40 @@
                         mInvocation.option("since").map(this::sinceMillis));
         VmClient vms = mInvocation.environment().vms();
         List<Member> members = Invocation.await(vms.members(mInvocation.requiredEndpoint("vm")));
-        Map<Member, CompletableFuture<List<Explanation>>> answers = new LinkedHashMap<>();
+        Map<Member, CompletableFuture<List<Explanation>>> responses = new LinkedHashMap<>();
         for (Member member : members) {
-            answers.put(member, vms.explanations(member.operators(), query));
+            responses.put(member, vms.explanations(member.operators(), query));
         }
-        return print(answers);
+        return print(responses);
     }
 
-    private ExitCode print(Map<Member, CompletableFuture<List<Explanation>>> answers)
+    private ExitCode print(Map<Member, CompletableFuture<List<Explanation>>> responses)
             throws InterruptedException {
-        List<Explanation> found = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
-        for (Map.Entry<Member, CompletableFuture<List<Explanation>>> answer : answers.entrySet()) {
+        List<Explanation> explanations = new ArrayList<>();
+        List<String> unresponsive = new ArrayList<>();
+        for (Map.Entry<Member, CompletableFuture<List<Explanation>>> response :
+                responses.entrySet()) {
             try {
-                found.addAll(Invocation.await(answer.getValue()));
+                explanations.addAll(Invocation.await(response.getValue()));
             } catch (OperationException failure) {
-                silent.add(answer.getKey().name());
+                unresponsive.add(response.getKey().name());
             }
         }
-        found.sort(Comparator.comparingLong(Explanation::atMillis).thenComparing(Explanation::vm));
-        found.forEach(explanation -> mInvocation.print(explanation.describe()));
-        if (silent.isEmpty()) {
+        explanations.sort(
+                Comparator.comparingLong(Explanation::atMillis).thenComparing(Explanation::vm));
+        explanations.forEach(explanation -> mInvocation.print(explanation.describe()));
+        if (unresponsive.isEmpty()) {
             return ExitCode.OK;
         }
-        mInvocation.warn("No answer from: " + String.join(", ", silent) + ".");
+        mInvocation.warn("No response from: " + String.join(", ", unresponsive) + ".");
         return ExitCode.FAILED;
     }
 
     private long sinceMillis(String age) {
         Matcher matcher = AGE.matcher(age);
         if (!matcher.matches()) {
-            throw new UsageException("--since is '" + age + "'; write such as 30s, 10m or 2h.");
+            throw new UsageException(
+                    "--since is '" + age + "'; expected an age such as 30s, 10m or 2h.");
         }
         long amount = Long.parseLong(matcher.group(1));
         Duration ago =
--- a/operator/src/main/java/org/dahliapass/operator/Explanation.java
+++ b/operator/src/main/java/org/dahliapass/operator/Explanation.java
@@ -3,15 +3,15 @@
 import java.time.Instant;
 
 /**
- * One automatic action of a VM, and why it was taken.
+ * An automatic action of a VM and its cause.
  *
- * @param atMillis when, milliseconds since 1970 by the VM's clock
+ * @param atMillis the time of the action, in milliseconds since 1970 by the VM's clock
  * @param vm the VM's name
- * @param action what was done
- * @param subject to what it was done
- * @param cause why
- * @param evidence the figures behind it
- * @param setting the setting that led to it
+ * @param action the action taken
+ * @param subject the target or other object of the action
+ * @param cause the reason for the action
+ * @param evidence the observed values
+ * @param setting the setting that triggered the action
  */
 public record Explanation(
         long atMillis,
--- a/operator/src/main/java/org/dahliapass/operator/ExplanationQuery.java
+++ b/operator/src/main/java/org/dahliapass/operator/ExplanationQuery.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Which explanations are asked for; an empty part matches all.
+ * A filter for explanations; empty fields match all.
  *
  * @param target the target's address
  * @param request the request's id
- * @param customer the customer
- * @param sinceMillis the earliest time, milliseconds since 1970
+ * @param customer the customer's name
+ * @param sinceMillis the earliest time, in milliseconds since 1970
  */
 public record ExplanationQuery(
         Optional<String> target,
--- a/operator/src/main/java/org/dahliapass/operator/HttpVmClient.java
+++ b/operator/src/main/java/org/dahliapass/operator/HttpVmClient.java
@@ -20,7 +20,7 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
-/** Asks VMs over HTTP; each call has a time-out. */
+/** A {@link VmClient} over HTTP with a timeout for each call. */
 public final class HttpVmClient implements VmClient {
     private static final String BASE_PATH = "/operations/";
     private static final ObjectMapper JSON =
@@ -28,43 +28,45 @@
 
     private final Duration mTimeout;
 
-    /** Creates a client whose calls take at most this long. */
+    /** Creates a client with a timeout for each call. */
     public HttpVmClient(Duration timeout) {
         mTimeout = timeout;
     }
 
     @Override
     public CompletableFuture<String> status(Endpoint vm) {
-        String step = "read status";
-        return call(step, vm, HttpMethod.GET, "status")
-                .thenApply(response -> parseFound(step, vm, response).toPrettyString());
+        String operation = "read status";
+        return call(operation, vm, HttpMethod.GET, "status")
+                .thenApply(response -> parseFound(operation, vm, response).toPrettyString());
     }
 
     @Override
     public CompletableFuture<List<Member>> members(Endpoint vm) {
-        String step = "read members";
-        return call(step, vm, HttpMethod.GET, "members")
-                .thenApply(response -> parseMembers(step, vm, parseFound(step, vm, response)));
+        String operation = "read members";
+        return call(operation, vm, HttpMethod.GET, "members")
+                .thenApply(
+                        response ->
+                                parseMembers(operation, vm, parseFound(operation, vm, response)));
     }
 
     @Override
     public CompletableFuture<TemplateStatus> template(Endpoint vm, String customer) {
-        String step = "read template";
-        return call(step, vm, HttpMethod.GET, "templates/" + customer)
-                .thenApply(response -> parseTemplate(step, vm, response));
+        String operation = "read template";
+        return call(operation, vm, HttpMethod.GET, "templates/" + customer)
+                .thenApply(response -> parseTemplate(operation, vm, response));
     }
 
     @Override
     public CompletableFuture<List<Explanation>> explanations(Endpoint vm, ExplanationQuery query) {
-        String step = "read explanations";
+        String operation = "read explanations";
         var parameters = QueryParams.builder();
         query.target().ifPresent(target -> parameters.add("target", target));
         query.request().ifPresent(request -> parameters.add("request", request));
         query.customer().ifPresent(customer -> parameters.add("customer", customer));
         query.sinceMillis().ifPresent(since -> parameters.addLong("since", since));
         String path = "explanations?" + parameters.build().toQueryString();
-        return call(step, vm, HttpMethod.GET, path)
-                .thenApply(response -> parseExplanations(step, vm, response));
+        return call(operation, vm, HttpMethod.GET, path)
+                .thenApply(response -> parseExplanations(operation, vm, response));
     }
 
     @Override
@@ -73,7 +75,7 @@
     }
 
     private CompletableFuture<AggregatedHttpResponse> call(
-            String step, Endpoint vm, HttpMethod method, String path) {
+            String operation, Endpoint vm, HttpMethod method, String path) {
         return WebClient.builder(
                         SessionProtocol.H1C,
                         com.linecorp.armeria.client.Endpoint.of(vm.host(), vm.port()))
@@ -85,40 +87,44 @@
                 .path(BASE_PATH + path)
                 .execute()
                 .aggregate()
-                .handle((response, failure) -> requireUsableResponse(step, vm, response, failure));
+                .handle(
+                        (response, failure) ->
+                                requireUsableResponse(operation, vm, response, failure));
     }
 
     private static AggregatedHttpResponse requireUsableResponse(
-            String step, Endpoint vm, AggregatedHttpResponse response, Throwable failure) {
+            String operation, Endpoint vm, AggregatedHttpResponse response, Throwable failure) {
         if (failure != null) {
-            String message = "No answer; check the address and that the VM runs.";
-            throw new OperationException(step, vm.toString(), message, failure);
+            String message = "No response; check the address and that the VM is running.";
+            throw new OperationException(operation, vm.toString(), message, failure);
         }
         HttpStatus status = response.status();
         if (!status.isSuccess() && !status.equals(HttpStatus.NOT_FOUND)) {
             throw new OperationException(
-                    step, vm.toString(), "Answered with status " + status + ".");
+                    operation, vm.toString(), "Unexpected response status " + status + ".");
         }
         return response;
     }
 
-    private static JsonNode parseFound(String step, Endpoint vm, AggregatedHttpResponse response) {
+    private static JsonNode parseFound(
+            String operation, Endpoint vm, AggregatedHttpResponse response) {
         if (response.status().equals(HttpStatus.NOT_FOUND)) {
-            String message = "The VM doesn't know this path; check that it is a VM's address.";
-            throw new OperationException(step, vm.toString(), message);
+            String message = "Path not found; check that this is a VM's operators' address.";
+            throw new OperationException(operation, vm.toString(), message);
         }
-        return parse(step, vm, response);
+        return parse(operation, vm, response);
     }
 
-    private static JsonNode parse(String step, Endpoint vm, AggregatedHttpResponse response) {
+    private static JsonNode parse(String operation, Endpoint vm, AggregatedHttpResponse response) {
         try {
             return JSON.readTree(response.contentUtf8());
         } catch (JsonProcessingException failure) {
-            throw new OperationException(step, vm.toString(), "The answer isn't JSON.", failure);
+            throw new OperationException(
+                    operation, vm.toString(), "The response isn't valid JSON.", failure);
         }
     }
 
-    private static List<Member> parseMembers(String step, Endpoint vm, JsonNode array) {
+    private static List<Member> parseMembers(String operation, Endpoint vm, JsonNode array) {
         List<Member> members = new ArrayList<>();
         for (JsonNode entry : array) {
             String name = entry.path("name").asText();
@@ -128,37 +134,40 @@
                             .orElseThrow(
                                     () ->
                                             new OperationException(
-                                                    step,
+                                                    operation,
                                                     vm.toString(),
                                                     "Member "
                                                             + name
-                                                            + " has no operators'"
-                                                            + " address, but '"
+                                                            + " has the operators'"
+                                                            + " address '"
                                                             + operators
-                                                            + "'."));
+                                                            + "'; expected HOST:PORT."));
             members.add(new Member(name, endpoint, entry.path("state").asText()));
         }
         return members;
     }
 
     private static TemplateStatus parseTemplate(
-            String step, Endpoint vm, AggregatedHttpResponse response) {
+            String operation, Endpoint vm, AggregatedHttpResponse response) {
         boolean held = response.status().isSuccess();
         if (!held && !response.contentUtf8().startsWith("{")) {
             return new TemplateStatus(false, 0, 0);
         }
-        JsonNode node = parse(step, vm, response);
+        JsonNode node = parse(operation, vm, response);
         return new TemplateStatus(
                 held, node.path("number").asLong(), node.path("headNumber").asLong());
     }
 
     private static List<Explanation> parseExplanations(
-            String step, Endpoint vm, AggregatedHttpResponse response) {
+            String operation, Endpoint vm, AggregatedHttpResponse response) {
         try {
-            return JSON.convertValue(parseFound(step, vm, response), new TypeReference<>() {});
+            return JSON.convertValue(parseFound(operation, vm, response), new TypeReference<>() {});
         } catch (IllegalArgumentException failure) {
             throw new OperationException(
-                    step, vm.toString(), "The answer isn't a list of explanations.", failure);
+                    operation,
+                    vm.toString(),
+                    "The response isn't a list of explanations.",
+                    failure);
         }
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/Invocation.java
+++ b/operator/src/main/java/org/dahliapass/operator/Invocation.java
@@ -8,7 +8,7 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.registry.ConfigurationStore;
 
-/** One call of the command: its options, read by typed getters, and its environment. */
+/** A single run of the command, with typed access to its options and environment. */
 final class Invocation {
     private final OptionSet mOptions;
     private final Environment mEnvironment;
@@ -22,20 +22,24 @@
         return mEnvironment;
     }
 
-    /** Prints a line of the result. */
+    /** Prints a line to the standard output. */
     void print(String line) {
         mEnvironment.output().println(line);
     }
 
-    /** Prints a line that isn't part of the result. */
+    /** Prints a line to the error output. */
     void warn(String line) {
         mEnvironment.errors().println(line);
     }
 
-    /** Returns the argument after the subcommand. */
-    String argument(String what) {
+    /**
+     * Returns the subcommand's only argument.
+     *
+     * @throws UsageException if there isn't exactly one
+     */
+    String argument(String meaning) {
         if (mOptions.nonOptionArguments().size() != 2) {
-            throw new UsageException("Name one " + what + " after the subcommand.");
+            throw new UsageException("Expected exactly one " + meaning + " after the subcommand.");
         }
         return mOptions.nonOptionArguments().get(1).toString();
     }
@@ -45,7 +49,8 @@
     }
 
     String required(String name) {
-        return option(name).orElseThrow(() -> new UsageException("Give --" + name + "."));
+        return option(name)
+                .orElseThrow(() -> new UsageException("Option --" + name + " is required."));
     }
 
     Optional<Endpoint> endpoint(String name) {
@@ -60,11 +65,13 @@
                                                                         + name
                                                                         + " is '"
                                                                         + text
-                                                                        + "'; write HOST:PORT.")));
+                                                                        + "'; expected"
+                                                                        + " HOST:PORT.")));
     }
 
     Endpoint requiredEndpoint(String name) {
-        return endpoint(name).orElseThrow(() -> new UsageException("Give --" + name + "."));
+        return endpoint(name)
+                .orElseThrow(() -> new UsageException("Option --" + name + " is required."));
     }
 
     long requiredNumber(String name) {
@@ -72,7 +79,7 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException failure) {
-            throw new UsageException("--" + name + " is '" + text + "'; write a whole number.");
+            throw new UsageException("--" + name + " is '" + text + "'; expected a whole number.");
         }
     }
 
@@ -82,15 +89,16 @@
                 mEnvironment.retryDelay());
     }
 
-    /** Waits for a call, each of which has its own time-out; rethrows its failure. */
+    /** Waits for a call, which must have a timeout, and rethrows its failure. */
     static <T> T await(CompletableFuture<T> future) throws InterruptedException {
         try {
             return future.get();
         } catch (ExecutionException failure) {
-            if (failure.getCause() instanceof OperationException step) {
-                throw step;
+            if (failure.getCause() instanceof OperationException exception) {
+                throw exception;
             }
-            throw new OperationException("run", "self", "Met a fault of this program.", failure);
+            throw new OperationException(
+                    "run", "self", "Unexpected internal error; please report it.", failure);
         }
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/LineDiff.java
+++ b/operator/src/main/java/org/dahliapass/operator/LineDiff.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Tells by line, and by section of an INI text, what changed from one text to another. */
+/** Computes a line-by-line diff of two INI texts, grouped by section. */
 final class LineDiff {
-    /** Beyond this many pairs of lines the changed middle is shown whole: removed, then added. */
+    /** The maximum size of the LCS table; larger diffs list all lines as removed, then added. */
     private static final long MAX_LINE_PAIRS = 4_000_000;
 
     private final List<String> mPrefix;
@@ -15,26 +15,26 @@
     private final List<String> mOutput = new ArrayList<>();
     private String mSection = "";
 
-    private LineDiff(List<String> before, List<String> oldLines, List<String> newLines) {
-        mPrefix = before;
+    private LineDiff(List<String> prefix, List<String> oldLines, List<String> newLines) {
+        mPrefix = prefix;
         mOld = oldLines;
         mNew = newLines;
     }
 
     /**
-     * Returns the removed lines with a minus and the added ones with a plus, in their order, after
-     * a line that names the section in which they stand.
+     * Returns the removed lines prefixed with a minus and the added lines with a plus, each run in
+     * a section preceded by a line with the section's name.
      */
     static List<String> between(String oldText, String newText) {
         List<String> oldLines = oldText.lines().toList();
         List<String> newLines = newText.lines().toList();
-        int least = Math.min(oldLines.size(), newLines.size());
+        int minSize = Math.min(oldLines.size(), newLines.size());
         int start = 0;
-        while (start < least && oldLines.get(start).equals(newLines.get(start))) {
+        while (start < minSize && oldLines.get(start).equals(newLines.get(start))) {
             start++;
         }
         int end = 0;
-        while (end < least - start && sameFromEnd(oldLines, newLines, end)) {
+        while (end < minSize - start && isSameFromEnd(oldLines, newLines, end)) {
             end++;
         }
         LineDiff diff =
@@ -45,7 +45,7 @@
         return diff.lines();
     }
 
-    private static boolean sameFromEnd(List<String> oldLines, List<String> newLines, int end) {
+    private static boolean isSameFromEnd(List<String> oldLines, List<String> newLines, int end) {
         String oldLine = oldLines.get(oldLines.size() - 1 - end);
         return oldLine.equals(newLines.get(newLines.size() - 1 - end));
     }
@@ -60,7 +60,7 @@
         return mOutput;
     }
 
-    /** Returns, for each pair of places, the longest common subsequence from there on. */
+    /** Returns the length of the longest common subsequence from each pair of line indexes on. */
     private int[][] commonSubsequenceLengths() {
         int[][] lengths = new int[mOld.size() + 1][mNew.size() + 1];
         for (int i = mOld.size() - 1; i >= 0; i--) {
@@ -94,24 +94,24 @@
     }
 
     private void appendRemovedFrom(int first) {
-        for (int place = first; place < mOld.size(); place++) {
-            append("-", mOld, place);
+        for (int index = first; index < mOld.size(); index++) {
+            append("-", mOld, index);
         }
     }
 
     private void appendAddedFrom(int first) {
-        for (int place = first; place < mNew.size(); place++) {
-            append("+", mNew, place);
+        for (int index = first; index < mNew.size(); index++) {
+            append("+", mNew, index);
         }
     }
 
-    private void append(String sign, List<String> lines, int place) {
-        String section = sectionOf(lines.subList(0, place + 1));
+    private void append(String sign, List<String> lines, int index) {
+        String section = sectionOf(lines.subList(0, index + 1));
         if (!section.equals(mSection)) {
             mOutput.add("in " + section + ":");
             mSection = section;
         }
-        mOutput.add(sign + lines.get(place));
+        mOutput.add(sign + lines.get(index));
     }
 
     private String sectionOf(List<String> changed) {
--- a/operator/src/main/java/org/dahliapass/operator/Member.java
+++ b/operator/src/main/java/org/dahliapass/operator/Member.java
@@ -3,10 +3,10 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * A VM as another VM's member list shows it.
+ * An entry of a VM's member list.
  *
  * @param name the VM's name
- * @param operators where the operators' command reaches it
- * @param state the member's state, in the VM's own words
+ * @param operators the VM's operators' address
+ * @param state the member's state, as reported by the VM
  */
 public record Member(String name, Endpoint operators, String state) {}
--- a/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
+++ b/operator/src/main/java/org/dahliapass/operator/OperatorMain.java
@@ -11,7 +11,7 @@
 import org.dahliapass.kernel.Program;
 import org.dahliapass.registry.HttpStoreClient;
 
-/** The operators' command. */
+/** The entry point of the operators' command. */
 public final class OperatorMain extends Program {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration RETRY_DELAY = Duration.ofMillis(300);
@@ -37,8 +37,8 @@
     @Override
     protected void declareOptions(OptionParser parser) {
         option(parser, "store", "The configuration store's address, HOST:PORT.");
-        option(parser, "base", "The number of the change that the draft started from; 0 if none.");
-        option(parser, "author", "Who accepts.");
+        option(parser, "base", "The number of the change on which the draft is based; 0 if none.");
+        option(parser, "author", "The author of the change.");
         option(parser, "vm", "The operators' address of any VM, HOST:PORT.");
         option(parser, "target", "Only explanations of this target, HOST:PORT.");
         option(parser, "request", "Only explanations of this request id.");
@@ -59,16 +59,16 @@
 
     private static Subcommand subcommand(List<?> arguments) {
         if (arguments.isEmpty()) {
-            throw new UsageException("Name a subcommand: " + Subcommand.names() + ".");
+            throw new UsageException("Expected a subcommand: " + Subcommand.names() + ".");
         }
         String name = arguments.get(0).toString();
         return Subcommand.find(name)
                 .orElseThrow(
                         () ->
                                 new UsageException(
-                                        "There is no subcommand '"
+                                        "Unknown subcommand '"
                                                 + name
-                                                + "'; there are "
+                                                + "'; expected one of "
                                                 + Subcommand.names()
                                                 + "."));
     }
--- a/operator/src/main/java/org/dahliapass/operator/RolloutConfirmation.java
+++ b/operator/src/main/java/org/dahliapass/operator/RolloutConfirmation.java
@@ -11,25 +11,24 @@
 import java.util.concurrent.TimeUnit;
 import org.dahliapass.model.Endpoint;
 
-/** Asks all VMs until each says that a change is in force there, or the time is up. */
+/** Polls all VMs until each has applied a change or a time limit is reached. */
 final class RolloutConfirmation {
-    /** A change must be in force everywhere within this time. */
+    /** The time within which all VMs must have applied a change. */
     private static final Duration ROLLOUT_TIMEOUT = Duration.ofSeconds(6);
 
-    /** So many VMs are asked at once. */
     private static final int MAX_CONCURRENT_REQUESTS = 64;
 
-    /** What a VM says of the change. */
+    /** The state of the change on a VM. */
     private enum RolloutState {
-        /** It has the change, or a later one, in force. */
+        /** The VM has applied the change or a later one. */
         IN_FORCE,
-        /** It knows of the change and serves none of the customer's services. */
+        /** The VM knows the change but serves none of the customer's services. */
         NOT_SERVING,
-        /** It holds nothing of the customer, and doesn't say whether it knows of the change. */
+        /** The VM holds no template of the customer and doesn't report its newest change. */
         NO_TEMPLATE,
-        /** It has an older change in force, or hasn't heard of this one. */
+        /** The VM has not applied the change yet. */
         OUTDATED,
-        /** It gave no answer. */
+        /** The VM didn't respond. */
         NO_RESPONSE;
 
         boolean isFinal() {
@@ -42,37 +41,39 @@
     private final long mChangeNumber;
     private final Map<String, RolloutState> mStates = new TreeMap<>();
 
-    RolloutConfirmation(Invocation invocation, String customer, long number) {
+    RolloutConfirmation(Invocation invocation, String customer, long changeNumber) {
         mInvocation = invocation;
         mCustomer = customer;
-        mChangeNumber = number;
+        mChangeNumber = changeNumber;
     }
 
-    /** Asks all members that a VM knows, and prints which of them confirm. */
+    /** Polls the members listed by a VM until all are final or time runs out; prints the states. */
     void awaitAndPrint(Endpoint vm) throws InterruptedException {
         Environment environment = mInvocation.environment();
-        Instant end = environment.clock().instant().plus(ROLLOUT_TIMEOUT);
-        List<Member> open = new ArrayList<>(Invocation.await(environment.vms().members(vm)));
-        open.sort(Comparator.comparing(Member::name));
-        pollAll(open);
-        while (!open.isEmpty() && environment.clock().instant().isBefore(end)) {
+        Instant deadline = environment.clock().instant().plus(ROLLOUT_TIMEOUT);
+        List<Member> pending = new ArrayList<>(Invocation.await(environment.vms().members(vm)));
+        pending.sort(Comparator.comparing(Member::name));
+        pollAll(pending);
+        while (!pending.isEmpty() && environment.clock().instant().isBefore(deadline)) {
             Invocation.await(delay(environment.retryDelay()));
-            pollAll(open);
+            pollAll(pending);
         }
         printSummary();
     }
 
-    private void pollAll(List<Member> open) throws InterruptedException {
-        for (int first = 0; first < open.size(); first += MAX_CONCURRENT_REQUESTS) {
-            pollBatch(open.subList(first, Math.min(open.size(), first + MAX_CONCURRENT_REQUESTS)));
+    private void pollAll(List<Member> pending) throws InterruptedException {
+        for (int first = 0; first < pending.size(); first += MAX_CONCURRENT_REQUESTS) {
+            pollBatch(
+                    pending.subList(
+                            first, Math.min(pending.size(), first + MAX_CONCURRENT_REQUESTS)));
         }
-        open.removeIf(member -> mStates.get(member.name()).isFinal());
+        pending.removeIf(member -> mStates.get(member.name()).isFinal());
     }
 
     private void pollBatch(List<Member> members) throws InterruptedException {
-        List<CompletableFuture<RolloutState>> answers = members.stream().map(this::poll).toList();
-        for (int place = 0; place < members.size(); place++) {
-            mStates.put(members.get(place).name(), Invocation.await(answers.get(place)));
+        List<CompletableFuture<RolloutState>> states = members.stream().map(this::poll).toList();
+        for (int index = 0; index < members.size(); index++) {
+            mStates.put(members.get(index).name(), Invocation.await(states.get(index)));
         }
     }
 
@@ -100,29 +101,29 @@
     }
 
     private void printSummary() {
-        printMembers(RolloutState.IN_FORCE, "have it in force");
-        printMembers(RolloutState.OUTDATED, "don't have it in force yet");
-        printMembers(RolloutState.NO_RESPONSE, "gave no answer");
+        printMembers(RolloutState.IN_FORCE, "have applied the change");
+        printMembers(RolloutState.OUTDATED, "haven't applied the change yet");
+        printMembers(RolloutState.NO_RESPONSE, "didn't respond");
         printMembers(RolloutState.NO_TEMPLATE, "hold no template of this customer");
-        printMembers(RolloutState.NOT_SERVING, "know of it and serve none of its services");
+        printMembers(RolloutState.NOT_SERVING, "know the change but serve none of its services");
     }
 
-    private void printMembers(RolloutState answer, String meaning) {
+    private void printMembers(RolloutState state, String meaning) {
         List<String> names =
                 mStates.entrySet().stream()
-                        .filter(entry -> entry.getValue() == answer)
+                        .filter(entry -> entry.getValue() == state)
                         .map(Map.Entry::getKey)
                         .toList();
-        String listed =
-                names.isEmpty() || answer == RolloutState.NOT_SERVING
+        String suffix =
+                names.isEmpty() || state == RolloutState.NOT_SERVING
                         ? "."
                         : ": " + String.join(", ", names);
-        mInvocation.print(names.size() + " VMs " + meaning + listed);
+        mInvocation.print(names.size() + " VMs " + meaning + suffix);
     }
 
-    private static CompletableFuture<Void> delay(Duration pause) {
+    private static CompletableFuture<Void> delay(Duration duration) {
         return CompletableFuture.runAsync(
                 () -> {},
-                CompletableFuture.delayedExecutor(pause.toMillis(), TimeUnit.MILLISECONDS));
+                CompletableFuture.delayedExecutor(duration.toMillis(), TimeUnit.MILLISECONDS));
     }
 }
--- a/operator/src/main/java/org/dahliapass/operator/Subcommand.java
+++ b/operator/src/main/java/org/dahliapass/operator/Subcommand.java
@@ -12,58 +12,60 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
-/** What the command can be asked to do. */
+/** The subcommands of the operators' command. */
 enum Subcommand {
-    /** Checks a template and changes nothing. */
+    /** Validates a template file without accepting it. */
     CHECK {
         @Override
         ExitCode run(Invocation invocation) {
             Draft draft = Draft.read(invocation.argument("file"));
             invocation.print(
                     String.format(
-                            "Good: customer %s, %d services.",
+                            "Valid template: customer %s, %d services.",
                             draft.template().customer(), draft.services().size()));
             return ExitCode.OK;
         }
     },
-    /** Accepts a template. */
+    /** Accepts a template file as a change. */
     ACCEPT {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
             return new AcceptCommand(invocation).run();
         }
     },
-    /** Prints the text that stands for a customer. */
+    /** Prints the text of a customer's newest template. */
     SHOW {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
-            TemplateHistory accepted = readHistory(invocation);
+            TemplateHistory history = readHistory(invocation);
             ChangeRecord newest =
-                    accepted.newest()
+                    history.newest()
                             .orElseThrow(
                                     () ->
                                             new OperationException(
                                                     "show", "store", "No change was accepted."));
             invocation.warn("Change " + newest.number() + " by " + newest.author() + ".");
             String text =
-                    accepted.text(newest)
+                    history.text(newest)
                             .orElseThrow(
                                     () ->
                                             new OperationException(
-                                                    "show", "store", "The text is gone."));
+                                                    "show",
+                                                    "store",
+                                                    "The text is no longer stored."));
             invocation.environment().output().print(text);
             return ExitCode.OK;
         }
     },
-    /** Prints the changes of a customer that are still known. */
+    /** Prints the changes of a customer that are still stored. */
     HISTORY {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
-            TemplateHistory accepted = readHistory(invocation);
-            for (PastOperation past : accepted.olderOperations()) {
+            TemplateHistory history = readHistory(invocation);
+            for (PastOperation past : history.olderOperations()) {
                 invocation.print("change " + past.number() + ", operation " + past.operationId());
             }
-            for (ChangeRecord record : accepted.records()) {
+            for (ChangeRecord record : history.records()) {
                 invocation.print(
                         String.format(
                                 "change %d by %s from %d, operation %s, digest %s",
@@ -76,7 +78,7 @@
             return ExitCode.OK;
         }
     },
-    /** Tells what became of an accept whose outcome was unknown. */
+    /** Determines the outcome of an accept that ended as unknown. */
     RESOLVE {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
@@ -88,15 +90,15 @@
                                             new UsageException(
                                                     "'"
                                                             + text
-                                                            + "' is no operation id; copy the"
-                                                            + " one that accept printed."));
+                                                            + "' isn't a valid operation id; copy"
+                                                            + " the one printed by accept."));
             return AcceptCommand.printOutcome(
                     invocation,
                     Invocation.await(
                             invocation.store().run(new ResolveProtocol(handle), action -> {})));
         }
     },
-    /** Prints a VM's report. */
+    /** Prints a VM's status. */
     STATUS {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
@@ -105,32 +107,34 @@
             return ExitCode.OK;
         }
     },
-    /** Prints what the VMs did by themselves, and why. */
+    /** Prints the VMs' automatic actions and their causes. */
     EXPLAIN {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
             return new ExplainCommand(invocation).run();
         }
     },
-    /** Asks a VM to stop gracefully. */
+    /** Starts a graceful shutdown of a VM. */
     DRAIN {
         @Override
         ExitCode run(Invocation invocation) throws InterruptedException {
             Endpoint vm = invocation.requiredEndpoint("vm");
             Invocation.await(invocation.environment().vms().drain(vm));
-            invocation.print("The VM at " + vm + " is leaving.");
+            invocation.print("The VM at " + vm + " is draining.");
             return ExitCode.OK;
         }
     };
 
     abstract ExitCode run(Invocation invocation) throws InterruptedException;
 
-    /** Returns the subcommand of this name. */
+    /** Returns the subcommand with this name, or empty if there is none. */
     static Optional<Subcommand> find(String name) {
-        return Arrays.stream(values()).filter(one -> one.commandName().equals(name)).findFirst();
+        return Arrays.stream(values())
+                .filter(subcommand -> subcommand.commandName().equals(name))
+                .findFirst();
     }
 
-    /** Returns all names, for messages. */
+    /** Returns all names, separated by commas. */
     static String names() {
         return Arrays.stream(values())
                 .map(Subcommand::commandName)
--- a/operator/src/main/java/org/dahliapass/operator/TemplateHistory.java
+++ b/operator/src/main/java/org/dahliapass/operator/TemplateHistory.java
@@ -11,7 +11,7 @@
 import org.dahliapass.decisions.configuration.TemplateText;
 import org.dahliapass.registry.ConfigurationStore;
 
-/** Looks up in the store what was accepted for one customer: the head first, then the pointer. */
+/** The accepted changes of one customer's template, read from the store. */
 final class TemplateHistory {
     private final ConfigurationStore mStore;
     private final String mCustomer;
@@ -25,26 +25,26 @@
 
     static TemplateHistory read(ConfigurationStore store, String customer)
             throws InterruptedException {
-        TemplateHistory found = new TemplateHistory(store, customer);
+        TemplateHistory history = new TemplateHistory(store, customer);
         Head head =
                 Invocation.await(store.read(StoreKey.HEAD))
                         .map(Head.class::cast)
                         .orElse(Head.EMPTY);
         Invocation.await(store.read(StoreKey.pointer(customer)))
                 .map(Pointer.class::cast)
-                .ifPresent(found::addPointer);
+                .ifPresent(history::addPointer);
         head.ring().stream()
                 .filter(record -> record.customer().equals(customer))
-                .forEach(found::addRecord);
-        return found;
+                .forEach(history::addRecord);
+        return history;
     }
 
-    /** Returns the changes whose records are still known, by growing number. */
+    /** Returns the changes whose records are still stored, in ascending order of number. */
     List<ChangeRecord> records() {
         return mRecords;
     }
 
-    /** Returns older accepts of which only the operation and the number are known. */
+    /** Returns older changes of which only the operation id and the number are stored. */
     List<PastOperation> olderOperations() {
         return mOlderOperations;
     }
@@ -73,7 +73,7 @@
                         .toList();
     }
 
-    /** The pointer is written before its change leaves the ring, so both may have the change. */
+    /** Skips a change already added, as the pointer and the ring may both contain it. */
     private void addRecord(ChangeRecord record) {
         if (newest().map(ChangeRecord::number).orElse(0L) < record.number()) {
             mRecords.add(record);
--- a/operator/src/main/java/org/dahliapass/operator/TemplateStatus.java
+++ b/operator/src/main/java/org/dahliapass/operator/TemplateStatus.java
@@ -1,10 +1,11 @@
 package org.dahliapass.operator;
 
 /**
- * What a VM says of one customer's template.
+ * The status of a customer's template on a VM.
  *
- * @param held whether the VM holds the template, because it serves one of its services
- * @param changeNumber the number of the change that is in force there; 0 if none is held
- * @param headNumber the newest change of any customer that the VM knows of; 0 if it didn't say
+ * @param held whether the VM holds the template, since it serves one of its services
+ * @param changeNumber the number of the change that the VM has applied; 0 if none
+ * @param headNumber the number of the newest change of any customer known to the VM; 0 if not
+ *     reported
  */
 public record TemplateStatus(boolean held, long changeNumber, long headNumber) {}
--- a/operator/src/main/java/org/dahliapass/operator/UsageException.java
+++ b/operator/src/main/java/org/dahliapass/operator/UsageException.java
@@ -1,6 +1,6 @@
 package org.dahliapass.operator;
 
-/** A command line that is wrong; the message says how to mend it. */
+/** Thrown for an invalid command line; the message names the expected usage. */
 final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/operator/src/main/java/org/dahliapass/operator/VmClient.java
+++ b/operator/src/main/java/org/dahliapass/operator/VmClient.java
@@ -5,24 +5,24 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Asks VMs at their operators' address.
+ * A client for the VMs' operators' addresses.
  *
  * <p>All futures fail with a {@link org.dahliapass.kernel.OperationException}.
  */
 public interface VmClient {
 
-    /** Returns the VM's own report as text. */
+    /** Returns the VM's status as formatted JSON. */
     CompletableFuture<String> status(Endpoint vm);
 
-    /** Returns the VM's member list, the VM itself included. */
+    /** Returns the VM's member list, including the VM itself. */
     CompletableFuture<List<Member>> members(Endpoint vm);
 
-    /** Returns what the VM holds of a customer's template. */
+    /** Returns the status of a customer's template on the VM. */
     CompletableFuture<TemplateStatus> template(Endpoint vm, String customer);
 
-    /** Returns the explanations that the VM still keeps. */
+    /** Returns the matching explanations that the VM retains. */
     CompletableFuture<List<Explanation>> explanations(Endpoint vm, ExplanationQuery query);
 
-    /** Asks the VM to stop gracefully. */
+    /** Starts a graceful shutdown of the VM. */
     CompletableFuture<Void> drain(Endpoint vm);
 }
--- a/operator/src/main/java/org/dahliapass/operator/package-info.java
+++ b/operator/src/main/java/org/dahliapass/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command: check, accept and look up templates, and ask the VMs what they do. */
+/** The operators' command: manages templates in the configuration store and queries VMs. */
 package org.dahliapass.operator;
--- a/operator/src/test/java/org/dahliapass/operator/FakeVmClient.java
+++ b/operator/src/test/java/org/dahliapass/operator/FakeVmClient.java
@@ -8,7 +8,7 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.model.Endpoint;
 
-/** VMs that answer from what a test puts in; a VM without an answer is silent. */
+/** A {@link VmClient} with preset responses; calls to VMs without one fail. */
 final class FakeVmClient implements VmClient {
     final List<Member> mMembers = new ArrayList<>();
     final Map<Endpoint, TemplateStatus> mTemplates = new TreeMap<>();
@@ -39,10 +39,10 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    private static <T> CompletableFuture<T> respond(Endpoint vm, Map<Endpoint, T> answers) {
-        return answers.containsKey(vm)
-                ? CompletableFuture.completedFuture(answers.get(vm))
+    private static <T> CompletableFuture<T> respond(Endpoint vm, Map<Endpoint, T> responses) {
+        return responses.containsKey(vm)
+                ? CompletableFuture.completedFuture(responses.get(vm))
                 : CompletableFuture.failedFuture(
-                        new OperationException("ask", vm.toString(), "No answer."));
+                        new OperationException("call", vm.toString(), "No response."));
     }
 }
--- a/operator/src/test/java/org/dahliapass/operator/HttpVmClientTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/HttpVmClientTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests of the VM client against a small HTTP server. */
+/** Tests {@link HttpVmClient} against an HTTP server on loopback. */
 public final class HttpVmClientTest {
     private Server mServer;
     private volatile HttpStatus mStatus;
--- a/operator/src/test/java/org/dahliapass/operator/InMemoryStoreClient.java
+++ b/operator/src/test/java/org/dahliapass/operator/InMemoryStoreClient.java
@@ -12,7 +12,7 @@
 import org.dahliapass.registry.SwapResult;
 import org.dahliapass.registry.WatchedValue;
 
-/** A store in memory that can lose the answer to a swap of the head and then stay away. */
+/** An in-memory store that can lose the response to a swap of the head and become unavailable. */
 final class InMemoryStoreClient implements StoreClient {
     private static final String HEAD = "head";
 
@@ -22,10 +22,10 @@
     private boolean mUnavailableAfterLoss;
     private boolean mUnavailable;
 
-    /** The next swap of the head takes effect, but its answer is lost. */
-    void loseNextHeadResponse(boolean thenStayAway) {
+    /** Makes the next swap of the head take effect but fail with an unknown outcome. */
+    void loseNextHeadResponse(boolean thenUnavailable) {
         mLoseHeadResponse = true;
-        mUnavailableAfterLoss = thenStayAway;
+        mUnavailableAfterLoss = thenUnavailable;
     }
 
     void makeAvailable() {
@@ -39,7 +39,8 @@
     @Override
     public CompletableFuture<Optional<StoredValue>> read(String key) {
         return mUnavailable
-                ? CompletableFuture.failedFuture(new OperationException("read", "store", "Away."))
+                ? CompletableFuture.failedFuture(
+                        new OperationException("read", "store", "Unavailable."))
                 : CompletableFuture.completedFuture(Optional.ofNullable(mValues.get(key)));
     }
 
@@ -51,7 +52,8 @@
     @Override
     public CompletableFuture<SwapResult> compareAndSwap(String key, String value, long index) {
         if (mUnavailable) {
-            return CompletableFuture.failedFuture(new OperationException("swap", "store", "Away."));
+            return CompletableFuture.failedFuture(
+                    new OperationException("swap", "store", "Unavailable."));
         }
         long current = mValues.containsKey(key) ? mValues.get(key).index() : ABSENT;
         if (current != index) {
@@ -63,7 +65,7 @@
             mLoseHeadResponse = false;
             mUnavailable = mUnavailableAfterLoss;
             return CompletableFuture.failedFuture(
-                    new OutcomeUnknownException("swap", "store", "Lost.", null));
+                    new OutcomeUnknownException("swap", "store", "Response lost.", null));
         }
         return CompletableFuture.completedFuture(SwapResult.SWAPPED);
     }
--- a/operator/src/test/java/org/dahliapass/operator/LineDiffTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/LineDiffTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of the difference between two texts. */
+/** Tests {@link LineDiff}. */
 public final class LineDiffTest {
     private static final String OLD = "[a]\nx = 1\ny = 2\n[b]\nx = 1\n";
 
--- a/operator/src/test/java/org/dahliapass/operator/OperatorMainTest.java
+++ b/operator/src/test/java/org/dahliapass/operator/OperatorMainTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of the operators' command from its arguments to its exit code and output. */
+/** Tests the arguments, output and exit codes of {@link OperatorMain}. */
 public final class OperatorMainTest {
     private static final Endpoint VM_1 = new Endpoint("10.0.0.1", 82);
     private static final Endpoint VM_2 = new Endpoint("10.0.0.2", 82);
@@ -36,7 +36,7 @@
     private Path mDraft;
     private int mOperations;
 
-    /** A clock that goes on by a second each time it is read, so that waits end. */
+    /** A clock that advances by one second on each read, so that waits end. */
     private static final class SteppingClock extends Clock {
         private Instant mNow = Instant.EPOCH;
 
@@ -110,14 +110,14 @@
         return new OperatorMain(environment).main(arguments, output, output);
     }
 
-    private ExitCode accept(String base, String author, String... more) {
+    private ExitCode accept(String base, String author, String... extra) {
         mOutput.reset();
-        String[] arguments = new String[8 + more.length];
-        String[] first = {
+        String[] arguments = new String[8 + extra.length];
+        String[] required = {
             "accept", mDraft.toString(), "--store", "10.0.0.9:1", "--base", base, "--author", author
         };
-        System.arraycopy(first, 0, arguments, 0, first.length);
-        System.arraycopy(more, 0, arguments, first.length, more.length);
+        System.arraycopy(required, 0, arguments, 0, required.length);
+        System.arraycopy(extra, 0, arguments, required.length, extra.length);
         return run(arguments);
     }
 
@@ -132,7 +132,7 @@
     @Test
     public void checkReportsValidTemplate() {
         assertEquals(run("check", mDraft.toString()), ExitCode.OK);
-        assertPrinted("Good: customer valley-audit, 1 services.");
+        assertPrinted("Valid template: customer valley-audit, 1 services.");
     }
 
     @Test
@@ -148,7 +148,7 @@
         assertEquals(
                 run("accept", mDraft.toString(), "--store", "10.0.0.9:1", "--author", "Asha"),
                 ExitCode.USAGE);
-        assertPrinted("Give --base.");
+        assertPrinted("Option --base is required.");
         assertTrue(mStore.isEmpty());
     }
 
@@ -162,9 +162,7 @@
         assertPrinted("change 1 by Asha from 0, operation op-1");
     }
 
-    // Two operators start from change 1. Bela accepts a new rate first; Asha's accept must not
-    // overwrite it, must tell her whose change came first and what it changed, and must leave her
-    // draft file as it was.
+    // A concurrent change must not be overwritten, and the operator's draft file must not change.
     @Test
     public void conflictPrintsAuthorAndDifference() throws IOException {
         accept("0", "Asha");
@@ -173,12 +171,11 @@
         write("40");
         String draft = Files.readString(mDraft);
         assertEquals(accept("1", "Asha"), ExitCode.CONFLICT);
-        assertPrinted("change 2 by Bela came first, and you started from 1");
+        assertPrinted("newest is change 2 by Bela, but the draft is based on 1.");
         assertPrinted("-rate = 20" + System.lineSeparator() + "+rate = 30");
         assertEquals(Files.readString(mDraft), draft);
     }
 
-    // The store writes the change, and its answer is lost. The operator must be told "accepted".
     @Test
     public void lostResponseResolvesToAccepted() {
         mStore.loseNextHeadResponse(false);
@@ -186,8 +183,6 @@
         assertPrinted("Accepted as change 1.");
     }
 
-    // The store writes the change, its answer is lost, and then the store stays away. The operator
-    // is told "unknown" and how to ask; when the store is back, the answer is yes.
     @Test
     public void storeUnavailableAfterLostResponseIsUnknownUntilResolved() {
         mStore.loseNextHeadResponse(true);
@@ -216,9 +211,9 @@
         mVms.mTemplates.put(VM_1, new TemplateStatus(true, 1, 1));
         mVms.mTemplates.put(VM_2, new TemplateStatus(false, 0, 0));
         assertEquals(accept("0", "Asha", "--vm", "10.0.0.1:82"), ExitCode.OK);
-        assertPrinted("1 VMs have it in force: vm-1");
+        assertPrinted("1 VMs have applied the change: vm-1");
         assertPrinted("1 VMs hold no template of this customer: vm-2");
-        assertPrinted("1 VMs gave no answer: vm-3");
+        assertPrinted("1 VMs didn't respond: vm-3");
     }
 
     @Test
@@ -236,13 +231,13 @@
     public void explainListsUnresponsiveVms() {
         mVms.mMembers.add(new Member("vm-3", VM_3, "alive"));
         assertEquals(run("explain", "--vm", "10.0.0.1:82"), ExitCode.FAILED);
-        assertPrinted("No answer from: vm-3.");
+        assertPrinted("No response from: vm-3.");
     }
 
     @Test
     public void unknownSubcommandListsSubcommands() {
         assertEquals(run("acept"), ExitCode.USAGE);
-        assertPrinted("there are check, accept, show");
+        assertPrinted("Unknown subcommand 'acept'; expected one of check, accept, show");
         assertFalse(output().contains("Exception"), output());
     }
 
