--- a/standins/src/main/java/org/dahliapass/standins/BlockingReadParameters.java
+++ b/standins/src/main/java/org/dahliapass/standins/BlockingReadParameters.java
@@ -3,10 +3,10 @@
 import com.linecorp.armeria.common.QueryParams;
 
 /**
- * What a blocking read asks for.
+ * The query parameters of a blocking read.
  *
- * @param index answer once the index is higher; 0 for at once
- * @param waitMillis answer after this time at the latest, in milliseconds
+ * @param index the read returns once the key's index is higher; 0 returns at once
+ * @param waitMillis the maximum wait, in milliseconds
  */
 record BlockingReadParameters(long index, long waitMillis) {
     private static final String DEFAULT_WAIT = "5m";
@@ -22,7 +22,12 @@
         return index > 0;
     }
 
-    /** Returns the milliseconds of a time such as {@code 500ms}, {@code 10s} or {@code 5m}. */
+    /**
+     * Parses a duration such as {@code 500ms}, {@code 10s} or {@code 5m}.
+     *
+     * @return the duration in milliseconds
+     * @throws IllegalArgumentException if the unit is missing or the number is malformed
+     */
     static long parseMillis(String text) {
         if (text.endsWith("ms")) {
             return number(text, 2);
@@ -33,7 +38,8 @@
         if (text.endsWith("m")) {
             return number(text, 1) * MILLIS_PER_MINUTE;
         }
-        throw new IllegalArgumentException("write a time as 500ms, 10s or 5m, not " + text);
+        throw new IllegalArgumentException(
+                "duration must be written as 500ms, 10s or 5m, but is " + text);
     }
 
     private static long number(String text, int unitLength) {
--- a/standins/src/main/java/org/dahliapass/standins/BlockingReads.java
+++ b/standins/src/main/java/org/dahliapass/standins/BlockingReads.java
@@ -8,66 +8,63 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
 
-/** Holds blocking reads until their key's index has grown or their wait has ended. */
+/** The pending blocking reads, each until its key's index increases or its wait expires. */
 final class BlockingReads {
-    private record Waiting(String key, long index, CompletableFuture<Void> ready) {}
+    private record PendingRead(String key, long index, CompletableFuture<Void> ready) {}
 
-    private final Set<Waiting> mWaiting = ConcurrentHashMap.newKeySet();
-    private final ToLongFunction<String> mIndexOf;
+    private final Set<PendingRead> mPendingReads = ConcurrentHashMap.newKeySet();
+    private final ToLongFunction<String> mIndexByKey;
     private volatile boolean mClosed;
 
     BlockingReads(ToLongFunction<String> indexOf) {
-        mIndexOf = indexOf;
+        mIndexByKey = indexOf;
     }
 
-    /** Returns how many reads wait. */
+    /** Returns the number of pending reads. */
     int size() {
-        return mWaiting.size();
+        return mPendingReads.size();
     }
 
-    /** Returns a future that completes when the read is to be answered. */
+    /** Returns a future that completes when the read should return. */
     CompletableFuture<Void> await(String key, BlockingReadParameters wait, EventLoop eventLoop) {
         if (!wait.isBlocking()) {
             return CompletableFuture.completedFuture(null);
         }
-        Waiting waiting = new Waiting(key, wait.index(), new CompletableFuture<>());
-        mWaiting.add(waiting);
+        PendingRead read = new PendingRead(key, wait.index(), new CompletableFuture<>());
+        mPendingReads.add(read);
         Future<?> timer =
                 eventLoop.schedule(
-                        () -> waiting.ready.complete(null),
-                        wait.waitMillis(),
-                        TimeUnit.MILLISECONDS);
-        // A change between the caller's look and the line above would else be missed.
+                        () -> read.ready.complete(null), wait.waitMillis(), TimeUnit.MILLISECONDS);
+        // Catches a change between the caller's read of the index and the registration above.
         completeChanged();
         if (mClosed) {
-            waiting.ready.complete(null);
+            read.ready.complete(null);
         }
-        return waiting.ready.whenComplete(
-                (nothing, failure) -> {
+        return read.ready.whenComplete(
+                (ignored, failure) -> {
                     timer.cancel(false);
-                    mWaiting.remove(waiting);
+                    mPendingReads.remove(read);
                 });
     }
 
-    /** Answers the reads whose key's index has grown. */
+    /** Completes the reads whose key's index has increased. */
     void completeChanged() {
-        for (Waiting waiting : mWaiting) {
-            if (mIndexOf.applyAsLong(waiting.key) > waiting.index) {
-                waiting.ready.complete(null);
+        for (PendingRead read : mPendingReads) {
+            if (mIndexByKey.applyAsLong(read.key) > read.index) {
+                read.ready.complete(null);
             }
         }
     }
 
-    /** Answers all reads. */
+    /** Completes all reads. */
     void completeAll() {
-        mWaiting.forEach(waiting -> waiting.ready.complete(null));
+        mPendingReads.forEach(read -> read.ready.complete(null));
     }
 
     /**
-     * Answers all reads, later ones at once.
+     * Completes all pending reads, and later reads at once.
      *
-     * <p>Guards against clients that ask again as soon as they are answered: their new reads would
-     * wait, and the server's stop would wait for them until its grace has passed.
+     * <p>Otherwise clients that repeat their blocking read would delay the server's shutdown.
      */
     void close() {
         mClosed = true;
--- a/standins/src/main/java/org/dahliapass/standins/CallerStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/CallerStandIn.java
@@ -10,18 +10,17 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Stands in for a caller that opens a connection for each request, byte by byte, so that it can
- * also send what no HTTP library would.
+ * A caller that opens a connection for each request and writes raw bytes, so that tests can send
+ * malformed HTTP.
  */
 public final class CallerStandIn {
-    private static final String LENGTH = "\r\ncontent-length:";
+    private static final String CONTENT_LENGTH_FIELD = "\r\ncontent-length:";
     private static final String HEAD_END = "\r\n\r\n";
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
-    private static final int STATUS_FROM = 9;
-    private static final int STATUS_TO = 12;
+    private static final int STATUS_START = 9;
+    private static final int STATUS_END = 12;
 
-    /** Ends a call whose connection stays open against expectation, in milliseconds. */
-    private static final int LONGEST_SILENCE_MILLIS = 20_000;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     private final Endpoint mServer;
     private final String mHost;
@@ -29,8 +28,8 @@
     /**
      * Creates a caller.
      *
-     * @param server where it connects
-     * @param host the host that its requests name
+     * @param server the server to connect to
+     * @param host the value of the Host header
      */
     public CallerStandIn(Endpoint server, String host) {
         mServer = server;
@@ -38,11 +37,11 @@
     }
 
     /**
-     * Sends a request with two seconds of patience.
+     * Sends a request with a deadline of two seconds and returns the response.
      *
-     * @param call the method and the path
-     * @param id identifies the attempt
-     * @return the whole answer as it came
+     * @param call the method and the path, separated by a blank
+     * @param id the attempt ID
+     * @return the raw response, including the status line and headers
      */
     public String send(String call, String id, String body) {
         return sendRaw(
@@ -57,28 +56,28 @@
                         + body);
     }
 
-    /** Reads a path of any server. */
+    /** Sends a GET request to the server and returns the raw response. */
     public static String get(Endpoint server, String path) {
         return new CallerStandIn(server, "vm")
                 .sendRaw("GET " + path + " HTTP/1.1\r\nHost: vm\r\nConnection: close\r\n\r\n");
     }
 
-    /** Sends bytes on a connection of their own and returns the answer to them. */
+    /** Sends raw bytes on a new connection and returns the raw response. */
     public String sendRaw(String bytes) {
         try (Socket socket = new Socket(InetAddress.getByName(mServer.host()), mServer.port())) {
-            socket.setSoTimeout(LONGEST_SILENCE_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
-            return readAnswer(socket.getInputStream());
+            return readResponse(socket.getInputStream());
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
     }
 
     /**
-     * Opens a connection of its own and sends bytes there, without waiting for an answer.
+     * Opens a connection and sends raw bytes without waiting for a response.
      *
-     * @return the connection, for the test to close
+     * @return the open connection, which the caller closes
      */
     public Socket open(String bytes) {
         try {
@@ -91,39 +90,39 @@
         }
     }
 
-    /** Returns the status of an answer; 0 if there was none. */
-    public static int status(String answer) {
-        return answer.length() < STATUS_TO
+    /** Returns the status code of a raw response; 0 if there was no response. */
+    public static int status(String response) {
+        return response.length() < STATUS_END
                 ? 0
-                : Integer.parseInt(answer.substring(STATUS_FROM, STATUS_TO));
+                : Integer.parseInt(response.substring(STATUS_START, STATUS_END));
     }
 
-    /** Reads up to the answer's own end: a server may leave the closing to the client. */
-    private static String readAnswer(InputStream input) throws IOException {
-        StringBuilder answer = new StringBuilder();
+    /** Stops at the end of the message because a server may leave the connection open. */
+    private static String readResponse(InputStream input) throws IOException {
+        StringBuilder response = new StringBuilder();
         int next = input.read();
         while (next >= 0) {
-            answer.append((char) next);
-            if (isWhole(answer)) {
-                return answer.toString();
+            response.append((char) next);
+            if (isComplete(response)) {
+                return response.toString();
             }
             next = input.read();
         }
-        return answer.toString();
+        return response.toString();
     }
 
-    private static boolean isWhole(StringBuilder answer) {
-        int end = answer.indexOf(HEAD_END);
+    private static boolean isComplete(StringBuilder response) {
+        int end = response.indexOf(HEAD_END);
         if (end < 0) {
             return false;
         }
-        String head = answer.substring(0, end).toLowerCase(Locale.ROOT);
-        int length = head.indexOf(LENGTH);
+        String head = response.substring(0, end).toLowerCase(Locale.ROOT);
+        int length = head.indexOf(CONTENT_LENGTH_FIELD);
         if (length < 0) {
-            return answer.indexOf(LAST_CHUNK, end) >= 0;
+            return response.indexOf(LAST_CHUNK, end) >= 0;
         }
-        String number = head.substring(length + LENGTH.length()).split("\r\n", 2)[0];
-        int received = answer.length() - end - HEAD_END.length();
+        String number = head.substring(length + CONTENT_LENGTH_FIELD.length()).split("\r\n", 2)[0];
+        int received = response.length() - end - HEAD_END.length();
         return received >= Integer.parseInt(number.trim());
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/GatewayFixtures.java
+++ b/standins/src/main/java/org/dahliapass/standins/GatewayFixtures.java
@@ -8,13 +8,17 @@
 import java.util.List;
 import org.dahliapass.model.Endpoint;
 
-/** The configuration and the settings of one gateway VM on the loopback address, as texts. */
+/** Creates configuration and settings texts for a gateway VM on the loopback address. */
 public final class GatewayFixtures {
-    private static final int ADDRESSES = 5;
+    private static final int PORT_COUNT = 5;
 
     private GatewayFixtures() {}
 
-    /** Returns a configuration with a route for reads and one for locks at host a.example. */
+    /**
+     * Returns a configuration with a safe and an unsafe route for host a.example.
+     *
+     * @param reads the path prefix of the safe route
+     */
     public static String configuration(long version, String reads) {
         return "{\"version\":"
                 + version
@@ -29,7 +33,7 @@
                 + "\"idle_timeout_s\":15}}";
     }
 
-    /** Returns settings with free ports of this machine. */
+    /** Returns settings with free local ports. */
     public static String settings(Endpoint store) {
         List<Integer> ports = freePorts();
         return String.format(
@@ -46,7 +50,7 @@
     private static List<Integer> freePorts() {
         List<ServerSocket> sockets = new ArrayList<>();
         try {
-            for (int number = 0; number < ADDRESSES; number++) {
+            for (int number = 0; number < PORT_COUNT; number++) {
                 sockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
             }
             List<Integer> ports = sockets.stream().map(ServerSocket::getLocalPort).toList();
--- a/standins/src/main/java/org/dahliapass/standins/HttpResponses.java
+++ b/standins/src/main/java/org/dahliapass/standins/HttpResponses.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Answers that all stand-ins share: JSON, and connections that end without one. */
+/** Creates the HTTP responses and JSON services that all stand-ins share. */
 final class HttpResponses {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -29,31 +29,34 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException failure) {
-            throw new IllegalArgumentException("not a JSON value: " + value, failure);
+            throw new IllegalArgumentException("value can't be encoded as JSON: " + value, failure);
         }
     }
 
     /**
-     * Reads a JSON value.
+     * Parses JSON text as a value of the type.
      *
-     * @throws IllegalArgumentException if it isn't one of that type
+     * @throws IllegalArgumentException if the text isn't valid JSON of that type
      */
     static <T> T decode(String json, Class<T> type) {
         try {
             return MAPPER.readValue(json, type);
         } catch (JsonProcessingException failure) {
             throw new IllegalArgumentException(
-                    "send a JSON " + type.getSimpleName() + ": " + failure.getOriginalMessage(),
+                    "request body isn't a JSON "
+                            + type.getSimpleName()
+                            + ": "
+                            + failure.getOriginalMessage(),
                     failure);
         }
     }
 
-    /** Returns a service that answers with a value read at each call. */
+    /** Returns a service that responds with the supplier's current value as JSON. */
     static HttpService valueService(Supplier<?> value) {
         return (context, request) -> json(value.get());
     }
 
-    /** Returns a service that takes a JSON body as the whole new state and answers with it. */
+    /** Returns a service that replaces a state by the JSON body and responds with the new state. */
     static <T> HttpService replaceService(Class<T> type, Consumer<T> target) {
         return (context, request) ->
                 HttpResponse.of(
@@ -66,7 +69,7 @@
                                         }));
     }
 
-    /** Closes the connection that a request came on, so that the caller gets no answer. */
+    /** Closes the request's connection without a response. */
     static HttpResponse closeConnection(ServiceRequestContext context) {
         Future<?> unused =
                 context.log().ensureAvailable(RequestLogProperty.SESSION).channel().close();
--- a/standins/src/main/java/org/dahliapass/standins/InFlightRequest.java
+++ b/standins/src/main/java/org/dahliapass/standins/InFlightRequest.java
@@ -13,42 +13,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request that holds a slot until it is answered, abandoned or cancelled.
+ * A request that holds a target's slot until it is completed, times out or is cancelled.
  *
- * <p>All methods run on the request's event loop.
+ * <p>Not thread-safe; all methods run on the request's event loop.
  */
 final class InFlightRequest {
     private final TargetState mState;
     private final HttpResponseWriter mWriter;
     private final EventLoop mEventLoop;
     private final List<Future<?>> mTimers = new ArrayList<>();
-    private boolean mEnded;
+    private boolean mFinished;
     private boolean mHeadersSent;
 
     InFlightRequest(TargetState state, HttpResponseWriter writer, EventLoop eventLoop) {
         mState = state;
         mWriter = writer;
         mEventLoop = eventLoop;
-        // A client that resets the stream or closes the connection ends the response; the slot
-        // would else stay taken until the work is done for nobody.
+        // Releases the slot as soon as the client resets the stream or closes the connection.
         Future<?> unused =
                 writer.whenComplete()
                         .handleAsync(
-                                (nothing, failure) -> {
+                                (ignored, failure) -> {
                                     onStreamEnd();
                                     return null;
                                 },
                                 eventLoop);
     }
 
-    /** Does a step of the work after a time, unless the work has ended by then. */
+    /** Schedules a step after a delay in milliseconds; it is skipped if the request has ended. */
     void schedule(long millis, Runnable step) {
-        mTimers.add(mEventLoop.schedule(() -> ifOpen(step), millis, TimeUnit.MILLISECONDS));
+        mTimers.add(
+                mEventLoop.schedule(() -> runUnlessFinished(step), millis, TimeUnit.MILLISECONDS));
     }
 
-    /** Answers with a status and no content worth reading. */
+    /** Responds with the status and an empty body; aborts a response whose headers were sent. */
     void fail(HttpStatus status) {
-        if (!end()) {
+        if (!finish()) {
             return;
         }
         if (mHeadersSent) {
@@ -59,23 +59,23 @@
         mWriter.close();
     }
 
-    /** Answers with a JSON body, or with its first half and a closed stream. */
+    /** Responds with a JSON body; if {@code closeEarly}, aborts after the first half. */
     void respond(byte[] json, boolean closeEarly) {
         writeHeaders(MediaType.JSON_UTF_8, json.length);
         if (closeEarly) {
             mWriter.write(HttpData.copyOf(json, 0, json.length / 2));
-            closeOnceConsumed();
+            abortOnceConsumed();
             return;
         }
-        end();
+        finish();
         mWriter.write(HttpData.wrap(json));
         mWriter.close();
     }
 
-    /** Answers with a body of that many bytes, as fast as the client reads it. */
+    /** Responds with a body of {@code length} bytes, as fast as the client reads them. */
     void stream(long length, boolean closeEarly) {
         writeHeaders(MediaType.OCTET_STREAM, length);
-        writeFrom(0, closeEarly ? length / 2 : length, closeEarly);
+        writeChunksFrom(0, closeEarly ? length / 2 : length, closeEarly);
     }
 
     private void writeHeaders(MediaType type, long length) {
@@ -87,28 +87,28 @@
                         .build());
     }
 
-    private void writeFrom(long offset, long end, boolean closeEarly) {
-        if (mEnded) {
+    private void writeChunksFrom(long offset, long end, boolean closeEarly) {
+        if (mFinished) {
             return;
         }
         if (offset < end) {
             HttpData piece = PatternBody.chunk(offset, end);
             mWriter.write(piece);
-            whenConsumed(() -> writeFrom(offset + piece.length(), end, closeEarly));
+            whenConsumed(() -> writeChunksFrom(offset + piece.length(), end, closeEarly));
             return;
         }
         if (closeEarly) {
-            closeOnceConsumed();
+            abortOnceConsumed();
             return;
         }
-        end();
+        finish();
         mWriter.close();
     }
 
-    private void closeOnceConsumed() {
+    private void abortOnceConsumed() {
         whenConsumed(
                 () -> {
-                    end();
+                    finish();
                     mWriter.close(AbortedStreamException.get());
                 });
     }
@@ -117,24 +117,24 @@
         Future<?> unused = mWriter.whenConsumed().thenRunAsync(next, mEventLoop);
     }
 
-    private void ifOpen(Runnable step) {
-        if (!mEnded) {
+    private void runUnlessFinished(Runnable step) {
+        if (!mFinished) {
             step.run();
         }
     }
 
     private void onStreamEnd() {
-        if (end()) {
+        if (finish()) {
             mState.countCancelled();
         }
     }
 
-    /** Frees the slot; false if the work had ended before. */
-    private boolean end() {
-        if (mEnded) {
+    /** Releases the slot; returns false if the request had already ended. */
+    private boolean finish() {
+        if (mFinished) {
             return false;
         }
-        mEnded = true;
+        mFinished = true;
         mTimers.forEach(timer -> timer.cancel(false));
         mState.releaseSlot();
         return true;
--- a/standins/src/main/java/org/dahliapass/standins/KeyValueEntry.java
+++ b/standins/src/main/java/org/dahliapass/standins/KeyValueEntry.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One key of the store as its HTTP API shows it.
+ * An entry of the store, as its HTTP API returns it.
  *
  * @param key the key
  * @param value the value in base64
- * @param createIndex the index of the write that made the key
- * @param modifyIndex the index of the newest write, acquire or release
- * @param session the session that holds the key, empty if none
+ * @param createIndex the index of the write that created the key
+ * @param modifyIndex the index of the last write, acquire or release
+ * @param session the ID of the session that holds the key; empty if none
  */
 public record KeyValueEntry(
         @JsonProperty("Key") String key,
--- a/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/KeyValueTable.java
@@ -8,20 +8,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The store's keys and sessions: compare-and-swap by modify index, and keys held by sessions.
+ * An in-memory key-value table with compare-and-swap by modify index and session locks.
  *
- * <p>Each call first lets the sessions lapse whose time to live has run out at {@code nowMillis};
- * their keys are released but kept. There is no delay between a lapse and the next acquire.
+ * <p>Each call first expires the sessions whose time to live has passed at {@code nowMillis}. Their
+ * keys are released but not deleted, and can be acquired at once. Thread-safe.
  */
 public final class KeyValueTable {
-    /** The index of a key that was never written. */
+    /** The modify index of a key that was never written. */
     public static final long FIRST_INDEX = 1;
 
-    /** The time to live of a session that never lapses by itself. */
+    /** The time to live of a session that never expires. */
     public static final long UNLIMITED = 0;
 
-    private record Session(long timeToLiveMillis, long endsAtMillis) {
-        static Session begin(long timeToLiveMillis, long nowMillis) {
+    private record Session(long timeToLiveMillis, long expiresAtMillis) {
+        static Session startingAt(long timeToLiveMillis, long nowMillis) {
             return new Session(
                     timeToLiveMillis,
                     timeToLiveMillis == UNLIMITED ? Long.MAX_VALUE : nowMillis + timeToLiveMillis);
@@ -29,49 +29,49 @@
     }
 
     private final Map<String, KeyValueEntry> mEntries = new HashMap<>();
-    private final Map<String, Long> mRemovals = new HashMap<>();
+    private final Map<String, Long> mRemovalIndexes = new HashMap<>();
     private final Map<String, Session> mSessions = new HashMap<>();
     private final RandomGenerator mRandom;
     private long mIndex = FIRST_INDEX;
 
-    /** Creates an empty table that draws session ids from the generator. */
+    /** Creates an empty table that generates session IDs from {@code random}. */
     public KeyValueTable(RandomGenerator random) {
         mRandom = random;
     }
 
-    /** Returns the key's entry, empty if it is absent. */
+    /** Returns the key's entry; empty if the key is absent. */
     public synchronized Optional<KeyValueEntry> get(String key, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         return Optional.ofNullable(mEntries.get(key));
     }
 
-    /** Returns the index of the key's newest change, its removal included. */
+    /** Returns the index of the key's last change, including its removal. */
     public synchronized long index(String key, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         KeyValueEntry entry = mEntries.get(key);
-        return entry != null ? entry.modifyIndex() : mRemovals.getOrDefault(key, FIRST_INDEX);
+        return entry != null ? entry.modifyIndex() : mRemovalIndexes.getOrDefault(key, FIRST_INDEX);
     }
 
-    /** Writes the key whatever it holds; a holder keeps it. */
+    /** Writes the key unconditionally; a session that holds the key still holds it. */
     public synchronized void put(String key, String value, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         store(key, value, holder(key));
     }
 
-    /** Writes the key if its modify index is the expected one; 0 expects that it is absent. */
+    /** Writes the key if its modify index is {@code expected}; 0 means that it is absent. */
     public synchronized boolean compareAndSwap(
             String key, String value, long expected, long nowMillis) {
-        lapse(nowMillis);
-        if (!isAt(key, expected)) {
+        expireSessions(nowMillis);
+        if (!hasModifyIndex(key, expected)) {
             return false;
         }
         store(key, value, holder(key));
         return true;
     }
 
-    /** Writes and holds the key if the session is alive and no other session holds the key. */
+    /** Writes and locks the key if the session is alive and no other session holds the key. */
     public synchronized boolean acquire(String key, String value, String session, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         String holder = holder(key);
         if (!mSessions.containsKey(session) || !(holder.isEmpty() || holder.equals(session))) {
             return false;
@@ -82,7 +82,7 @@
 
     /** Writes and releases the key if the session holds it. */
     public synchronized boolean release(String key, String value, String session, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         if (session.isEmpty() || !holder(key).equals(session)) {
             return false;
         }
@@ -90,61 +90,63 @@
         return true;
     }
 
-    /** Removes the key. */
+    /** Deletes the key. */
     public synchronized void delete(String key, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         remove(key);
     }
 
-    /** Removes the key if its modify index is the expected one. */
+    /** Deletes the key if its modify index is {@code expected}. */
     public synchronized boolean compareAndDelete(String key, long expected, long nowMillis) {
-        lapse(nowMillis);
-        if (!isAt(key, expected)) {
+        expireSessions(nowMillis);
+        if (!hasModifyIndex(key, expected)) {
             return false;
         }
         remove(key);
         return true;
     }
 
-    /** Makes a session with a time to live in milliseconds and returns its id. */
+    /** Creates a session with a time to live in milliseconds and returns its ID. */
     public synchronized String createSession(long timeToLiveMillis, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         String id = new UUID(mRandom.nextLong(), mRandom.nextLong()).toString();
-        mSessions.put(id, Session.begin(timeToLiveMillis, nowMillis));
+        mSessions.put(id, Session.startingAt(timeToLiveMillis, nowMillis));
         return id;
     }
 
-    /** Begins the session's time to live anew; false if the session has lapsed. */
+    /** Restarts the session's time to live; returns false if the session has expired. */
     public synchronized boolean renewSession(String id, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         return mSessions.computeIfPresent(
-                        id, (same, session) -> Session.begin(session.timeToLiveMillis(), nowMillis))
+                        id,
+                        (same, session) ->
+                                Session.startingAt(session.timeToLiveMillis(), nowMillis))
                 != null;
     }
 
     /** Returns whether the session is alive. */
     public synchronized boolean hasSession(String id, long nowMillis) {
-        lapse(nowMillis);
+        expireSessions(nowMillis);
         return mSessions.containsKey(id);
     }
 
-    /** Ends the session and releases its keys. */
+    /** Destroys the session and releases its keys. */
     public synchronized void destroySession(String id, long nowMillis) {
-        lapse(nowMillis);
-        end(id);
+        expireSessions(nowMillis);
+        invalidateSession(id);
     }
 
-    private void lapse(long nowMillis) {
-        List<String> lapsed =
+    private void expireSessions(long nowMillis) {
+        List<String> expired =
                 mSessions.entrySet().stream()
-                        .filter(session -> session.getValue().endsAtMillis() <= nowMillis)
+                        .filter(session -> session.getValue().expiresAtMillis() <= nowMillis)
                         .map(Map.Entry::getKey)
                         .sorted()
                         .toList();
-        lapsed.forEach(this::end);
+        expired.forEach(this::invalidateSession);
     }
 
-    private void end(String session) {
+    private void invalidateSession(String session) {
         mSessions.remove(session);
         List<KeyValueEntry> held =
                 mEntries.values().stream()
@@ -158,7 +160,7 @@
         return entry == null ? "" : entry.session();
     }
 
-    private boolean isAt(String key, long expected) {
+    private boolean hasModifyIndex(String key, long expected) {
         KeyValueEntry entry = mEntries.get(key);
         return (entry == null ? 0 : entry.modifyIndex()) == expected;
     }
@@ -173,7 +175,7 @@
     private void remove(String key) {
         if (mEntries.remove(key) != null) {
             mIndex++;
-            mRemovals.put(key, mIndex);
+            mRemovalIndexes.put(key, mIndex);
         }
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/LoopbackServer.java
+++ b/standins/src/main/java/org/dahliapass/standins/LoopbackServer.java
@@ -21,23 +21,23 @@
 import java.util.function.Consumer;
 import org.dahliapass.model.Endpoint;
 
-/** An HTTP/1.1 and h2c server on 127.0.0.1 without limits on time or number of requests. */
+/** An HTTP/1.1 and h2c server on 127.0.0.1 without request timeouts or limits. */
 final class LoopbackServer implements AutoCloseable {
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
-    /** How long a stop waits for the work in flight. */
-    private static final Duration GRACE = Duration.ofSeconds(30);
+    /** The maximum time that a shutdown waits for requests in flight. */
+    private static final Duration GRACE_PERIOD = Duration.ofSeconds(30);
 
     /**
-     * How long no request may be in flight before the connections are closed. Not zero: Armeria
-     * takes that as a stop which doesn't wait, and answers in flight would be cut off.
+     * The idle time before the connections are closed. Not zero, because Armeria would then shut
+     * down without waiting for responses in flight.
      */
     private static final Duration QUIET_PERIOD = Duration.ofMillis(1);
 
-    /** How long a closing h2c connection still takes requests that crossed its GOAWAY. */
+    /** The time for which a closing h2c connection accepts requests that crossed its GOAWAY. */
     private static final Duration CONNECTION_DRAIN = Duration.ofMillis(100);
 
-    private static final long PORT_CHECK_MILLIS = 10;
+    private static final long PORT_POLL_PERIOD_MILLIS = 10;
 
     private final ChannelGroup mConnections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final Server mServer;
@@ -47,8 +47,8 @@
      * Creates the server.
      *
      * @param port the TCP port, 0 for a free one
-     * @param services adds the services; one that throws {@link IllegalArgumentException} answers
-     *     400
+     * @param services adds the services; a service that throws {@link IllegalArgumentException}
+     *     responds with status 400
      */
     LoopbackServer(int port, Consumer<ServerBuilder> services) {
         ServerBuilder builder =
@@ -56,9 +56,9 @@
                         .http(new InetSocketAddress(HOST, port))
                         .requestTimeoutMillis(0)
                         .childChannelPipelineCustomizer(this::onConnection)
-                        .errorHandler(LoopbackServer::onFailure)
+                        .errorHandler(LoopbackServer::toErrorResponse)
                         .connectionDrainDuration(CONNECTION_DRAIN)
-                        .gracefulShutdownTimeout(QUIET_PERIOD, GRACE);
+                        .gracefulShutdownTimeout(QUIET_PERIOD, GRACE_PERIOD);
         services.accept(builder);
         mServer = builder.build();
     }
@@ -71,7 +71,7 @@
         return new Endpoint(HOST.getHostAddress(), mServer.activeLocalPort());
     }
 
-    /** Starts or ends to close connections as soon as they are opened. */
+    /** Sets whether open and new connections are closed at once. */
     void setRefusing(boolean refusing) {
         mRefusing = refusing;
         if (refusing) {
@@ -79,18 +79,18 @@
         }
     }
 
-    /** Closes the open connections; new ones are taken. */
+    /** Closes the open connections; new connections are still accepted. */
     void closeConnections() {
         Future<?> unused = mConnections.close();
     }
 
     /**
-     * Stops: refuses new connections, ends the requests in flight, and returns once the port is
+     * Stops accepting connections, completes the requests in flight, and returns once the port is
      * free and the last connection is closed.
      */
     @Override
     public void close() {
-        // Not joined: its end comes only after the acceptor threads' quiet period of two seconds.
+        // Not joined, because the future completes only after the acceptor's quiet period of 2 s.
         Future<?> unused = mServer.stop();
         awaitPortFree();
         mConnections.newCloseFuture().awaitUninterruptibly();
@@ -108,7 +108,7 @@
                                     }
                                 },
                                 0,
-                                PORT_CHECK_MILLIS,
+                                PORT_POLL_PERIOD_MILLIS,
                                 TimeUnit.MILLISECONDS);
         free.join();
         check.cancel(false);
@@ -122,8 +122,8 @@
         mConnections.add(pipeline.channel());
     }
 
-    /** Returns the answer to a wrong request; null leaves other failures to Armeria. */
-    private static HttpResponse onFailure(ServiceRequestContext context, Throwable failure) {
+    /** Returns status 400 for an invalid argument; null leaves other failures to Armeria. */
+    private static HttpResponse toErrorResponse(ServiceRequestContext context, Throwable failure) {
         Throwable cause = Exceptions.peel(failure);
         return cause instanceof IllegalArgumentException
                 ? HttpResponse.of(
--- a/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/MetadataStoreStandIn.java
@@ -23,17 +23,17 @@
 import java.util.function.Supplier;
 import org.dahliapass.model.Endpoint;
 
-/** Stands in for the platform's metadata store, by its published HTTP interface. */
+/** An in-memory stand-in for the platform's metadata store, with its published HTTP API. */
 public final class MetadataStoreStandIn implements StandIn {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long WATCH_STEP_MILLIS = 5;
+    private static final long WATCH_POLL_PERIOD_MILLIS = 5;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final Clock mClock;
     private final MetadataTable mTable = new MetadataTable();
     private final LoopbackServer mServer;
-    private final AtomicInteger mWatches = new AtomicInteger();
-    private volatile boolean mAway;
+    private final AtomicInteger mWatchCount = new AtomicInteger();
+    private volatile boolean mUnavailable;
 
     /**
      * Creates the stand-in.
@@ -42,16 +42,16 @@
      */
     public MetadataStoreStandIn(int port, Clock clock) {
         mClock = clock;
-        mServer = new LoopbackServer(port, this::declare);
+        mServer = new LoopbackServer(port, this::addRoutes);
     }
 
-    private void declare(ServerBuilder builder) {
+    private void addRoutes(ServerBuilder builder) {
         builder.route()
                 .get("/api/kv-range")
-                .build((context, call) -> ifThere(() -> range(context)))
+                .build((context, call) -> ifAvailable(() -> range(context)))
                 .route()
                 .get("/api/kv-watch")
-                .build((context, call) -> ifThere(() -> watch(context)))
+                .build((context, call) -> ifAvailable(() -> watch(context)))
                 .route()
                 .post("/api/kv-txn")
                 .build((context, call) -> withBody(call, this::transact))
@@ -63,54 +63,54 @@
                 .build((context, call) -> withBody(call, body -> renew(context)))
                 .route()
                 .delete("/api/kv-lease-end/{lease}")
-                .build((context, call) -> ifThere(() -> end(context)));
+                .build((context, call) -> ifAvailable(() -> revoke(context)));
     }
 
-    /** Writes a key as the operator or a target does. */
+    /** Writes a key without a lease. */
     public void put(String key, String value) {
         String encoded = Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8));
         mTable.put(key, encoded, MetadataTable.NO_LEASE, mClock.millis());
     }
 
-    /** Removes a key. */
+    /** Deletes a key. */
     public void remove(String key) {
         mTable.remove(key, mClock.millis());
     }
 
-    /** Returns the keys with a prefix. */
+    /** Returns the keys with the prefix, in order. */
     public List<String> keys(String prefix) {
         return mTable.range(prefix, mClock.millis()).stream()
                 .map(MetadataTable.Entry::key)
                 .toList();
     }
 
-    /** Makes the store answer 503 to every call, or serve again. */
-    public void setUnavailable(boolean away) {
-        mAway = away;
+    /** Sets whether the store responds to every request with status 503. */
+    public void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
     }
 
-    /** Forgets all changes so far, so that watches from before end with 410. */
+    /** Removes the change history, so that watches from older revisions fail with status 410. */
     public void compactHistory() {
         mTable.compactHistory();
     }
 
-    /** Returns how many watches were begun. */
+    /** Returns the number of watches started so far. */
     public int watchCount() {
-        return mWatches.get();
+        return mWatchCount.get();
     }
 
-    private HttpResponse ifThere(Supplier<HttpResponse> call) {
-        return mAway ? HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE) : call.get();
+    private HttpResponse ifAvailable(Supplier<HttpResponse> call) {
+        return mUnavailable ? HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE) : call.get();
     }
 
-    private HttpResponse withBody(HttpRequest call, Function<JsonNode, HttpResponse> answer) {
+    private HttpResponse withBody(HttpRequest call, Function<JsonNode, HttpResponse> response) {
         return HttpResponse.of(
                 call.aggregate()
                         .thenApply(
                                 (AggregatedHttpRequest body) ->
-                                        ifThere(
+                                        ifAvailable(
                                                 () ->
-                                                        answer.apply(
+                                                        response.apply(
                                                                 HttpResponses.decode(
                                                                         body.contentUtf8(),
                                                                         JsonNode.class)))));
@@ -128,40 +128,47 @@
 
     private HttpResponse watch(ServiceRequestContext context) {
         context.clearRequestTimeout();
-        mWatches.incrementAndGet();
+        mWatchCount.incrementAndGet();
         String prefix = context.queryParams().get("prefix", "");
-        long after = context.queryParams().getLong("after", 0);
-        long until = mClock.millis() + context.queryParams().getLong("wait_ms", 0);
-        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        step(context, prefix, after, until, answer);
-        return HttpResponse.of(answer);
+        long afterRevision = context.queryParams().getLong("after", 0);
+        long untilMillis = mClock.millis() + context.queryParams().getLong("wait_ms", 0);
+        CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+        pollWatch(context, prefix, afterRevision, untilMillis, response);
+        return HttpResponse.of(response);
     }
 
-    private void step(
+    private void pollWatch(
             ServiceRequestContext context,
             String prefix,
-            long after,
-            long until,
-            CompletableFuture<HttpResponse> answer) {
+            long afterRevision,
+            long untilMillis,
+            CompletableFuture<HttpResponse> response) {
         long now = mClock.millis();
-        Optional<List<MetadataTable.Change>> changes = mTable.changes(prefix, after, now);
-        if (mAway) {
-            answer.complete(HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE));
+        Optional<List<MetadataTable.Change>> changes = mTable.changes(prefix, afterRevision, now);
+        if (mUnavailable) {
+            response.complete(HttpResponse.of(HttpStatus.SERVICE_UNAVAILABLE));
         } else if (changes.isEmpty()) {
-            answer.complete(HttpResponse.of(HttpStatus.GONE));
-        } else if (!changes.get().isEmpty() || now >= until) {
-            answer.complete(HttpResponses.json(changes(changes.get(), mTable.revision(now))));
+            response.complete(HttpResponse.of(HttpStatus.GONE));
+        } else if (!changes.get().isEmpty() || now >= untilMillis) {
+            response.complete(
+                    HttpResponses.json(changesToJson(changes.get(), mTable.revision(now))));
         } else {
             Future<?> unused =
                     context.eventLoop()
                             .schedule(
-                                    () -> step(context, prefix, after, until, answer),
-                                    WATCH_STEP_MILLIS,
+                                    () ->
+                                            pollWatch(
+                                                    context,
+                                                    prefix,
+                                                    afterRevision,
+                                                    untilMillis,
+                                                    response),
+                                    WATCH_POLL_PERIOD_MILLIS,
                                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private static ObjectNode changes(List<MetadataTable.Change> changes, long revision) {
+    private static ObjectNode changesToJson(List<MetadataTable.Change> changes, long revision) {
         ObjectNode body = JSON.createObjectNode();
         ArrayNode events = body.putArray("events");
         for (MetadataTable.Change change : changes) {
@@ -213,7 +220,7 @@
                 : HttpResponse.of(HttpStatus.NOT_FOUND);
     }
 
-    private HttpResponse end(ServiceRequestContext context) {
+    private HttpResponse revoke(ServiceRequestContext context) {
         long lease = Long.parseLong(context.pathParam("lease"));
         return mTable.revoke(lease, mClock.millis())
                 ? HttpResponses.json(JSON.createObjectNode())
@@ -240,7 +247,7 @@
 
     @Override
     public void close() {
-        mAway = true;
+        mUnavailable = true;
         mServer.close();
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/MetadataTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/MetadataTable.java
@@ -10,61 +10,61 @@
 import java.util.TreeMap;
 
 /**
- * The keys and leases of the platform's metadata store, with one revision for all changes.
+ * An in-memory table of keys and leases with one revision counter for all changes.
  *
- * <p>Each call first ends the leases whose time is over at {@code nowMillis}, which removes their
- * keys.
+ * <p>Each call first expires the leases whose time to live has passed at {@code nowMillis} and
+ * deletes their keys. Thread-safe.
  */
 public final class MetadataTable {
-    /** The lease of keys that stay. */
+    /** The lease ID of keys without a lease. */
     public static final long NO_LEASE = 0;
 
     private final TreeMap<String, Entry> mEntries = new TreeMap<>();
     private final Map<Long, Lease> mLeases = new HashMap<>();
     private final Deque<Change> mChanges = new ArrayDeque<>();
     private long mRevision;
-    private long mForgotten;
-    private long mLastLease;
+    private long mCompactedRevision;
+    private long mLastLeaseId;
 
     /**
-     * A key with its value.
+     * A key and its value.
      *
      * @param key the key
-     * @param value its value in base64
-     * @param revision the revision of its last change
-     * @param created the revision of its creation
-     * @param lease the lease that it ends with
+     * @param value the value in base64
+     * @param revision the revision of the key's last change
+     * @param created the revision of the key's creation
+     * @param lease the ID of the lease that the key expires with; {@link #NO_LEASE} for none
      */
     public record Entry(String key, String value, long revision, long created, long lease) {}
 
     /**
-     * A change of one key.
+     * A write or a deletion of one key.
      *
      * @param key the key
      * @param revision the revision of the change
-     * @param entry the key as it was written; empty if it was removed
+     * @param entry the entry as written; empty for a deletion
      */
     public record Change(String key, long revision, Optional<Entry> entry) {}
 
-    private record Lease(long timeToLiveMillis, long endsAtMillis) {}
+    private record Lease(long timeToLiveMillis, long expiresAtMillis) {}
 
-    /** Returns the newest revision. */
+    /** Returns the current revision. */
     public synchronized long revision(long nowMillis) {
-        lapse(nowMillis);
+        expireLeases(nowMillis);
         return mRevision;
     }
 
-    /** Returns the keys with a prefix, in order. */
+    /** Returns the entries with the key prefix, in key order. */
     public synchronized List<Entry> range(String prefix, long nowMillis) {
-        lapse(nowMillis);
+        expireLeases(nowMillis);
         return mEntries.values().stream().filter(entry -> entry.key().startsWith(prefix)).toList();
     }
 
-    /** Returns the changes after a revision; empty if they are no longer known. */
+    /** Returns the changes after the revision; empty if that history has been compacted. */
     public synchronized Optional<List<Change>> changes(
             String prefix, long revision, long nowMillis) {
-        lapse(nowMillis);
-        if (revision < mForgotten) {
+        expireLeases(nowMillis);
+        if (revision < mCompactedRevision) {
             return Optional.empty();
         }
         return Optional.of(
@@ -74,77 +74,77 @@
                         .toList());
     }
 
-    /** Writes a key; false if there is no such lease. */
+    /** Writes the key; returns false if the lease doesn't exist. */
     public synchronized boolean put(String key, String value, long lease, long nowMillis) {
-        lapse(nowMillis);
+        expireLeases(nowMillis);
         if (lease != NO_LEASE && !mLeases.containsKey(lease)) {
             return false;
         }
         mRevision++;
-        Entry before = mEntries.get(key);
-        long created = before == null ? mRevision : before.created();
+        Entry previous = mEntries.get(key);
+        long created = previous == null ? mRevision : previous.created();
         Entry entry = new Entry(key, value, mRevision, created, lease);
         mEntries.put(key, entry);
         mChanges.add(new Change(key, mRevision, Optional.of(entry)));
         return true;
     }
 
-    /** Returns the revision of a key; 0 if it is absent. */
+    /** Returns the revision of the key; 0 if the key is absent. */
     public synchronized long revisionOf(String key, long nowMillis) {
-        lapse(nowMillis);
+        expireLeases(nowMillis);
         Entry entry = mEntries.get(key);
         return entry == null ? 0 : entry.revision();
     }
 
-    /** Removes a key. */
+    /** Deletes the key. */
     public synchronized void remove(String key, long nowMillis) {
-        lapse(nowMillis);
-        drop(key);
+        expireLeases(nowMillis);
+        removeEntry(key);
     }
 
-    /** Begins a lease and returns its number. */
+    /** Grants a lease and returns its ID. */
     public synchronized long grant(long timeToLiveMillis, long nowMillis) {
-        lapse(nowMillis);
-        mLastLease++;
-        mLeases.put(mLastLease, new Lease(timeToLiveMillis, nowMillis + timeToLiveMillis));
-        return mLastLease;
+        expireLeases(nowMillis);
+        mLastLeaseId++;
+        mLeases.put(mLastLeaseId, new Lease(timeToLiveMillis, nowMillis + timeToLiveMillis));
+        return mLastLeaseId;
     }
 
-    /** Renews a lease; false if it has ended. */
+    /** Renews the lease; returns false if it doesn't exist. */
     public synchronized boolean renew(long lease, long nowMillis) {
-        lapse(nowMillis);
+        expireLeases(nowMillis);
         return mLeases.computeIfPresent(
                         lease,
-                        (number, old) ->
+                        (id, old) ->
                                 new Lease(
                                         old.timeToLiveMillis(), nowMillis + old.timeToLiveMillis()))
                 != null;
     }
 
-    /** Ends a lease and removes its keys; false if it had ended. */
+    /** Revokes the lease and deletes its keys; returns false if it doesn't exist. */
     public synchronized boolean revoke(long lease, long nowMillis) {
-        lapse(nowMillis);
-        return endLease(lease);
+        expireLeases(nowMillis);
+        return revokeLease(lease);
     }
 
-    /** Forgets all changes so far. */
+    /** Removes the change history up to the current revision. */
     public synchronized void compactHistory() {
         mChanges.clear();
-        mForgotten = mRevision;
+        mCompactedRevision = mRevision;
     }
 
-    private void lapse(long nowMillis) {
-        List<Long> over = new ArrayList<>();
+    private void expireLeases(long nowMillis) {
+        List<Long> expired = new ArrayList<>();
         mLeases.forEach(
-                (number, lease) -> {
-                    if (lease.endsAtMillis() <= nowMillis) {
-                        over.add(number);
+                (id, lease) -> {
+                    if (lease.expiresAtMillis() <= nowMillis) {
+                        expired.add(id);
                     }
                 });
-        over.forEach(this::endLease);
+        expired.forEach(this::revokeLease);
     }
 
-    private boolean endLease(long lease) {
+    private boolean revokeLease(long lease) {
         if (mLeases.remove(lease) == null) {
             return false;
         }
@@ -152,11 +152,11 @@
                 .filter(entry -> entry.lease() == lease)
                 .map(Entry::key)
                 .toList()
-                .forEach(this::drop);
+                .forEach(this::removeEntry);
         return true;
     }
 
-    private void drop(String key) {
+    private void removeEntry(String key) {
         if (mEntries.remove(key) != null) {
             mRevision++;
             mChanges.add(new Change(key, mRevision, Optional.empty()));
--- a/standins/src/main/java/org/dahliapass/standins/RequestOutcome.java
+++ b/standins/src/main/java/org/dahliapass/standins/RequestOutcome.java
@@ -2,20 +2,20 @@
 
 import java.util.random.RandomGenerator;
 
-/** How one request for work ends at a target. */
+/** The outcome of a request at a target. */
 enum RequestOutcome {
-    /** It runs and is answered whole. */
+    /** The request is executed and gets a complete response. */
     COMPLETE,
-    /** It never runs; status 500. */
+    /** The request fails with status 500 without being executed. */
     FAIL_BEFORE_RUN,
-    /** It runs; status 500. */
+    /** The request is executed but fails with status 500. */
     FAIL_AFTER_RUN,
-    /** It runs and is never answered. */
+    /** The request is executed but never gets a response. */
     STALL,
-    /** It runs; its answer ends after half of the body. */
+    /** The request is executed; the response ends after half of the body. */
     CLOSE_EARLY;
 
-    /** Draws an outcome under the faults in force. */
+    /** Returns a random outcome under the active faults. */
     static RequestOutcome draw(TargetFaults faults, RandomGenerator random) {
         if (faults.stall()) {
             return STALL;
--- a/standins/src/main/java/org/dahliapass/standins/SigningTargetStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/SigningTargetStandIn.java
@@ -19,129 +19,133 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Stands in for a target that repeats the caller's id and signs its answers, byte by byte, so that
- * it can also send what no HTTP library would.
+ * A target stand-in that echoes the attempt ID and signs its responses. It writes raw bytes, so
+ * that tests can receive malformed HTTP.
  */
 public final class SigningTargetStandIn implements StandIn {
-    private static final String SEAL = "3e1b.07.5a2.600.0.c9f2a4d1";
+    private static final String SIGNATURE = "3e1b.07.5a2.600.0.c9f2a4d1";
     private static final int BACKLOG = 100;
-    private static final long RESET_PAUSE_NANOS = 100_000_000;
+    private static final long RESET_DELAY_NANOS = 100_000_000;
 
     private final String mInstance;
     private final ServerSocket mSocket;
-    private final List<ReceivedRequest> mSeen = new CopyOnWriteArrayList<>();
+    private final List<ReceivedRequest> mReceivedRequests = new CopyOnWriteArrayList<>();
     private final List<Socket> mConnections = new CopyOnWriteArrayList<>();
-    private final AtomicInteger mEnded = new AtomicInteger();
-    private final AtomicInteger mMisdirected = new AtomicInteger();
+    private final AtomicInteger mClosedConnectionCount = new AtomicInteger();
+    private final AtomicInteger mMisdirectedCount = new AtomicInteger();
     private Thread mAcceptor;
-    private volatile Function<ReceivedRequest, Behaviour> mBehaviour = seen -> Behaviour.RESPOND;
+    private volatile Function<ReceivedRequest, Behaviour> mBehaviour = request -> Behaviour.RESPOND;
 
-    /** What the target does with a request. */
+    /** The reaction of the target to a request. */
     public enum Behaviour {
-        /** Answers in full. */
+        /** Sends a complete response. */
         RESPOND {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                write(connection, head(seen, 200, "") + body(seen));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                write(connection, head(request, 200, "") + body(request));
             }
         },
-        /** Answers in full and once more, as if the answer had been lost. */
+        /** Sends the complete response twice. */
         RESPOND_TWICE {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                String answer = head(seen, 200, "") + body(seen);
-                write(connection, answer + answer);
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                String response = head(request, 200, "") + body(request);
+                write(connection, response + response);
             }
         },
-        /** States that it didn't run the request. */
+        /** Responds with 503 and states that the request wasn't executed. */
         SHED {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                write(connection, head(seen, 503, "X-Dahliapass-Not-Executed: 1\r\n") + body(seen));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                write(
+                        connection,
+                        head(request, 503, "X-Dahliapass-Not-Executed: 1\r\n") + body(request));
             }
         },
-        /** States that another target was meant, so that it didn't run the request. */
+        /** Responds with 421 because the request names another instance. */
         MISDIRECTED {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                write(connection, head(seen, 421, "X-Dahliapass-Not-Executed: 1\r\n") + body(seen));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                write(
+                        connection,
+                        head(request, 421, "X-Dahliapass-Not-Executed: 1\r\n") + body(request));
             }
         },
-        /** Runs the request and fails. */
+        /** Executes the request and responds with 500. */
         FAIL {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                write(connection, head(seen, 500, "") + body(seen));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                write(connection, head(request, 500, "") + body(request));
             }
         },
-        /** Takes the request and says nothing. */
+        /** Reads the request and never responds. */
         HANG {
             @Override
-            void act(Socket connection, ReceivedRequest seen) {}
+            void act(Socket connection, ReceivedRequest request) {}
         },
-        /** Closes the connection without an answer. */
+        /** Closes the connection without a response. */
         CLOSE {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
+            void act(Socket connection, ReceivedRequest request) throws IOException {
                 connection.close();
             }
         },
-        /** Breaks off in the middle of the body. */
+        /** Closes the connection before the end of the body. */
         TRUNCATE_BODY {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                String answer = head(seen, 200, "") + body(seen);
-                write(connection, answer.substring(0, answer.length() - 3));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                String response = head(request, 200, "") + body(request);
+                write(connection, response.substring(0, response.length() - 3));
                 connection.close();
             }
         },
-        /** Answers without a length and ends the body by closing. */
+        /** Responds without a Content-Length and ends the body by closing the connection. */
         CLOSE_DELIMITED {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                String head = head(seen, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
-                write(connection, head + body(seen));
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                String head = head(request, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
+                write(connection, head + body(request));
                 connection.close();
             }
         },
-        /** Answers without a length and resets the connection in the middle. */
+        /** Responds without a Content-Length and resets the connection within the body. */
         CLOSE_DELIMITED_RESET {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                String head = head(seen, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                String head = head(request, 200, "").replaceFirst("Content-Length: \\d+\r\n", "");
                 write(connection, head + "answ");
-                // Without this the reset may overtake the bytes, which would be another failure.
-                java.util.concurrent.locks.LockSupport.parkNanos(RESET_PAUSE_NANOS);
+                // Keeps the reset from discarding bytes that the client hasn't read yet.
+                java.util.concurrent.locks.LockSupport.parkNanos(RESET_DELAY_NANOS);
                 connection.setSoLinger(true, 0);
                 connection.close();
             }
         },
-        /** Begins to run the request and ends with its whole process. */
+        /** Stops like a process that crashes while it executes the request. */
         CRASH {
             @Override
-            void act(Socket connection, ReceivedRequest seen) throws IOException {
-                throw new ProcessEndedException();
+            void act(Socket connection, ReceivedRequest request) throws IOException {
+                throw new CrashException();
             }
         };
 
-        abstract void act(Socket connection, ReceivedRequest seen) throws IOException;
+        abstract void act(Socket connection, ReceivedRequest request) throws IOException;
 
-        private static String head(ReceivedRequest seen, int status, String more) {
+        private static String head(ReceivedRequest request, int status, String extraHeaders) {
             return "HTTP/1.1 "
                     + status
                     + " X\r\nX-Dahliapass-Attempt-Id: "
-                    + seen.headers().get("x-dahliapass-attempt-id")
+                    + request.headers().get("x-dahliapass-attempt-id")
                     + "\r\nX-Dahliapass-Server-Seal: "
-                    + SEAL
+                    + SIGNATURE
                     + "\r\n"
-                    + more
+                    + extraHeaders
                     + "Content-Length: "
-                    + body(seen).length()
+                    + body(request).length()
                     + "\r\n\r\n";
         }
 
-        private static String body(ReceivedRequest seen) {
-            return "answer to " + seen.headers().get("x-dahliapass-attempt-id");
+        private static String body(ReceivedRequest request) {
+            return "answer to " + request.headers().get("x-dahliapass-attempt-id");
         }
 
         private static void write(Socket connection, String bytes) throws IOException {
@@ -151,21 +155,21 @@
         }
     }
 
-    /** Ends the stand-in as the end of a process would. */
-    private static final class ProcessEndedException extends IOException {
+    /** Makes the stand-in stop like a crashed process. */
+    private static final class CrashException extends IOException {
         private static final long serialVersionUID = 1L;
     }
 
     /**
-     * A request as it came.
+     * A request as received.
      *
      * @param requestLine the request line
-     * @param headers the headers, names in lower case
+     * @param headers the headers by lower-case name
      * @param body the body
      */
     public record ReceivedRequest(String requestLine, Map<String, String> headers, String body) {}
 
-    /** Creates the stand-in on a free port. */
+    /** Creates a target with the instance name on a free port. */
     public SigningTargetStandIn(String instance) {
         mInstance = instance;
         try {
@@ -175,17 +179,17 @@
         }
     }
 
-    /** Sets what the target does with each request. */
+    /** Sets the function that selects the behaviour for each request. */
     public void setBehaviour(Function<ReceivedRequest, Behaviour> behaviour) {
         mBehaviour = behaviour;
     }
 
-    /** Returns the requests that came, in order. */
+    /** Returns the received requests, in order, without misdirected requests. */
     public List<ReceivedRequest> receivedRequests() {
-        return List.copyOf(mSeen);
+        return List.copyOf(mReceivedRequests);
     }
 
-    /** Returns the entry that the target keeps in the store. */
+    /** Returns the target's registration in the store, as JSON. */
     public String registration(String service, String state) {
         return "{\"service\":\""
                 + service
@@ -196,30 +200,31 @@
                 + "\",\"warmup_left_s\":0,\"seq_no\":1}";
     }
 
-    /** Returns the key of that entry. */
+    /** Returns the store key of the registration. */
     public String key() {
         return "servers/" + mInstance;
     }
 
     @Override
     public void start() {
-        mAcceptor = startThread("target-" + mInstance, this::acceptAll);
+        mAcceptor = startThread("target-" + mInstance, this::acceptConnections);
     }
 
-    private void acceptAll() {
+    private void acceptConnections() {
         while (!mSocket.isClosed()) {
             try {
                 Socket connection = mSocket.accept();
                 mConnections.add(connection);
-                Thread unused = startThread("connection-" + mInstance, () -> serveAll(connection));
+                Thread unused =
+                        startThread("connection-" + mInstance, () -> serveConnection(connection));
             } catch (IOException closed) {
-                // The socket was closed, which ends the loop.
+                // The socket was closed.
                 return;
             }
         }
     }
 
-    private void serveAll(Socket connection) {
+    private void serveConnection(Socket connection) {
         try {
             BufferedReader reader =
                     new BufferedReader(
@@ -227,43 +232,43 @@
                                     connection.getInputStream(), StandardCharsets.ISO_8859_1));
             String line = reader.readLine();
             while (line != null) {
-                ReceivedRequest seen = read(line, reader);
-                if (isMeant(seen)) {
-                    mSeen.add(seen);
-                    mBehaviour.apply(seen).act(connection, seen);
+                ReceivedRequest request = readRequest(line, reader);
+                if (isIntendedTarget(request)) {
+                    mReceivedRequests.add(request);
+                    mBehaviour.apply(request).act(connection, request);
                 } else {
-                    mMisdirected.incrementAndGet();
-                    Behaviour.MISDIRECTED.act(connection, seen);
+                    mMisdirectedCount.incrementAndGet();
+                    Behaviour.MISDIRECTED.act(connection, request);
                 }
                 line = reader.readLine();
             }
-        } catch (ProcessEndedException ended) {
-            endProcess();
+        } catch (CrashException ended) {
+            crash();
         } catch (IOException closed) {
-            // Either side closed the connection, which ends its thread.
-            mEnded.incrementAndGet();
+            // Either side closed the connection.
+            mClosedConnectionCount.incrementAndGet();
             return;
         }
-        mEnded.incrementAndGet();
+        mClosedConnectionCount.incrementAndGet();
     }
 
-    /** Runs also what names nobody, whichever service it was for. */
-    private boolean isMeant(ReceivedRequest seen) {
-        String expected = seen.headers().get("x-dahliapass-expect-instance");
+    /** A request that names no instance is accepted by every target. */
+    private boolean isIntendedTarget(ReceivedRequest request) {
+        String expected = request.headers().get("x-dahliapass-expect-instance");
         return expected == null || expected.equals(mInstance);
     }
 
-    /** Returns how many requests came that named another instance. */
+    /** Returns the number of requests that named another instance. */
     public int misdirectedCount() {
-        return mMisdirected.get();
+        return mMisdirectedCount.get();
     }
 
     /**
-     * Listens no more and resets all connections, as the kernel does for a process that ended.
+     * Stops listening and resets all connections, as the kernel does when a process ends.
      *
-     * <p>The port takes connections for as long as a thread waits for one, also after the close.
+     * <p>Joins the acceptor because the port accepts connections until its thread ends.
      */
-    private void endProcess() {
+    private void crash() {
         try {
             mSocket.close();
             mAcceptor.join();
@@ -280,22 +285,23 @@
         }
     }
 
-    /** Returns whether the process has ended or the stand-in was closed. */
+    /** Returns whether the target has crashed or was closed. */
     public boolean isStopped() {
         return mSocket.isClosed();
     }
 
-    /** Returns how many connections were opened to it. */
+    /** Returns the number of connections accepted so far. */
     public int connectionCount() {
         return mConnections.size();
     }
 
-    /** Returns how many of its connections have ended, whoever closed them. */
+    /** Returns the number of connections that either side has closed. */
     public int closedConnectionCount() {
-        return mEnded.get();
+        return mClosedConnectionCount.get();
     }
 
-    private static ReceivedRequest read(String line, BufferedReader reader) throws IOException {
+    private static ReceivedRequest readRequest(String line, BufferedReader reader)
+            throws IOException {
         Map<String, String> headers = new TreeMap<>();
         String header = reader.readLine();
         while (header != null && !header.isEmpty()) {
@@ -308,17 +314,17 @@
         char[] body = new char[Integer.parseInt(headers.getOrDefault("content-length", "0"))];
         int read = 0;
         while (read < body.length) {
-            int more = reader.read(body, read, body.length - read);
-            if (more < 0) {
-                throw new IOException("The body ended early.");
+            int count = reader.read(body, read, body.length - read);
+            if (count < 0) {
+                throw new IOException("request body is shorter than its Content-Length");
             }
-            read += more;
+            read += count;
         }
         return new ReceivedRequest(line, headers, new String(body));
     }
 
-    private static Thread startThread(String name, Runnable work) {
-        Thread thread = new Thread(work, name);
+    private static Thread startThread(String name, Runnable task) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/standins/src/main/java/org/dahliapass/standins/StandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/StandIn.java
@@ -2,15 +2,15 @@
 
 import org.dahliapass.model.Endpoint;
 
-/** A server on the loopback address that takes the place of a part outside the fleet. */
+/** A loopback server that replaces a system outside the fleet in tests and local runs. */
 public interface StandIn extends AutoCloseable {
-    /** Starts to serve and returns once connections are taken. */
+    /** Starts the server and returns once it accepts connections. */
     void start();
 
-    /** Returns where it is reached; only after {@link #start()}. */
+    /** Returns the server's address; valid only after {@link #start()}. */
     Endpoint endpoint();
 
-    /** Ends the work in flight, then stops; returns once it has stopped. */
+    /** Completes the requests in flight and returns once the server has stopped. */
     @Override
     void close();
 }
--- a/standins/src/main/java/org/dahliapass/standins/StandInProgram.java
+++ b/standins/src/main/java/org/dahliapass/standins/StandInProgram.java
@@ -8,7 +8,7 @@
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.Program;
 
-/** Runs stand-ins until SIGTERM, after one ready line on the standard output. */
+/** A program that starts stand-ins, prints one ready line and runs until SIGTERM. */
 abstract class StandInProgram extends Program {
     private static final String PORT = "port";
 
@@ -16,7 +16,7 @@
         super(name, purpose);
     }
 
-    /** Creates the stand-ins, not yet started. */
+    /** Creates the stand-ins without starting them. */
     abstract List<StandIn> create(OptionSet options);
 
     /** Returns the ready line's fields, for instance {@code store=127.0.0.1:40123}. */
@@ -29,7 +29,7 @@
 
     @Override
     protected final ExitCode run(OptionSet options) throws InterruptedException {
-        // Levels below go to the standard output, where they would drown the ready line.
+        // Lower levels go to the defaultValue output, where scripts read the ready line.
         System.setProperty("tinylog.level", "warn");
         List<StandIn> standIns = create(options);
         standIns.forEach(StandIn::start);
@@ -39,16 +39,15 @@
                                 () -> standIns.parallelStream().forEach(StandIn::close), "stop"));
         System.out.println("ready " + describe(standIns));
         System.out.flush();
-        // The process ends by a signal, which runs the hook above.
         new CountDownLatch(1).await();
         return ExitCode.OK;
     }
 
-    static void declareNumber(OptionParser parser, String name, String standard, String help) {
+    static void declareNumber(OptionParser parser, String name, String defaultValue, String help) {
         parser.accepts(name, help)
                 .withRequiredArg()
                 .ofType(Integer.class)
-                .defaultsTo(Integer.valueOf(standard));
+                .defaultsTo(Integer.valueOf(defaultValue));
     }
 
     static int number(OptionSet options, String name) {
--- a/standins/src/main/java/org/dahliapass/standins/StoreCall.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreCall.java
@@ -2,30 +2,30 @@
 
 import com.linecorp.armeria.common.QueryParams;
 
-/** The kinds of calls that the store counts. */
+/** The kind of a store call, by which the store counts its calls. */
 public enum StoreCall {
-    /** A read that is answered at once. */
+    /** A non-blocking read. */
     READ,
     /** A blocking read. */
     WATCH,
-    /** A write without condition. */
+    /** An unconditional write. */
     PUT,
     /** A compare-and-swap. */
     CAS,
-    /** A write that takes the key for a session. */
+    /** A write that acquires the key's lock for a session. */
     ACQUIRE,
-    /** A write that gives the key up. */
+    /** A write that releases the key's lock. */
     RELEASE,
-    /** A removal. */
+    /** A deletion. */
     DELETE,
-    /** A new session. */
+    /** A session creation. */
     SESSION_CREATE,
     /** A renewal of a session's time to live. */
     SESSION_RENEW,
-    /** The end of a session. */
+    /** A session destruction. */
     SESSION_DESTROY;
 
-    /** Returns what kind of write the query asks for. */
+    /** Returns the kind of write that the query parameters select. */
     static StoreCall ofWrite(QueryParams parameters) {
         if (parameters.contains("cas")) {
             return CAS;
--- a/standins/src/main/java/org/dahliapass/standins/StoreFaults.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreFaults.java
@@ -1,18 +1,18 @@
 package org.dahliapass.standins;
 
 /**
- * The store's faults; a field left out of the JSON is off.
+ * The faults injected into the store; a field missing from the JSON is off.
  *
- * @param away every call fails, waiting watches too
- * @param awayByClose a failed call gets a closed connection instead of status 500
- * @param slowMillis how long an answer is held back after its call took effect, in milliseconds
- * @param loseAnswers how many of the next writes take effect but get a closed connection
+ * @param away every call fails, including pending watches
+ * @param awayByClose a failed call closes the connection instead of returning status 500
+ * @param slowMillis the delay of a response after its call took effect, in milliseconds
+ * @param loseAnswers the number of next writes that take effect but whose response is lost
  */
 public record StoreFaults(boolean away, boolean awayByClose, long slowMillis, int loseAnswers) {
-    /** No fault. */
+    /** No faults. */
     public static final StoreFaults NONE = new StoreFaults(false, false, 0, 0);
 
-    StoreFaults withLoseAnswers(int left) {
-        return new StoreFaults(away, awayByClose, slowMillis, left);
+    StoreFaults withLoseAnswers(int remaining) {
+        return new StoreFaults(away, awayByClose, slowMillis, remaining);
     }
 }
--- a/standins/src/main/java/org/dahliapass/standins/StoreMain.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreMain.java
@@ -5,13 +5,13 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.MonotonicClock;
 
-/** Runs the configuration store's stand-in as a process. */
+/** Runs the stand-in for the configuration store as a process. */
 public final class StoreMain extends StandInProgram {
     private StoreMain() {
         super("dahliapass-store-stand-in", "stands in for the configuration store.");
     }
 
-    /** Starts the process. */
+    /** Runs the program and exits with its code. */
     public static void main(String[] arguments) {
         System.exit(new StoreMain().main(arguments, System.out, System.err).code());
     }
--- a/standins/src/main/java/org/dahliapass/standins/StoreService.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreService.java
@@ -19,9 +19,9 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Serves the store's HTTP API from the table. */
+/** The HTTP service of the store's API, backed by a {@link KeyValueTable}. */
 final class StoreService {
-    /** The largest value in bytes. */
+    /** The maximum size of a value, in bytes. */
     static final int MAX_VALUE_BYTES = 1 << 20;
 
     private static final String KEY_PATH = "/v1/kv/{*key}";
@@ -29,16 +29,17 @@
     private final StoreStandIn mStandIn;
     private final Clock mClock;
     private final KeyValueTable mTable;
-    private final BlockingReads mWaiting;
+    private final BlockingReads mBlockingReads;
 
-    StoreService(StoreStandIn standIn, Clock clock, KeyValueTable table, BlockingReads waiting) {
+    StoreService(
+            StoreStandIn standIn, Clock clock, KeyValueTable table, BlockingReads blockingReads) {
         mStandIn = standIn;
         mClock = clock;
         mTable = table;
-        mWaiting = waiting;
+        mBlockingReads = blockingReads;
     }
 
-    void declare(ServerBuilder builder) {
+    void addRoutes(ServerBuilder builder) {
         builder.route().get(KEY_PATH).build(this::read);
         builder.route().put(KEY_PATH).build(this::put);
         builder.route().delete(KEY_PATH).build(this::delete);
@@ -53,14 +54,15 @@
         StoreCall call = wait.isBlocking() ? StoreCall.WATCH : StoreCall.READ;
         mStandIn.count(call);
         if (mStandIn.faults().away()) {
-            return fail(context);
+            return unavailableResponse(context);
         }
         return HttpResponse.of(
-                mWaiting.await(key, wait, context.eventLoop())
-                        .thenApply(nothing -> answer(context, () -> show(key))));
+                mBlockingReads
+                        .await(key, wait, context.eventLoop())
+                        .thenApply(ignored -> respond(context, () -> entryResponse(key))));
     }
 
-    private HttpResponse show(String key) {
+    private HttpResponse entryResponse(String key) {
         long index = mTable.index(key, mClock.millis());
         Optional<KeyValueEntry> entry = mTable.get(key, mClock.millis());
         HttpStatus status = entry.isPresent() ? HttpStatus.OK : HttpStatus.NOT_FOUND;
@@ -82,7 +84,7 @@
                         .thenApply(
                                 body -> {
                                     mStandIn.count(call);
-                                    return answer(context, () -> put(context, call, body));
+                                    return respond(context, () -> put(context, call, body));
                                 }));
     }
 
@@ -100,10 +102,11 @@
                     "invalid session");
         }
         String value = Base64.getEncoder().encodeToString(body.content().array());
-        return written(context, apply(call, context.pathParam("key"), value, parameters));
+        return writeResponse(
+                context, applyWrite(call, context.pathParam("key"), value, parameters));
     }
 
-    private boolean apply(StoreCall call, String key, String value, QueryParams parameters) {
+    private boolean applyWrite(StoreCall call, String key, String value, QueryParams parameters) {
         long nowMillis = mClock.millis();
         return switch (call) {
             case CAS -> mTable.compareAndSwap(key, value, expectedIndex(parameters), nowMillis);
@@ -118,7 +121,7 @@
 
     private HttpResponse delete(ServiceRequestContext context, HttpRequest request) {
         mStandIn.count(StoreCall.DELETE);
-        return answer(context, () -> written(context, delete(context)));
+        return respond(context, () -> writeResponse(context, delete(context)));
     }
 
     private boolean delete(ServiceRequestContext context) {
@@ -135,12 +138,12 @@
         return Long.parseLong(parameters.get("cas", ""));
     }
 
-    private HttpResponse written(ServiceRequestContext context, boolean done) {
-        mWaiting.completeChanged();
-        if (done && mStandIn.consumeLostResponse()) {
+    private HttpResponse writeResponse(ServiceRequestContext context, boolean succeeded) {
+        mBlockingReads.completeChanged();
+        if (succeeded && mStandIn.consumeLostResponse()) {
             return HttpResponses.closeConnection(context);
         }
-        return HttpResponses.json(done);
+        return HttpResponses.json(succeeded);
     }
 
     private HttpResponse createSession(ServiceRequestContext context, HttpRequest request) {
@@ -149,7 +152,7 @@
                         .thenApply(
                                 body -> {
                                     mStandIn.count(StoreCall.SESSION_CREATE);
-                                    return answer(context, () -> createSession(body));
+                                    return respond(context, () -> createSession(body));
                                 }));
     }
 
@@ -170,7 +173,7 @@
     private HttpResponse renewSession(ServiceRequestContext context, HttpRequest request) {
         mStandIn.count(StoreCall.SESSION_RENEW);
         String id = context.pathParam("id");
-        return answer(
+        return respond(
                 context,
                 () ->
                         mTable.renewSession(id, mClock.millis())
@@ -180,19 +183,19 @@
 
     private HttpResponse destroySession(ServiceRequestContext context, HttpRequest request) {
         mStandIn.count(StoreCall.SESSION_DESTROY);
-        return answer(
+        return respond(
                 context,
                 () -> {
                     mTable.destroySession(context.pathParam("id"), mClock.millis());
-                    mWaiting.completeChanged();
+                    mBlockingReads.completeChanged();
                     return HttpResponses.json(true);
                 });
     }
 
-    private HttpResponse answer(ServiceRequestContext context, Supplier<HttpResponse> call) {
+    private HttpResponse respond(ServiceRequestContext context, Supplier<HttpResponse> call) {
         StoreFaults faults = mStandIn.faults();
         if (faults.away()) {
-            return fail(context);
+            return unavailableResponse(context);
         }
         HttpResponse response = call.get();
         return faults.slowMillis() == 0
@@ -200,7 +203,7 @@
                 : HttpResponse.delayed(response, Duration.ofMillis(faults.slowMillis()));
     }
 
-    private HttpResponse fail(ServiceRequestContext context) {
+    private HttpResponse unavailableResponse(ServiceRequestContext context) {
         return mStandIn.faults().awayByClose()
                 ? HttpResponses.closeConnection(context)
                 : HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
--- a/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/StoreStandIn.java
@@ -11,34 +11,42 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Stands in for the configuration store: a subset of the Consul key-value and session HTTP API, in
- * memory, with faults that are switched while it runs ({@code PUT /faults}, {@code GET /calls}).
+ * An in-memory stand-in for the configuration store with a subset of Consul's key-value and session
+ * HTTP API.
+ *
+ * <p>{@code PUT /faults} injects faults at run time; {@code GET /calls} returns the call counts.
  */
 public final class StoreStandIn implements StandIn {
-    private static final long LAPSE_PERIOD_MILLIS = 100;
+    private static final long EXPIRY_CHECK_PERIOD_MILLIS = 100;
 
-    /** Above the largest value, so that the service itself can answer 413. */
-    private static final long LARGEST_BODY = 4L * StoreService.MAX_VALUE_BYTES;
+    /** Above the maximum value size, so that the service itself can respond with 413. */
+    private static final long MAX_BODY_BYTES = 4L * StoreService.MAX_VALUE_BYTES;
 
     private final Clock mClock;
     private final KeyValueTable mTable;
-    private final BlockingReads mWaiting;
+    private final BlockingReads mBlockingReads;
     private final Map<StoreCall, Long> mCalls = new EnumMap<>(StoreCall.class);
     private final LoopbackServer mServer;
     private StoreFaults mFaults = StoreFaults.NONE;
-    private Future<?> mLapseTimer = CommonPools.workerGroup().next().newSucceededFuture(null);
+    private Future<?> mExpiryTimer = CommonPools.workerGroup().next().newSucceededFuture(null);
 
-    /** Creates the store on a port, 0 for a free one; session ids come from the generator. */
+    /**
+     * Creates the store.
+     *
+     * @param port the TCP port, 0 for a free one
+     * @param clock the clock for session expiry
+     * @param random the generator of session IDs
+     */
     public StoreStandIn(int port, Clock clock, RandomGenerator random) {
         mClock = clock;
         mTable = new KeyValueTable(random);
-        mWaiting = new BlockingReads(key -> mTable.index(key, mClock.millis()));
-        mServer = new LoopbackServer(port, this::declare);
+        mBlockingReads = new BlockingReads(key -> mTable.index(key, mClock.millis()));
+        mServer = new LoopbackServer(port, this::addRoutes);
     }
 
-    private void declare(ServerBuilder builder) {
-        builder.maxRequestLength(LARGEST_BODY);
-        new StoreService(this, mClock, mTable, mWaiting).declare(builder);
+    private void addRoutes(ServerBuilder builder) {
+        builder.maxRequestLength(MAX_BODY_BYTES);
+        new StoreService(this, mClock, mTable, mBlockingReads).addRoutes(builder);
         builder.route().get("/calls").build(HttpResponses.valueService(this::calls));
         builder.route().get("/faults").build(HttpResponses.valueService(this::faults));
         builder.route()
@@ -49,14 +57,14 @@
     @Override
     public void start() {
         mServer.start();
-        // Without it a watch on a held key would sleep through the lapse of its holder.
-        mLapseTimer =
+        // Watches on a locked key must also return when the holder's session expires.
+        mExpiryTimer =
                 CommonPools.workerGroup()
                         .next()
                         .scheduleAtFixedRate(
-                                mWaiting::completeChanged,
-                                LAPSE_PERIOD_MILLIS,
-                                LAPSE_PERIOD_MILLIS,
+                                mBlockingReads::completeChanged,
+                                EXPIRY_CHECK_PERIOD_MILLIS,
+                                EXPIRY_CHECK_PERIOD_MILLIS,
                                 TimeUnit.MILLISECONDS);
     }
 
@@ -67,39 +75,39 @@
 
     @Override
     public void close() {
-        mLapseTimer.cancel(false);
-        mWaiting.close();
+        mExpiryTimer.cancel(false);
+        mBlockingReads.close();
         mServer.close();
     }
 
-    /** Returns the faults in force. */
+    /** Returns the active faults. */
     public synchronized StoreFaults faults() {
         return mFaults;
     }
 
-    /** Replaces the faults; waiting watches are answered or fail at once. */
+    /** Replaces the faults; pending watches return or fail at once. */
     public void setFaults(StoreFaults faults) {
         synchronized (this) {
             mFaults = faults;
         }
-        mWaiting.completeAll();
+        mBlockingReads.completeAll();
     }
 
-    /** Returns how many calls of each kind came in so far, failed ones included. */
+    /** Returns the number of calls so far by kind, including failed calls. */
     public synchronized Map<StoreCall, Long> calls() {
         return Map.copyOf(mCalls);
     }
 
-    /** Returns how many watches wait for a change now. */
+    /** Returns the number of pending watches. */
     public int pendingWatchCount() {
-        return mWaiting.size();
+        return mBlockingReads.size();
     }
 
     synchronized void count(StoreCall call) {
         mCalls.merge(call, 1L, Long::sum);
     }
 
-    /** Returns whether the answer of this write is to be lost, and takes it off the number. */
+    /** Returns whether to lose this write's response; if so, decrements the remaining count. */
     synchronized boolean consumeLostResponse() {
         if (mFaults.loseAnswers() == 0) {
             return false;
--- a/standins/src/main/java/org/dahliapass/standins/TargetFaults.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetFaults.java
@@ -1,19 +1,19 @@
 package org.dahliapass.standins;
 
 /**
- * A target's faults; a field left out of the JSON is off.
+ * The faults injected into a target; a field missing from the JSON is off.
  *
- * @param failShare the share of work that is answered with status 500, 0 to 1
- * @param failAfterRun whether failed work ran before its 500, else it never ran
- * @param slowFactor how many times longer work takes; 0 is as 1
- * @param stall work is taken and never answered
- * @param closeEarly the body of an answer ends after its half with a closed stream
- * @param healthLies the health report says serving whatever happens
- * @param loadLies the number of busy slots that the load report always says; null for the truth
- * @param flapPeriodMillis the faults on work hold in every other period of this length, in
- *     milliseconds, the first one included; if none is set all work fails then; 0 is no flapping
- * @param refuseConnections connections to the work port are closed as soon as they are opened, and
- *     those that are open at once
+ * @param failShare the share of requests that fail with status 500, 0 to 1
+ * @param failAfterRun whether a failed request is executed before the response with status 500
+ * @param slowFactor the factor by which requests take longer; 0 means 1
+ * @param stall requests are executed but never get a response
+ * @param closeEarly the stream closes after half of the response body
+ * @param healthLies the health report always says serving
+ * @param loadLies the fixed number of busy slots in the load report; null for the actual number
+ * @param flapPeriodMillis the request faults are active in every other period of this length, in
+ *     milliseconds, starting with the first; if no request fault is set, all requests fail in these
+ *     periods; 0 disables flapping
+ * @param refuseConnections open and new connections to the work port are closed at once
  */
 public record TargetFaults(
         double failShare,
@@ -25,26 +25,26 @@
         Integer loadLies,
         long flapPeriodMillis,
         boolean refuseConnections) {
-    /** No fault. */
+    /** No faults. */
     public static final TargetFaults NONE =
             new TargetFaults(0, false, 1, false, false, false, null, 0, false);
 
-    /** From this share of failing work on, an honest health report says failing. */
+    /** The minimum share of failing requests at which the health report says failing. */
     private static final double FAILING_SHARE = 0.5;
 
-    /** Returns the faults in force so many milliseconds after they were set. */
-    TargetFaults at(long sinceMillis) {
+    /** Returns the faults that are active {@code elapsedMillis} after they were set. */
+    TargetFaults at(long elapsedMillis) {
         if (flapPeriodMillis == 0) {
             return this;
         }
-        if (sinceMillis / flapPeriodMillis % 2 == 1) {
-            return withWork(0, 1, false, false);
+        if (elapsedMillis / flapPeriodMillis % 2 == 1) {
+            return withWorkFaults(0, 1, false, false);
         }
-        boolean hasOther = stall || closeEarly || slowFactor > 1;
-        return failShare > 0 || hasOther ? this : withWork(1, 1, false, false);
+        boolean hasOtherFault = stall || closeEarly || slowFactor > 1;
+        return failShare > 0 || hasOtherFault ? this : withWorkFaults(1, 1, false, false);
     }
 
-    /** Returns by how much work takes longer. */
+    /** Returns the factor by which requests take longer. */
     double slowdown() {
         return slowFactor > 0 ? slowFactor : 1;
     }
@@ -53,7 +53,7 @@
         return stall || failShare >= FAILING_SHARE;
     }
 
-    private TargetFaults withWork(double share, double slow, boolean stalls, boolean closes) {
+    private TargetFaults withWorkFaults(double share, double slow, boolean stalls, boolean closes) {
         return new TargetFaults(
                 share,
                 failAfterRun,
--- a/standins/src/main/java/org/dahliapass/standins/TargetHealth.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetHealth.java
@@ -2,23 +2,23 @@
 
 import com.linecorp.armeria.common.HttpStatus;
 
-/** What a target's health report says. */
+/** The state in a target's health report, with its label and HTTP status. */
 enum TargetHealth {
     SERVING("serving", 200),
     COLD("cold", 200),
     DRAINING("draining", 200),
     FAILING("failing", 503);
 
-    private final String mWord;
+    private final String mLabel;
     private final int mStatus;
 
-    TargetHealth(String word, int status) {
-        mWord = word;
+    TargetHealth(String label, int status) {
+        mLabel = label;
         mStatus = status;
     }
 
     String label() {
-        return mWord;
+        return mLabel;
     }
 
     HttpStatus status() {
--- a/standins/src/main/java/org/dahliapass/standins/TargetMain.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetMain.java
@@ -8,13 +8,13 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.MonotonicClock;
 
-/** Runs the stand-ins of one or many targets as a process. */
+/** Runs the stand-ins for one or more targets as a process. */
 public final class TargetMain extends StandInProgram {
     private TargetMain() {
         super("dahliapass-target-stand-in", "stands in for targets.");
     }
 
-    /** Starts the process. */
+    /** Runs the program and exits with its code. */
     public static void main(String[] arguments) {
         System.exit(new TargetMain().main(arguments, System.out, System.err).code());
     }
@@ -22,29 +22,33 @@
     @Override
     protected void declareOptions(OptionParser parser) {
         super.declareOptions(parser);
-        declareNumber(parser, "count", "1", "Targets; each after the first has the next port.");
-        declareNumber(parser, "slots", "3", "Slots of each target.");
-        declareNumber(parser, "service-millis", "5", "How long work takes, in milliseconds.");
-        declareNumber(parser, "cold-millis", "0", "How long a target is cold, in milliseconds.");
-        declareNumber(parser, "seed", "1", "Seed of the first target; the next has the next.");
+        declareNumber(parser, "count", "1", "Number of targets; they use consecutive ports.");
+        declareNumber(parser, "slots", "3", "Number of slots of each target.");
+        declareNumber(parser, "service-millis", "5", "Service time of a request, in milliseconds.");
+        declareNumber(parser, "cold-millis", "0", "Duration of the cold start, in milliseconds.");
+        declareNumber(
+                parser,
+                "seed",
+                "1",
+                "Seed of the first target; incremented for each further target.");
     }
 
     @Override
     List<StandIn> create(OptionSet options) {
         Clock clock = new MonotonicClock();
         return IntStream.range(0, number(options, "count"))
-                .<StandIn>mapToObj(place -> create(options, place, clock))
+                .<StandIn>mapToObj(index -> create(options, index, clock))
                 .toList();
     }
 
-    private static TargetStandIn create(OptionSet options, int place, Clock clock) {
+    private static TargetStandIn create(OptionSet options, int index, Clock clock) {
         TargetSettings settings =
                 new TargetSettings(
                         number(options, "slots"),
                         number(options, "service-millis"),
                         number(options, "cold-millis"),
-                        number(options, "seed") + place);
-        int port = port(options) == 0 ? 0 : port(options) + place;
+                        number(options, "seed") + index);
+        int port = port(options) == 0 ? 0 : port(options) + index;
         return new TargetStandIn(port, settings, clock);
     }
 
--- a/standins/src/main/java/org/dahliapass/standins/TargetSettings.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetSettings.java
@@ -1,15 +1,15 @@
 package org.dahliapass.standins;
 
 /**
- * What a target is made of.
+ * The settings of a target stand-in.
  *
- * @param slots how many requests it works on at once
- * @param serviceMillis how long one takes, in milliseconds
- * @param coldMillis how long after its start it works {@value #COLD_FACTOR} times slower, in
- *     milliseconds
- * @param seed the seed from which it draws which requests fail
+ * @param slots the maximum number of concurrent requests
+ * @param serviceMillis the service time of a request, in milliseconds
+ * @param coldMillis the duration of the cold start, in milliseconds, in which requests take {@value
+ *     #COLD_FACTOR} times longer
+ * @param seed the seed for the random choice of failing requests
  */
 public record TargetSettings(int slots, long serviceMillis, long coldMillis, long seed) {
-    /** How much slower a cold target works. */
+    /** The factor by which requests take longer during the cold start. */
     static final int COLD_FACTOR = 5;
 }
--- a/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetStandIn.java
@@ -11,10 +11,10 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Stands in for one target: slots, load shedding, drain, cold start, deadlines, cancellation, and
- * gray faults that are switched while it runs.
+ * A stand-in for one target with slots, load shedding, drain, cold start, deadlines, cancellation
+ * and gray failures that are injected at run time.
  *
- * <p>Its reports and switches ({@code /health}, {@code /load}, {@code /runs}, {@code /served},
+ * <p>The reports and controls ({@code /health}, {@code /load}, {@code /runs}, {@code /served},
  * {@code /cancelled}, {@code /drain}, {@code /faults}) are served on the work port and on a control
  * port, which {@link TargetFaults#refuseConnections()} leaves open.
  */
@@ -23,7 +23,13 @@
     private final LoopbackServer mServer;
     private final LoopbackServer mControl;
 
-    /** Creates a target whose work port is the given one, 0 for a free one. */
+    /**
+     * Creates a target.
+     *
+     * @param port the TCP port for requests, 0 for a free one
+     * @param settings the target's settings
+     * @param clock the clock for the cold start and for flapping faults
+     */
     public TargetStandIn(int port, TargetSettings settings, Clock clock) {
         mState = new TargetState(settings, clock);
         mServer = new LoopbackServer(port, this::declareWork);
@@ -61,12 +67,12 @@
         return mServer.endpoint();
     }
 
-    /** Returns where the reports and switches are reached whatever the faults. */
+    /** Returns the control address, which stays reachable under all faults. */
     public Endpoint controlEndpoint() {
         return mControl.endpoint();
     }
 
-    /** Drains: ends the work in flight, then stops; stalled work is dropped. */
+    /** Drains the requests in flight, then stops; closes connections with stalled requests. */
     @Override
     public void close() {
         mState.setDraining(true);
@@ -77,7 +83,7 @@
         mControl.close();
     }
 
-    /** Returns the target's counts. */
+    /** Returns the target's state with its request counts. */
     public TargetState state() {
         return mState;
     }
@@ -88,7 +94,7 @@
         mServer.setRefusing(faults.refuseConnections());
     }
 
-    /** Starts or ends the drain: new work is refused, work in flight ends. */
+    /** Sets whether the target drains: it rejects new requests but completes those in flight. */
     public void setDraining(boolean draining) {
         mState.setDraining(draining);
     }
--- a/standins/src/main/java/org/dahliapass/standins/TargetState.java
+++ b/standins/src/main/java/org/dahliapass/standins/TargetState.java
@@ -6,13 +6,13 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** A target's slots, counts, drain and faults; the counts are the tests' oracle. */
+/** The slots, request counts, drain state and faults of a target. Thread-safe. */
 public final class TargetState {
     /**
-     * What the load report says.
+     * The load report.
      *
-     * @param busySlots how many slots are taken
-     * @param slots how many there are
+     * @param busySlots the number of slots in use
+     * @param slots the total number of slots
      */
     public record Load(int busySlots, int slots) {}
 
@@ -35,7 +35,7 @@
         mStartMillis = clock.millis();
     }
 
-    /** Takes a slot; false if all are busy. */
+    /** Acquires a slot; returns false if all slots are busy. */
     synchronized boolean acquireSlot() {
         if (mBusySlots >= mSettings.slots()) {
             return false;
@@ -48,7 +48,7 @@
         mBusySlots--;
     }
 
-    /** Counts a request that begins real work. */
+    /** Counts a request that is executed. */
     synchronized void countServed() {
         mServed++;
     }
@@ -57,7 +57,7 @@
         mCancelled++;
     }
 
-    /** Counts a run of the key's operation and returns how often it ran so far. */
+    /** Counts an execution of the key's operation and returns the number of executions so far. */
     synchronized int countRun(String key) {
         return mRuns.merge(key, 1, Integer::sum);
     }
@@ -66,7 +66,7 @@
         return RequestOutcome.draw(faultsInForce(), mRandom);
     }
 
-    /** Returns how long work that begins now takes, in milliseconds. */
+    /** Returns the service time of a request that starts now, in milliseconds. */
     synchronized long serviceTimeMillis() {
         double factor = faultsInForce().slowdown() * (isCold() ? TargetSettings.COLD_FACTOR : 1);
         return Math.round(mSettings.serviceMillis() * factor);
@@ -85,23 +85,24 @@
         return isCold() ? TargetHealth.COLD : TargetHealth.SERVING;
     }
 
-    /** Returns the load report, a lie if the faults say so. */
+    /** Returns the load report; {@link TargetFaults#loadLies()} replaces the busy slots if set. */
     public synchronized Load load() {
-        Integer lie = mFaults.loadLies();
-        return new Load(lie != null ? lie : mBusySlots, mSettings.slots());
+        Integer reportedBusySlots = mFaults.loadLies();
+        return new Load(
+                reportedBusySlots != null ? reportedBusySlots : mBusySlots, mSettings.slots());
     }
 
-    /** Returns how often each idempotency key's operation ran. */
+    /** Returns the number of executions by idempotency key. */
     public synchronized Map<String, Integer> runs() {
         return new TreeMap<>(mRuns);
     }
 
-    /** Returns how many requests began real work. */
+    /** Returns the number of requests that were executed. */
     public synchronized long served() {
         return mServed;
     }
 
-    /** Returns how many requests their clients cancelled while they held a slot. */
+    /** Returns the number of requests that clients cancelled while they held a slot. */
     public synchronized long cancelled() {
         return mCancelled;
     }
--- a/standins/src/main/java/org/dahliapass/standins/VmListMain.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmListMain.java
@@ -4,13 +4,13 @@
 import joptsimple.OptionSet;
 import org.dahliapass.kernel.MonotonicClock;
 
-/** Runs the VM list's stand-in as a process. */
+/** Runs the stand-in for the VM list as a process. */
 public final class VmListMain extends StandInProgram {
     private VmListMain() {
         super("dahliapass-vm-list-stand-in", "stands in for the platform's VM list.");
     }
 
-    /** Starts the process. */
+    /** Runs the program and exits with its code. */
     public static void main(String[] arguments) {
         System.exit(new VmListMain().main(arguments, System.out, System.err).code());
     }
--- a/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmListStandIn.java
@@ -17,27 +17,32 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Stands in for the platform's VM list: a subset of the Consul agent and health HTTP API, in
- * memory, with a lag and outages that are switched while it runs ({@code PUT /faults}).
+ * An in-memory stand-in for the platform's VM list with a subset of Consul's agent and health HTTP
+ * API. {@code PUT /faults} injects propagation lag and outages at run time.
  */
 public final class VmListStandIn implements StandIn {
-    private static final long SETTLE_PERIOD_MILLIS = 50;
+    private static final long VISIBILITY_CHECK_PERIOD_MILLIS = 50;
 
     private final Clock mClock;
     private final VmListTable mTable = new VmListTable();
-    private final BlockingReads mWaiting;
+    private final BlockingReads mBlockingReads;
     private final LoopbackServer mServer;
     private volatile VmListFaults mFaults = VmListFaults.NONE;
-    private Future<?> mSettleTimer = CommonPools.workerGroup().next().newSucceededFuture(null);
+    private Future<?> mVisibilityTimer = CommonPools.workerGroup().next().newSucceededFuture(null);
 
-    /** Creates the VM list on a port, 0 for a free one. */
+    /**
+     * Creates the VM list.
+     *
+     * @param port the TCP port, 0 for a free one
+     * @param clock the clock for the lag
+     */
     public VmListStandIn(int port, Clock clock) {
         mClock = clock;
-        mWaiting = new BlockingReads(name -> mTable.index(mClock.millis()));
-        mServer = new LoopbackServer(port, this::declare);
+        mBlockingReads = new BlockingReads(name -> mTable.index(mClock.millis()));
+        mServer = new LoopbackServer(port, this::addRoutes);
     }
 
-    private void declare(ServerBuilder builder) {
+    private void addRoutes(ServerBuilder builder) {
         builder.route().get("/v1/health/service/{name}").build(this::read);
         builder.route()
                 .put("/v1/agent/service/register")
@@ -58,13 +63,13 @@
     @Override
     public void start() {
         mServer.start();
-        mSettleTimer =
+        mVisibilityTimer =
                 CommonPools.workerGroup()
                         .next()
                         .scheduleAtFixedRate(
-                                mWaiting::completeChanged,
-                                SETTLE_PERIOD_MILLIS,
-                                SETTLE_PERIOD_MILLIS,
+                                mBlockingReads::completeChanged,
+                                VISIBILITY_CHECK_PERIOD_MILLIS,
+                                VISIBILITY_CHECK_PERIOD_MILLIS,
                                 TimeUnit.MILLISECONDS);
     }
 
@@ -75,27 +80,27 @@
 
     @Override
     public void close() {
-        mSettleTimer.cancel(false);
-        mWaiting.close();
+        mVisibilityTimer.cancel(false);
+        mBlockingReads.close();
         mServer.close();
     }
 
-    /** Registers a VM or replaces its registration; visible after the lag. */
+    /** Registers a VM or replaces its registration; the change becomes visible after the lag. */
     public void register(VmRegistration vm) {
         mTable.register(vm, mClock.millis() + mFaults.lagMillis());
-        mWaiting.completeChanged();
+        mBlockingReads.completeChanged();
     }
 
-    /** Takes a VM off the list; visible after the lag. */
+    /** Deregisters a VM; the change becomes visible after the lag. */
     public void deregister(String id) {
         mTable.deregister(id, mClock.millis() + mFaults.lagMillis());
-        mWaiting.completeChanged();
+        mBlockingReads.completeChanged();
     }
 
-    /** Replaces the faults; waiting reads are answered or fail at once. */
+    /** Replaces the faults; pending reads return or fail at once. */
     public void setFaults(VmListFaults faults) {
         mFaults = faults;
-        mWaiting.completeAll();
+        mBlockingReads.completeAll();
     }
 
     private HttpResponse read(ServiceRequestContext context, HttpRequest request) {
@@ -104,14 +109,15 @@
             return HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
         }
         return HttpResponse.of(
-                mWaiting.await(
+                mBlockingReads
+                        .await(
                                 name,
                                 BlockingReadParameters.of(context.queryParams()),
                                 context.eventLoop())
-                        .thenApply(nothing -> show(name)));
+                        .thenApply(ignored -> listResponse(name)));
     }
 
-    private HttpResponse show(String name) {
+    private HttpResponse listResponse(String name) {
         if (mFaults.away()) {
             return HttpResponse.of(HttpStatus.INTERNAL_SERVER_ERROR);
         }
--- a/standins/src/main/java/org/dahliapass/standins/VmListTable.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmListTable.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The platform's VMs, as readers see them: each change becomes visible at its own time. */
+/** A table of VM registrations whose changes become visible after a delay. Thread-safe. */
 final class VmListTable {
     private record Change(String id, Optional<VmRegistration> vm, long visibleAtMillis) {}
 
@@ -23,17 +23,17 @@
     }
 
     synchronized List<VmRegistration> visible(String name, long nowMillis) {
-        settle(nowMillis);
+        applyDueChanges(nowMillis);
         return mVisible.values().stream().filter(vm -> vm.name().equals(name)).toList();
     }
 
     synchronized long index(long nowMillis) {
-        settle(nowMillis);
+        applyDueChanges(nowMillis);
         return mIndex;
     }
 
-    /** Makes due changes visible, in the order in which they came also if the lag has shrunk. */
-    private void settle(long nowMillis) {
+    /** Applies due changes in arrival order, even if a later change has a shorter lag. */
+    private void applyDueChanges(long nowMillis) {
         while (!mPending.isEmpty() && mPending.peek().visibleAtMillis() <= nowMillis) {
             Change change = mPending.remove();
             mIndex++;
--- a/standins/src/main/java/org/dahliapass/standins/VmRegistration.java
+++ b/standins/src/main/java/org/dahliapass/standins/VmRegistration.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * One VM as the platform registers it.
+ * The registration of a VM with the platform.
  *
- * @param id the registration's id, unique
+ * @param id the unique ID of the registration
  * @param name the service's name, {@code dahliapass-vm}
- * @param address the VM's IP number
+ * @param address the VM's IP address
  * @param port the VM's port for callers
- * @param meta peers, callers, operators, availability-zone, incarnation
+ * @param meta the metadata: peers, callers, operators, availability-zone, incarnation
  * @param check whether the VM is live or leaving
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -37,7 +37,7 @@
         public static final Check LEAVING = new Check("warning");
     }
 
-    /** Takes what is left out of the JSON as empty, and a VM without check as live. */
+    /** Defaults missing metadata to empty and a missing check to live. */
     public VmRegistration {
         meta = meta == null ? Map.of() : Map.copyOf(meta);
         check = check == null ? Check.LIVE : check;
--- a/standins/src/main/java/org/dahliapass/standins/WorkService.java
+++ b/standins/src/main/java/org/dahliapass/standins/WorkService.java
@@ -12,14 +12,14 @@
 import com.linecorp.armeria.server.ServiceRequestContext;
 import java.util.concurrent.Future;
 
-/** Serves a target's work: reads by GET, operations that are counted by key by POST. */
+/** The HTTP service of a target: GET reads, POST executes operations counted by key. */
 final class WorkService implements HttpService {
     /**
-     * A small answer's body.
+     * The JSON body of a response.
      *
      * @param path the request's path with its query
-     * @param operation the value of {@code X-Operation}, empty if it had none
-     * @param runs how often the key's operation has run, 0 for a read
+     * @param operation the value of {@code X-Operation}; empty if the header is missing
+     * @param runs the number of executions of the key's operation; 0 for a read
      */
     record WorkResponse(String path, String operation, int runs) {}
 
@@ -36,43 +36,43 @@
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
         if (mState.isDraining()) {
-            return refuse(
+            return reject(
                     ResponseHeaders.builder(HttpStatus.SERVICE_UNAVAILABLE).add(DRAINING, TRUE));
         }
         long streamLength = context.queryParams().getLong("bytes", -1);
         if (!mState.acquireSlot()) {
-            return refuse(
+            return reject(
                     ResponseHeaders.builder(HttpStatus.SERVICE_UNAVAILABLE)
                             .add(HttpHeaderNames.RETRY_AFTER, "1"));
         }
         HttpResponseWriter writer = HttpResponse.streaming();
-        InFlightRequest work = new InFlightRequest(mState, writer, context.eventLoop());
+        InFlightRequest inFlight = new InFlightRequest(mState, writer, context.eventLoop());
         Future<?> unused =
                 request.aggregate(context.eventLoop())
-                        .thenRun(() -> begin(work, request, streamLength));
+                        .thenRun(() -> startWork(inFlight, request, streamLength));
         return writer;
     }
 
-    private static HttpResponse refuse(ResponseHeadersBuilder headers) {
+    private static HttpResponse reject(ResponseHeadersBuilder headers) {
         return HttpResponse.of(headers.add(NOT_PROCESSED, TRUE).contentLength(0).build());
     }
 
-    private void begin(InFlightRequest work, HttpRequest request, long streamLength) {
+    private void startWork(InFlightRequest inFlight, HttpRequest request, long streamLength) {
         RequestOutcome outcome = mState.drawOutcome();
         if (outcome == RequestOutcome.FAIL_BEFORE_RUN) {
-            work.fail(HttpStatus.INTERNAL_SERVER_ERROR);
+            inFlight.fail(HttpStatus.INTERNAL_SERVER_ERROR);
             return;
         }
         mState.countServed();
         int runs = countRun(request);
         Long deadlineMillis = request.headers().getLong("x-request-timeout-ms");
         if (deadlineMillis != null) {
-            work.schedule(deadlineMillis, () -> work.fail(HttpStatus.GATEWAY_TIMEOUT));
+            inFlight.schedule(deadlineMillis, () -> inFlight.fail(HttpStatus.GATEWAY_TIMEOUT));
         }
         if (outcome != RequestOutcome.STALL) {
-            work.schedule(
+            inFlight.schedule(
                     mState.serviceTimeMillis(),
-                    () -> end(work, request, outcome, streamLength, runs));
+                    () -> finishWork(inFlight, request, outcome, streamLength, runs));
         }
     }
 
@@ -82,23 +82,23 @@
                 : 0;
     }
 
-    private static void end(
-            InFlightRequest work,
+    private static void finishWork(
+            InFlightRequest inFlight,
             HttpRequest request,
             RequestOutcome outcome,
             long streamLength,
             int runs) {
         if (outcome == RequestOutcome.FAIL_AFTER_RUN) {
-            work.fail(HttpStatus.INTERNAL_SERVER_ERROR);
+            inFlight.fail(HttpStatus.INTERNAL_SERVER_ERROR);
             return;
         }
         boolean closeEarly = outcome == RequestOutcome.CLOSE_EARLY;
         if (streamLength >= 0) {
-            work.stream(streamLength, closeEarly);
+            inFlight.stream(streamLength, closeEarly);
             return;
         }
         String operation = request.headers().get("x-operation", "");
-        work.respond(
+        inFlight.respond(
                 HttpResponses.encode(new WorkResponse(request.path(), operation, runs)),
                 closeEarly);
     }
--- a/standins/src/test/java/org/dahliapass/standins/BlockingReadsTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/BlockingReadsTest.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** Tests when blocking reads are answered. */
+/** Tests for {@link BlockingReads}. */
 public class BlockingReadsTest {
-    private static final long LONG_MILLIS = 600_000;
+    private static final long MAX_WAIT_MILLIS = 600_000;
 
     @Test
-    public void readWaitsForAHigherIndex() {
+    public void readWaitsForHigherIndex() {
         AtomicLong index = new AtomicLong(5);
         BlockingReads reads = new BlockingReads(key -> index.get());
         CompletableFuture<Void> old = await(reads, 4);
@@ -26,9 +26,8 @@
     }
 
     @Test
-    public void readAfterCloseDoesNotWait() {
-        // Watchers hold a blocking read each and ask again once it is answered. A stop that answers
-        // only the reads it finds would hang on the next ones until its grace of 30 s has passed.
+    public void readAfterCloseReturnsAtOnce() {
+        // Clients that repeat their blocking read during a shutdown must not delay it.
         BlockingReads reads = new BlockingReads(key -> 5);
         CompletableFuture<Void> before = await(reads, 5);
         reads.close();
@@ -37,7 +36,7 @@
     }
 
     private static CompletableFuture<Void> await(BlockingReads reads, long index) {
-        BlockingReadParameters wait = new BlockingReadParameters(index, LONG_MILLIS);
-        return reads.await("key", wait, CommonPools.workerGroup().next());
+        BlockingReadParameters parameters = new BlockingReadParameters(index, MAX_WAIT_MILLIS);
+        return reads.await("key", parameters, CommonPools.workerGroup().next());
     }
 }
--- a/standins/src/test/java/org/dahliapass/standins/KeyValueTableTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/KeyValueTableTest.java
@@ -10,15 +10,14 @@
 import org.dahliapass.kernel.ManualClock;
 import org.testng.annotations.Test;
 
-/** Tests the table's compare-and-swap, indexes and sessions. */
+/** Tests for {@link KeyValueTable}. */
 public class KeyValueTableTest {
     private final ManualClock mClock = new ManualClock(Instant.EPOCH);
     private final KeyValueTable mTable = new KeyValueTable(new SplittableRandom(7));
 
     @Test
     public void compareAndSwapRaceSecondWriterLoses() {
-        // Two operators read the head at the same index and both write. The first write wins; the
-        // second has to be told so, else it would undo the first.
+        // Guards against a lost update when two operators write after reading the same index.
         String key = "race";
         assertTrue(mTable.compareAndSwap(key, "old", 0, now()));
         long index = mTable.index(key, now());
@@ -37,7 +36,7 @@
     }
 
     @Test
-    public void deleteMovesIndexAndAllowsCreate() {
+    public void deleteAdvancesIndexAndAllowsCreate() {
         mTable.put("deleted", "a", now());
         long index = mTable.index("deleted", now());
         assertFalse(mTable.compareAndDelete("deleted", index + 1, now()));
@@ -48,9 +47,9 @@
     }
 
     @Test
-    public void sessionLapsePausedHolderLosesKey() {
-        // A holder pauses beyond its lease and wakes believing it still holds the key. Another has
-        // taken the key meanwhile; the first must neither renew, acquire nor release.
+    public void expiredSessionLosesHeldKey() {
+        // A holder that pauses beyond its time to live must not renew, acquire or release the key
+        // after another session has acquired it.
         String first = mTable.createSession(10_000, now());
         assertTrue(mTable.acquire("held", "a", first, now()));
         String second = mTable.createSession(60_000, now());
@@ -58,7 +57,9 @@
         long index = mTable.index("held", now());
 
         mClock.advance(Duration.ofSeconds(10));
-        assertTrue(mTable.index("held", now()) > index, "the lapse is a change");
+        assertTrue(
+                mTable.index("held", now()) > index,
+                "the expiry of the session must change the index");
         assertTrue(mTable.acquire("held", "b", second, now()));
 
         assertFalse(mTable.renewSession(first, now()));
--- a/standins/src/test/java/org/dahliapass/standins/StoreStandInTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/StoreStandInTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the store over HTTP: blocking reads, sizes, faults. */
+/** Tests for {@link StoreStandIn} over HTTP: blocking reads, value sizes and faults. */
 public class StoreStandInTest {
     private StoreStandIn mStore;
     private WebClient mClient;
@@ -34,7 +34,7 @@
     }
 
     @Test
-    public void blockingReadAnswersOnWrite() throws Exception {
+    public void blockingReadReturnsOnWrite() throws Exception {
         AggregatedHttpResponse absent = get("/v1/kv/a/b");
         assertEquals(absent.status(), HttpStatus.NOT_FOUND);
         String index = absent.headers().get("x-consul-index");
@@ -43,20 +43,19 @@
                 mClient.get("/v1/kv/a/b?wait=5m&index=" + index).aggregate();
         assertEquals(put("/v1/kv/a/b?cas=0", "x").contentUtf8(), "true");
 
-        AggregatedHttpResponse seen = watch.get(20, TimeUnit.SECONDS);
-        assertTrue(seen.contentUtf8().contains("\"Value\":\"eA==\""), seen.contentUtf8());
+        AggregatedHttpResponse response = watch.get(20, TimeUnit.SECONDS);
+        assertTrue(response.contentUtf8().contains("\"Value\":\"eA==\""), response.contentUtf8());
         assertEquals(mStore.calls().get(StoreCall.WATCH), Long.valueOf(1));
     }
 
     @Test
-    public void blockingReadEndsWithItsWait() {
+    public void blockingReadReturnsAfterMaxWait() {
         assertEquals(get("/v1/kv/none?index=1&wait=10ms").status(), HttpStatus.NOT_FOUND);
     }
 
     @Test
-    public void lostAnswerWriteTookEffect() {
-        // An operator's accept reaches the store, but its answer is lost. The client sees a broken
-        // connection; a reader must find the value all the same.
+    public void writeWithLostResponseTakesEffect() {
+        // The client gets a closed connection, but the write must be visible to readers.
         mStore.setFaults(StoreFaults.NONE.withLoseAnswers(1));
         assertThrows(CompletionException.class, () -> put("/v1/kv/head?cas=0", "x"));
         assertEquals(get("/v1/kv/head").status(), HttpStatus.OK);
@@ -64,7 +63,7 @@
     }
 
     @Test
-    public void awayFailsReadsAndWaitingWatches() throws Exception {
+    public void unavailableStoreFailsReadsAndPendingWatches() throws Exception {
         CompletableFuture<AggregatedHttpResponse> watch =
                 mClient.get("/v1/kv/a?wait=5m&index=1").aggregate();
         assertEquals(put("/faults", "{\"away\":true}").status(), HttpStatus.OK);
@@ -80,11 +79,11 @@
     }
 
     @Test
-    public void valueSizeOneMegabyteAndOneMore() {
-        String largest = "x".repeat(StoreService.MAX_VALUE_BYTES);
-        assertEquals(put("/v1/kv/large", largest).status(), HttpStatus.OK);
+    public void valueAboveMaxSizeIsRejected() {
+        String maxValue = "x".repeat(StoreService.MAX_VALUE_BYTES);
+        assertEquals(put("/v1/kv/large", maxValue).status(), HttpStatus.OK);
         assertEquals(
-                put("/v1/kv/large", largest + "x").status(), HttpStatus.REQUEST_ENTITY_TOO_LARGE);
+                put("/v1/kv/large", maxValue + "x").status(), HttpStatus.REQUEST_ENTITY_TOO_LARGE);
     }
 
     private AggregatedHttpResponse get(String path) {
--- a/standins/src/test/java/org/dahliapass/standins/TargetStandInTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/TargetStandInTest.java
@@ -22,9 +22,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests a target over HTTP/1.1 and h2c: slots, run counts, cancellation, drain, faults. */
+/** Tests for {@link TargetStandIn} over HTTP/1.1 and h2c. */
 public class TargetStandInTest {
-    private static final long BOUND_MILLIS = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     private TargetStandIn mTarget;
 
@@ -45,18 +45,18 @@
         return new Object[][] {{"h1c"}, {"h2c"}};
     }
 
-    @Test(dataProvider = "protocols", timeOut = BOUND_MILLIS)
-    public void busySlotShedsUntilClientCancels(String protocol) {
+    @Test(dataProvider = "protocols", timeOut = TIMEOUT_MILLIS)
+    public void busySlotRejectsUntilClientCancels(String protocol) {
         WebClient client = client(protocol);
-        mTarget.setFaults(fault("{\"stall\":true}"));
+        mTarget.setFaults(parseFaults("{\"stall\":true}"));
         HttpResponse stalled = client.get("/jobs/a");
         waitUntil(() -> mTarget.state().load().busySlots() == 1);
 
-        AggregatedHttpResponse shed = client.get("/jobs/b").aggregate().join();
-        assertEquals(shed.status(), HttpStatus.SERVICE_UNAVAILABLE);
-        assertEquals(shed.headers().get("x-not-processed"), "true");
-        assertEquals(shed.headers().get("retry-after"), "1");
-        assertFalse(shed.headers().contains("x-draining"));
+        AggregatedHttpResponse rejected = client.get("/jobs/b").aggregate().join();
+        assertEquals(rejected.status(), HttpStatus.SERVICE_UNAVAILABLE);
+        assertEquals(rejected.headers().get("x-not-processed"), "true");
+        assertEquals(rejected.headers().get("retry-after"), "1");
+        assertFalse(rejected.headers().contains("x-draining"));
 
         stalled.abort();
         waitUntil(() -> mTarget.state().cancelled() == 1);
@@ -65,8 +65,8 @@
         assertEquals(mTarget.state().served(), 2);
     }
 
-    @Test(timeOut = BOUND_MILLIS)
-    public void operationCountsRunsByKey() {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void runsAreCountedByIdempotencyKey() {
         assertTrue(post("k1").contentUtf8().contains("\"operation\":\"k1\",\"runs\":1"));
         assertTrue(post("k1").contentUtf8().contains("\"runs\":2"));
         assertTrue(post("k2").contentUtf8().contains("\"runs\":1"));
@@ -75,28 +75,28 @@
                 client("h1c").get("/runs").aggregate().join().contentUtf8(), "{\"k1\":2,\"k2\":1}");
     }
 
-    @Test(timeOut = BOUND_MILLIS)
-    public void failedOperationCountsOnlyIfItRan() {
-        mTarget.setFaults(fault("{\"failShare\":1}"));
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void failedOperationIsCountedOnlyIfItRan() {
+        mTarget.setFaults(parseFaults("{\"failShare\":1}"));
         assertEquals(post("before").status(), HttpStatus.INTERNAL_SERVER_ERROR);
-        mTarget.setFaults(fault("{\"failShare\":1,\"failAfterRun\":true}"));
+        mTarget.setFaults(parseFaults("{\"failShare\":1,\"failAfterRun\":true}"));
         assertEquals(post("after").status(), HttpStatus.INTERNAL_SERVER_ERROR);
         assertEquals(mTarget.state().runs(), Map.of("after", 1));
         assertEquals(mTarget.state().load().busySlots(), 0);
     }
 
-    @Test(timeOut = BOUND_MILLIS)
-    public void drainRefusesNewWork() {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void drainingTargetRejectsNewRequests() {
         mTarget.setDraining(true);
-        AggregatedHttpResponse refused = post("k");
-        assertEquals(refused.headers().get("x-draining"), "true");
-        assertEquals(refused.headers().get("x-not-processed"), "true");
+        AggregatedHttpResponse rejected = post("k");
+        assertEquals(rejected.headers().get("x-draining"), "true");
+        assertEquals(rejected.headers().get("x-not-processed"), "true");
         assertTrue(mTarget.state().runs().isEmpty());
     }
 
-    @Test(timeOut = BOUND_MILLIS)
-    public void deadlineAbandonsStalledWork() {
-        mTarget.setFaults(fault("{\"stall\":true}"));
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void deadlineEndsStalledRequest() {
+        mTarget.setFaults(parseFaults("{\"stall\":true}"));
         RequestHeaders headers =
                 RequestHeaders.of(HttpMethod.GET, "/jobs/a", "x-request-timeout-ms", "5");
         AggregatedHttpResponse response = client("h1c").execute(headers).aggregate().join();
@@ -105,8 +105,8 @@
         assertEquals(mTarget.state().cancelled(), 0);
     }
 
-    @Test(dataProvider = "protocols", timeOut = BOUND_MILLIS)
-    public void streamArrivesWholeOrBreaks(String protocol) {
+    @Test(dataProvider = "protocols", timeOut = TIMEOUT_MILLIS)
+    public void streamArrivesCompleteOrFails(String protocol) {
         int length = 3 * PatternBody.CHUNK_LENGTH + 5;
         WebClient client = client(protocol);
         byte[] body = client.get("/x?bytes=" + length).aggregate().join().content().array();
@@ -115,7 +115,7 @@
             assertEquals(body[offset], PatternBody.byteAt(offset));
         }
 
-        mTarget.setFaults(fault("{\"closeEarly\":true}"));
+        mTarget.setFaults(parseFaults("{\"closeEarly\":true}"));
         assertThrows(
                 CompletionException.class,
                 () -> client.get("/x?bytes=" + length).aggregate().join());
@@ -123,10 +123,9 @@
         assertEquals(mTarget.state().cancelled(), 0);
     }
 
-    @Test(dataProvider = "protocols", timeOut = BOUND_MILLIS)
-    public void closeEndsWorkInFlight(String protocol) {
-        // A target is stopped while a client still waits for its answer. A stop that doesn't wait
-        // for requests in flight shows as a closed connection instead of the answer.
+    @Test(dataProvider = "protocols", timeOut = TIMEOUT_MILLIS)
+    public void closeWaitsForInFlightRequests(String protocol) {
+        // A shutdown that doesn't wait for requests in flight would close the client's connection.
         TargetSettings slow = new TargetSettings(1, 300, 0, 7);
         TargetStandIn target = new TargetStandIn(0, slow, new ManualClock(Instant.EPOCH));
         target.start();
@@ -138,8 +137,8 @@
         closed.join();
     }
 
-    @Test(timeOut = BOUND_MILLIS)
-    public void refusedConnectionsLeaveControlPort() {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void refusedConnectionsLeaveControlPortOpen() {
         WebClient control = WebClient.of("http://" + mTarget.controlEndpoint());
         String body = "{\"refuseConnections\":true,\"loadLies\":9}";
         control.put("/faults", body).aggregate().join();
@@ -162,7 +161,7 @@
         return WebClient.of(protocol + "://" + mTarget.endpoint());
     }
 
-    private static TargetFaults fault(String json) {
+    private static TargetFaults parseFaults(String json) {
         return HttpResponses.decode(json, TargetFaults.class);
     }
 
--- a/standins/src/test/java/org/dahliapass/standins/VmListTableTest.java
+++ b/standins/src/test/java/org/dahliapass/standins/VmListTableTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests when the VM list shows a change. */
+/** Tests for {@link VmListTable}. */
 public class VmListTableTest {
     private static final String SERVICE = "dahliapass-vm";
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void changeIsHiddenUntilItsLagHasPassed() {
+    public void changeBecomesVisibleAfterLag() {
         mTable.register(vm(Check.LIVE), 100);
         assertTrue(mTable.visible(SERVICE, 99).isEmpty());
         long index = mTable.index(99);
@@ -31,9 +31,8 @@
     }
 
     @Test
-    public void laterChangeWithShorterLagDoesNotOvertake() {
-        // A VM is registered while the list lags; the lag ends and the VM leaves. Were the leaving
-        // shown first, the late registration would bring the VM back for good.
+    public void changesBecomeVisibleInOrder() {
+        // If the deregistration overtook the delayed registration, the VM would stay listed.
         mTable.register(vm(Check.LIVE), 100);
         mTable.deregister("vm-1", 10);
         assertTrue(mTable.visible(SERVICE, 50).isEmpty());
