--- a/entry/src/main/java/org/dahliapass/entry/AtMostOnceExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceExchange.java
@@ -20,11 +20,11 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /**
- * Serves one request that must run at most once, on the VM that its key names as home.
+ * An exchange for a request that must run at most once, run by the home VM of its key.
  *
- * <p>The slot is asked for only after the witness has the intent: a refusal before that would be
- * true of this try alone, while the same key may run through another. A caller that goes away does
- * not end the work, so that its result can be asked for by the key.
+ * <p>A slot is acquired only after the witness has recorded the intent. An earlier refusal would
+ * say "not run" although another request with the same key may run. The operation continues if the
+ * caller disconnects, so that its result can be queried by key.
  */
 final class AtMostOnceExchange {
     private static final long RETRY_AFTER_MILLIS = 1000;
@@ -47,26 +47,26 @@
             ServiceRuntime runtime,
             TargetClients clients,
             Clock clock,
-            AtMostOnceService once,
-            CallerResponder observer,
-            Supplier<String> freshToken) {
+            AtMostOnceService operations,
+            CallerResponder responder,
+            Supplier<String> token) {
         mRequest = request;
         mOperation = operation;
         mRuntime = runtime;
         mClients = clients;
         mClock = clock;
-        mOperations = once;
-        mResponder = observer;
-        mTokenSupplier = freshToken;
+        mOperations = operations;
+        mResponder = responder;
+        mTokenSupplier = token;
     }
 
-    /** Goes on from what the ledger said to the request and returns the caller's answer. */
-    HttpResponse start(BeginResult beginning) {
-        if (beginning instanceof BeginResult.Answered answered) {
+    /** Continues from the home ledger's decision and returns the caller's response. */
+    HttpResponse start(BeginResult beginResult) {
+        if (beginResult instanceof BeginResult.Answered answered) {
             return respond(answered.answer());
         }
-        BeginResult.SendIntent ask = (BeginResult.SendIntent) beginning;
-        Futures.whenDone(mOperations.requestIntent(ask.witness(), mOperation), this::onAction);
+        BeginResult.SendIntent intent = (BeginResult.SendIntent) beginResult;
+        Futures.whenDone(mOperations.requestIntent(intent.witness(), mOperation), this::onAction);
         return HttpResponse.of(mResponse);
     }
 
@@ -77,8 +77,8 @@
         }
         if (action instanceof HomeAction.Dispatch dispatch) {
             dispatch(dispatch.attempt());
-        } else if (action instanceof HomeAction.Respond settle) {
-            mResponse.complete(respond(settle.answer()));
+        } else if (action instanceof HomeAction.Respond respond) {
+            mResponse.complete(respond(respond.answer()));
         }
     }
 
@@ -90,8 +90,8 @@
     }
 
     private void onAttemptResult(int attempt, AttemptResult result) {
-        if (result instanceof AttemptResult.Responded answered) {
-            mResponse.complete(relay(attempt, answered));
+        if (result instanceof AttemptResult.Responded responded) {
+            mResponse.complete(relay(attempt, responded));
         } else if (result instanceof AttemptResult.Refused refused) {
             mRetryAfterMillis = refused.refusal().retryAfterMillis();
             Futures.whenDone(mOperations.targetRefused(mOperation, attempt, false), this::onAction);
@@ -103,13 +103,13 @@
         }
     }
 
-    private HttpResponse relay(int attempt, AttemptResult.Responded answered) {
-        ResultRecorder recorder = new ResultRecorder(answered.headers());
-        StreamMessage<HttpData> body = answered.body().peek(recorder::add);
+    private HttpResponse relay(int attempt, AttemptResult.Responded responded) {
+        ResultRecorder recorder = new ResultRecorder(responded.headers());
+        StreamMessage<HttpData> body = responded.body().peek(recorder::add);
         HttpResponse response =
                 mResponder.relay(
                         mRequest,
-                        new AttemptResult.Responded(answered.target(), answered.headers(), body));
+                        new AttemptResult.Responded(responded.target(), responded.headers(), body));
         Futures.whenDone(
                 response.whenComplete(),
                 (ignored, failure) -> finish(attempt, recorder.result(failure == null)));
@@ -134,7 +134,7 @@
         return replayResponse(mRequest.id(), result);
     }
 
-    /** Returns a recorded result as an answer; a body that wasn't kept is said to be missing. */
+    /** Returns the response for a recorded result; a header tells whether the body was kept. */
     static HttpResponse replayResponse(String requestId, RecordedResult result) {
         ResponseHeadersBuilder headers =
                 ResponseHeaders.builder(result.status())
@@ -146,15 +146,15 @@
         return HttpResponse.of(headers.build(), HttpData.wrap(body));
     }
 
-    /** Returns the refusal that tells an answer other than a result. */
-    static Refusal refusal(OperationAnswer answer, String freshToken) {
+    /** Returns the refusal for an answer that is not a result. */
+    static Refusal refusal(OperationAnswer answer, String token) {
         if (answer instanceof OperationAnswer.NotRun notRun) {
             String message =
                     "The operation did not run and never will under this key: "
                             + notRun.reason().explanation()
                             + ". Send it again under a new key.";
             return Refusal.of(RefusalCode.OPERATION_NOT_RUN, message, RETRY_AFTER_MILLIS)
-                    .withToken(freshToken);
+                    .withToken(token);
         }
         if (answer instanceof OperationAnswer.InProgress) {
             return Refusal.of(
--- a/entry/src/main/java/org/dahliapass/entry/AttemptResult.java
+++ b/entry/src/main/java/org/dahliapass/entry/AttemptResult.java
@@ -8,39 +8,39 @@
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.model.Endpoint;
 
-/** How one try at a target ended, as far as the answer's head tells. */
+/** The result of an attempt, known once the response headers have arrived. */
 public sealed interface AttemptResult {
 
     /**
-     * The target's answer has begun.
+     * The target responded.
      *
-     * @param target the target
-     * @param headers the answer's head
-     * @param body the answer's body as it arrives; fails visibly if it breaks off
+     * @param target the target that responded
+     * @param headers the response headers
+     * @param body the response body; fails if it is truncated
      */
     record Responded(Endpoint target, ResponseHeaders headers, StreamMessage<HttpData> body)
             implements AttemptResult {}
 
     /**
-     * The try failed.
+     * The attempt failed.
      *
-     * @param target the target
-     * @param kind what the failure proves
-     * @param message what happened
+     * @param target the target of the attempt
+     * @param kind the failure kind, which tells whether the request may have run
+     * @param message a description of the failure
      */
     record Failed(Endpoint target, FailureKind kind, String message) implements AttemptResult {}
 
     /**
-     * No target was tried.
+     * The request was not sent to any target.
      *
-     * @param refusal the answer for the caller
+     * @param refusal the refusal for the caller
      */
     record Refused(Refusal refusal) implements AttemptResult {}
 
-    /** Returns the targets of failed tries joined with this one's, for exclusion. */
+    /** Returns the tried targets together with another one. */
     static Set<Endpoint> union(Set<Endpoint> tried, Endpoint target) {
-        Set<Endpoint> joined = new HashSet<>(tried);
-        joined.add(target);
-        return Set.copyOf(joined);
+        Set<Endpoint> union = new HashSet<>(tried);
+        union.add(target);
+        return Set.copyOf(union);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/CallerHeaders.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerHeaders.java
@@ -3,36 +3,36 @@
 import com.linecorp.armeria.common.HttpHeaderNames;
 import io.netty.util.AsciiString;
 
-/** The headers that callers, VMs and targets exchange. */
+/** The HTTP headers exchanged between callers, VMs and targets. */
 public final class CallerHeaders {
-    /** Identifies one request in answers, refusals and explanations. */
+    /** The id of a request, which also appears in refusals and explanations. */
     public static final AsciiString REQUEST_ID = HttpHeaderNames.of("x-request-id");
 
-    /** What a caller may conclude about the request: not-run, running or unknown. */
+    /** Whether the request ran: ran, not-run, running or unknown. */
     public static final AsciiString OUTCOME = HttpHeaderNames.of("x-outcome");
 
-    /** A token with which the caller's next key begins. */
+    /** A token to prefix the caller's next idempotency key with. */
     public static final AsciiString OPERATION_TOKEN = HttpHeaderNames.of("x-operation-token");
 
-    /** The key of a guarded operation. */
+    /** The key of an at-most-once operation. */
     public static final AsciiString IDEMPOTENCY_KEY = HttpHeaderNames.of("idempotency-key");
 
-    /** The time left for an answer, in milliseconds; sent to targets, honoured from callers. */
+    /** The remaining time for a response in milliseconds, sent to targets and read from callers. */
     public static final AsciiString REQUEST_TIMEOUT = HttpHeaderNames.of("x-request-timeout-ms");
 
-    /** A target's word that it did not process the request. */
+    /** Set by a target that did not process the request. */
     public static final AsciiString NOT_PROCESSED = HttpHeaderNames.of("x-not-processed");
 
-    /** A target's word that it is leaving. */
+    /** Set by a target that is draining. */
     public static final AsciiString DRAINING = HttpHeaderNames.of("x-draining");
 
-    /** The VM that forwarded a request; a request is forwarded once. */
+    /** The name of the VM that forwarded a request; a request is forwarded at most once. */
     public static final AsciiString FORWARDED_BY = HttpHeaderNames.of("x-forwarded-by-vm");
 
-    /** Set when the answer to a guarded request is a recorded one. */
+    /** Set on the replayed result of an at-most-once operation: whole or head. */
     public static final AsciiString REPLAYED = HttpHeaderNames.of("x-replayed");
 
-    /** The life of the VM that gave the answer. */
+    /** The identity, including the incarnation, of the VM that responded. */
     public static final AsciiString ANSWERED_BY = HttpHeaderNames.of("x-answered-by-vm");
 
     private CallerHeaders() {}
--- a/entry/src/main/java/org/dahliapass/entry/CallerRequest.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerRequest.java
@@ -5,15 +5,15 @@
 import org.dahliapass.traffic.SlotRequest;
 
 /**
- * One caller's request after it was matched with a template.
+ * A caller's request with the route and the request kind that it matches.
  *
- * @param id identifies the request in answers, logs and explanations
- * @param route the customer's way to the service
- * @param kind the request's kind
- * @param path the path and query as the target shall see them
- * @param message the request's headers and whole body
- * @param arrivalMillis when it arrived
- * @param deadlineMillis when an answer must have begun
+ * @param id the request id in responses, logs and explanations
+ * @param route the route to the service's targets
+ * @param kind the matching request kind
+ * @param path the path and query sent to the target
+ * @param message the headers and the complete body
+ * @param arrivalMillis the arrival time in milliseconds since the epoch
+ * @param deadlineMillis the time in milliseconds since the epoch by which the response must begin
  */
 public record CallerRequest(
         String id,
@@ -30,7 +30,7 @@
         return route.customer();
     }
 
-    /** Returns the milliseconds that are left, 0 at least. */
+    /** Returns the milliseconds until the deadline, or 0 if it has passed. */
     public long remainingMillis(long nowMillis) {
         return Math.max(0, deadlineMillis - nowMillis);
     }
--- a/entry/src/main/java/org/dahliapass/entry/CallerRequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerRequestHandler.java
@@ -11,7 +11,7 @@
 import org.dahliapass.model.RequestKind;
 import org.dahliapass.traffic.ServiceRuntime;
 
-/** Matches callers' requests with templates and hands them to the exchange that serves them. */
+/** Matches callers' requests with templates and dispatches them. */
 final class CallerRequestHandler implements HttpService {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -30,23 +30,23 @@
             ConfigurationService configuration,
             ServiceTable services,
             Forwarder forwarder,
-            RequestDispatcher exchanges) {
+            RequestDispatcher dispatcher) {
         mClock = clock;
         mIds = ids;
         mReadiness = readiness;
         mConfiguration = configuration;
         mServices = services;
         mForwarder = forwarder;
-        mDispatcher = exchanges;
+        mDispatcher = dispatcher;
     }
 
     @Override
     public HttpResponse serve(ServiceRequestContext context, HttpRequest request) {
         context.clearRequestTimeout();
         String id = mIds.next();
-        Optional<Refusal> standDown = mReadiness.refusal();
-        if (standDown.isPresent()) {
-            return refuse(request, id, standDown.get());
+        Optional<Refusal> refusal = mReadiness.refusal();
+        if (refusal.isPresent()) {
+            return refuse(request, id, refusal.get());
         }
         Optional<ServicePath> path = ServicePath.parse(request.path());
         if (path.isEmpty()) {
@@ -81,9 +81,9 @@
                     .forwardToCell(request, path)
                     .orElseGet(() -> refuse(request, id, RefusalCode.WRONG_VM, "Ask again."));
         }
-        // 0 would mean "no limit" here; the exact limit is checked once the body is there.
+        // 0 would mean "no limit" here; the exact limit is checked after aggregation.
         context.setMaxRequestLength(kind.get().maximumBodyBytes() + 1);
-        CompletableFuture<HttpResponse> answer =
+        CompletableFuture<HttpResponse> response =
                 request.aggregate()
                         .handle(
                                 (message, failure) ->
@@ -101,7 +101,7 @@
                                                         kind.get(),
                                                         path,
                                                         message));
-        return HttpResponse.of(answer);
+        return HttpResponse.of(response);
     }
 
     private HttpResponse serve(
@@ -116,22 +116,22 @@
                     request, id, RefusalCode.BODY_TOO_LARGE, "The template allows a smaller body.");
         }
         long now = mClock.millis();
-        long patience = timeoutMillis(message, kind.deadline().toMillis());
+        long timeoutMillis = timeoutMillis(message, kind.deadline().toMillis());
         CallerRequest matched =
                 new CallerRequest(
-                        id, route, kind, path.pathAndQuery(), message, now, now + patience);
+                        id, route, kind, path.pathAndQuery(), message, now, now + timeoutMillis);
         return mDispatcher.dispatch(matched);
     }
 
-    private static long timeoutMillis(AggregatedHttpRequest message, long most) {
+    private static long timeoutMillis(AggregatedHttpRequest message, long maxMillis) {
         String text = message.headers().get(CallerHeaders.REQUEST_TIMEOUT);
         if (text == null) {
-            return most;
+            return maxMillis;
         }
         try {
-            return Math.max(1, Math.min(most, Long.parseLong(text)));
+            return Math.max(1, Math.min(maxMillis, Long.parseLong(text)));
         } catch (NumberFormatException expected) {
-            return most;
+            return maxMillis;
         }
     }
 
@@ -141,11 +141,10 @@
     }
 
     /**
-     * Refuses a request before its key was looked at.
+     * Refuses a request before its idempotency key is processed.
      *
-     * <p>Guards against "not run" that is true of this try alone: the same key may have run through
-     * another VM, and its caller would send the operation again under a new key. Such a refusal
-     * says "unknown".
+     * <p>The outcome of a request with a key is "unknown": the key may have run through another VM,
+     * and on "not run" the caller would send the operation again under a new key.
      */
     private static HttpResponse refuse(HttpRequest request, String id, Refusal refusal) {
         boolean keyed = request.headers().contains(CallerHeaders.IDEMPOTENCY_KEY);
--- a/entry/src/main/java/org/dahliapass/entry/CallerResponder.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerResponder.java
@@ -12,7 +12,7 @@
 import org.dahliapass.model.burn.OutcomeHistory;
 import org.dahliapass.traffic.EntryMetrics;
 
-/** Gives callers their answers and accounts for each of them once. */
+/** Responds to callers and records the outcome of each request once. */
 final class CallerResponder {
     private static final int MIN_SERVER_ERROR = 500;
 
@@ -29,16 +29,16 @@
     }
 
     /**
-     * Passes a target's answer on; the account is closed when its body has ended.
+     * Relays a target's response and records its outcome when the body has been sent.
      *
-     * <p>The end is that of the returned message, not of the target's: the latter may come first,
-     * while pieces are still on their way to the caller's thread.
+     * <p>The outcome follows the returned response, not the target's: the target's body may end
+     * while data is still queued for the caller.
      */
-    HttpResponse relay(CallerRequest request, AttemptResult.Responded answered) {
+    HttpResponse relay(CallerRequest request, AttemptResult.Responded responded) {
         boolean late = isLate(request);
-        boolean error = answered.headers().status().code() >= MIN_SERVER_ERROR;
+        boolean error = responded.headers().status().code() >= MIN_SERVER_ERROR;
         HttpResponse response =
-                HttpResponse.of(headers(request, answered.headers()), answered.body());
+                HttpResponse.of(headers(request, responded.headers()), responded.body());
         Futures.whenDone(
                 response.whenComplete(),
                 (ignored, failure) -> recordOutcome(request, outcome(failure, error, late)));
@@ -46,8 +46,10 @@
     }
 
     /**
-     * Answers with a refusal and keeps it, so that the caller's operator can look it up. A repeat
-     * of a key that is running is no request of its own: the first one is accounted for.
+     * Returns the response to a refused request and logs the refusal for operators.
+     *
+     * <p>A duplicate of a running operation has no outcome of its own, since the outcome of the
+     * first request is recorded.
      */
     HttpResponse refuse(CallerRequest request, Refusal refusal) {
         if (refusal.code() != RefusalCode.IN_PROGRESS) {
@@ -57,12 +59,12 @@
         return refusal.toResponse(request.id());
     }
 
-    /** Accounts for an answer that was recorded earlier. */
+    /** Records the outcome of a request that a replayed result answered. */
     void onReplayed(CallerRequest request) {
         recordOutcome(request, Outcome.GOOD);
     }
 
-    /** Accounts for a caller that went away before its answer began: nobody's failure. */
+    /** Counts a caller that disconnected before its response began; this is not a failure. */
     void onCallerGone(CallerRequest request) {
         mMetrics.onAnswer(
                 request.route().customer(),
@@ -109,8 +111,8 @@
         };
     }
 
-    private static ResponseHeaders headers(CallerRequest request, ResponseHeaders answered) {
-        ResponseHeadersBuilder headers = answered.toBuilder();
+    private static ResponseHeaders headers(CallerRequest request, ResponseHeaders responded) {
+        ResponseHeadersBuilder headers = responded.toBuilder();
         headers.remove(HttpHeaderNames.CONNECTION);
         headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         return headers.set(CallerHeaders.REQUEST_ID, request.id()).build();
--- a/entry/src/main/java/org/dahliapass/entry/CallerServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerServer.java
@@ -16,9 +16,9 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 
-/** The HTTP server for callers: asks, requests, outcomes of guarded operations. */
+/** The HTTP server for callers: discovery, requests and outcomes of at-most-once operations. */
 public final class CallerServer implements KernelService {
-    /** The name under which the kernel holds the server. */
+    /** The name under which the server is registered with the kernel. */
     public static final String NAME = "caller-server";
 
     private static final Duration QUIET_PERIOD = Duration.ofMillis(200);
@@ -46,20 +46,22 @@
 
     private Server newServer(Kernel kernel) {
         FleetService fleet = kernel.find(FleetService.NAME, FleetService.class);
-        AtMostOnceService once = kernel.find(AtMostOnceService.NAME, AtMostOnceService.class);
+        AtMostOnceService operations = kernel.find(AtMostOnceService.NAME, AtMostOnceService.class);
         RequestIdGenerator ids = new RequestIdGenerator(mIdentity);
-        TokenIssuer tokens = new TokenIssuer(mClock, fleet, once.witnessReachability());
+        TokenIssuer tokenIssuer = new TokenIssuer(mClock, fleet, operations.witnessReachability());
         ConfigurationService configuration =
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class);
-        DiscoveryHandler asks =
-                new DiscoveryHandler(mSettings, ids, fleet, configuration, tokens, mReadiness);
+        DiscoveryHandler discovery =
+                new DiscoveryHandler(mSettings, ids, fleet, configuration, tokenIssuer, mReadiness);
         return Server.builder()
                 .port(
                         new InetSocketAddress(mSettings.address(), mSettings.callersPort()),
                         SessionProtocol.HTTP)
-                .service("/ask", asks)
-                .service("/outcomes/{customer}/{key}", new OutcomeHandler(ids, once, tokens))
-                .serviceUnder(ServicePath.PREFIX, newRequestHandler(kernel, ids, tokens))
+                .service("/ask", discovery)
+                .service(
+                        "/outcomes/{customer}/{key}",
+                        new OutcomeHandler(ids, operations, tokenIssuer))
+                .serviceUnder(ServicePath.PREFIX, newRequestHandler(kernel, ids, tokenIssuer))
                 .workerGroup(
                         kernel.find(TargetClients.NAME, TargetClients.class).eventLoops(), false)
                 .requestTimeoutMillis(0)
@@ -76,32 +78,32 @@
     }
 
     private CallerRequestHandler newRequestHandler(
-            Kernel kernel, RequestIdGenerator ids, TokenIssuer tokens) {
+            Kernel kernel, RequestIdGenerator ids, TokenIssuer tokenIssuer) {
         FleetService fleet = kernel.find(FleetService.NAME, FleetService.class);
         TargetClients clients = kernel.find(TargetClients.NAME, TargetClients.class);
         ServiceTable services = kernel.find(ServiceTable.NAME, ServiceTable.class);
         ConfigurationService configuration =
                 kernel.find(ConfigurationService.NAME, ConfigurationService.class);
         Forwarder forwarder = new Forwarder(mClock, clients, fleet, configuration);
-        RequestDispatcher exchanges =
+        RequestDispatcher dispatcher =
                 new RequestDispatcher(
                         mClock,
                         kernel.find(ControlLoop.NAME, ControlLoop.class),
                         clients,
                         services,
                         kernel.find(AtMostOnceService.NAME, AtMostOnceService.class),
-                        tokens,
+                        tokenIssuer,
                         forwarder,
                         mResponder);
         return new CallerRequestHandler(
-                mClock, ids, mReadiness, configuration, services, forwarder, exchanges);
+                mClock, ids, mReadiness, configuration, services, forwarder, dispatcher);
     }
 
     /**
-     * Names this life of this VM in an answer, unless it is one that a forward brought.
+     * Returns the response with this VM's identity, or unchanged if another VM's is present.
      *
-     * <p>Guards against a caller that keeps a connection to a VM that is leaving, longer than the
-     * answer to its ask holds: the connection is closed after the answers in flight.
+     * <p>Closes the connection while the VM is leaving: otherwise a keep-alive connection would
+     * outlive the discovery response that named this VM.
      */
     private HttpResponse withVmIdentity(ServiceRequestContext context, HttpResponse response) {
         if (mReadiness.state() == Readiness.State.LEAVING) {
@@ -116,7 +118,7 @@
                                         .build());
     }
 
-    /** Returns where callers reach this VM; valid once started. */
+    /** Returns the caller server's address; valid once started. */
     public Endpoint endpoint() {
         InetSocketAddress address = mServer.activePort().localAddress();
         return new Endpoint(address.getAddress().getHostAddress(), address.getPort());
--- a/entry/src/main/java/org/dahliapass/entry/DiscoveryHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/DiscoveryHandler.java
@@ -18,10 +18,10 @@
 import org.dahliapass.decisions.membership.MemberUpdate;
 import org.dahliapass.model.Vm;
 
-/** Answers callers who ask which addresses to use for a customer's service. */
+/** Serves discovery: the VM addresses to use for a customer's service. */
 final class DiscoveryHandler implements HttpService {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String NO_SUCH_SERVICE =
+    private static final String UNKNOWN_SERVICE_MESSAGE =
             "No such service here. Name its provider by &provider=CUSTOMER if it isn't the asker.";
     private static final int MAX_ADDRESSES = 4;
     private static final long RETRY_AFTER_MILLIS = 1000;
@@ -38,12 +38,12 @@
             RequestIdGenerator ids,
             FleetService fleet,
             ConfigurationService configuration,
-            TokenIssuer tokens,
+            TokenIssuer tokenIssuer,
             Readiness readiness) {
         mIds = ids;
         mFleet = fleet;
         mConfiguration = configuration;
-        mTokenIssuer = tokens;
+        mTokenIssuer = tokenIssuer;
         mReadiness = readiness;
         mSelector =
                 new AddressSelector(
@@ -60,31 +60,32 @@
                     MediaType.PLAIN_TEXT_UTF_8,
                     "Use /ask?customer=CUSTOMER&service=SERVICE.\n");
         }
-        Optional<Refusal> standDown = mReadiness.refusal();
-        if (standDown.isPresent()) {
-            return standDown.get().toResponse(mIds.next());
+        Optional<Refusal> refusal = mReadiness.refusal();
+        if (refusal.isPresent()) {
+            return refusal.get().toResponse(mIds.next());
         }
-        Optional<ConfigurationService.ServiceCell> found =
+        Optional<ConfigurationService.ServiceCell> serviceCell =
                 mConfiguration.findCell(customer, service, context.queryParam("provider"));
-        if (found.isEmpty()) {
-            return Refusal.of(RefusalCode.NO_SUCH_SERVICE, NO_SUCH_SERVICE, 0)
+        if (serviceCell.isEmpty()) {
+            return Refusal.of(RefusalCode.NO_SUCH_SERVICE, UNKNOWN_SERVICE_MESSAGE, 0)
                     .toResponse(mIds.next());
         }
-        List<MemberUpdate> cell = mFleet.membersOf(found.get().service(), found.get().size());
-        SelectedAddresses answer;
+        List<MemberUpdate> cell =
+                mFleet.membersOf(serviceCell.get().service(), serviceCell.get().size());
+        SelectedAddresses selected;
         synchronized (mSelector) {
-            answer = mSelector.select(cell, Optional.ofNullable(context.queryParam("zone")));
+            selected = mSelector.select(cell, Optional.ofNullable(context.queryParam("zone")));
         }
-        if (answer.vms().isEmpty()) {
+        if (selected.vms().isEmpty()) {
             return Refusal.of(RefusalCode.NOT_SERVING, "No VM serves now.", RETRY_AFTER_MILLIS)
                     .toResponse(mIds.next());
         }
         return HttpResponse.of(
-                HttpStatus.OK, MediaType.JSON, toJson(customer, service, answer, cell) + "\n");
+                HttpStatus.OK, MediaType.JSON, toJson(customer, service, selected, cell) + "\n");
     }
 
     private String toJson(
-            String customer, String service, SelectedAddresses answer, List<MemberUpdate> cell) {
+            String customer, String service, SelectedAddresses selected, List<MemberUpdate> cell) {
         List<Vm> witnesses =
                 cell.stream()
                         .filter(member -> member.state() == MemberState.ALIVE)
@@ -93,9 +94,9 @@
         ObjectNode root = MAPPER.createObjectNode();
         root.put("customer", customer);
         root.put("service", service);
-        root.put("timeToLiveMillis", answer.timeToLive().toMillis());
+        root.put("timeToLiveMillis", selected.timeToLive().toMillis());
         ArrayNode addresses = root.putArray("addresses");
-        for (Vm vm : answer.vms()) {
+        for (Vm vm : selected.vms()) {
             ObjectNode address = addresses.addObject();
             address.put("address", vm.callerEndpoint().toString());
             address.put("availabilityZone", vm.availabilityZone());
--- a/entry/src/main/java/org/dahliapass/entry/Forwarder.java
+++ b/entry/src/main/java/org/dahliapass/entry/Forwarder.java
@@ -13,7 +13,7 @@
 import org.dahliapass.kernel.ComponentLog;
 import org.dahliapass.model.Vm;
 
-/** Sends a request that reached the wrong VM to the right one, once. */
+/** Forwards requests that belong to another VM, at most once each. */
 final class Forwarder {
     private static final ComponentLog LOG = ComponentLog.of("forward");
     private static final Duration CELL_TIMEOUT = Duration.ofMinutes(10);
@@ -35,9 +35,10 @@
     }
 
     /**
-     * Forwards a request to a VM of the service's cell.
+     * Forwards a request to a VM in the service's cell.
      *
-     * @return empty if it was forwarded already or the cell has no other VM
+     * @return the response, or empty if the request was already forwarded or the cell has no other
+     *     VM
      */
     Optional<HttpResponse> forwardToCell(HttpRequest request, ServicePath path) {
         if (request.headers().contains(CallerHeaders.FORWARDED_BY)) {
@@ -61,9 +62,10 @@
     }
 
     /**
-     * Forwards a guarded request to its key's home.
+     * Forwards an at-most-once request to its key's home.
      *
-     * @return empty if the home gave no word: it is unknown here, didn't answer, or is another life
+     * @return the response, or empty if the request was already forwarded, the home is unknown or
+     *     unreachable, or another incarnation responded
      */
     CompletableFuture<Optional<HttpResponse>> forwardToHome(
             CallerRequest request, Operation operation) {
@@ -93,7 +95,7 @@
                 .handle(
                         (headers, failure) -> {
                             if (failure != null) {
-                                LOG.info("No word from home: " + failure.getMessage());
+                                LOG.info("The home VM did not respond: " + failure.getMessage());
                                 return Optional.empty();
                             }
                             if (!isFromHome(headers, operation)) {
@@ -104,7 +106,7 @@
                         });
     }
 
-    /** Guards against a restarted home, whose new life knows nothing of what its old one ran. */
+    /** Rejects a response from a restarted home, which has no records of its past operations. */
     private static boolean isFromHome(ResponseHeaders headers, Operation operation) {
         return operation.key().home().toString().equals(headers.get(CallerHeaders.ANSWERED_BY));
     }
--- a/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/IdempotentExchange.java
@@ -17,8 +17,8 @@
 import org.dahliapass.traffic.Slot;
 
 /**
- * Serves one idempotent request: first try, retries out of the budget, at most one hedge; the first
- * answer wins and the other tries are cancelled.
+ * An exchange for an idempotent request, with retries within the retry budget and at most one
+ * hedge. The first response wins and the other attempts are cancelled.
  */
 final class IdempotentExchange {
     private static final long RETRY_AFTER_MILLIS = 1000;
@@ -45,16 +45,16 @@
             TargetClients clients,
             ControlLoop loop,
             Clock clock,
-            CallerResponder observer) {
+            CallerResponder responder) {
         mRequest = request;
         mRuntime = runtime;
         mClients = clients;
         mLoop = loop;
         mClock = clock;
-        mResponder = observer;
+        mResponder = responder;
     }
 
-    /** Starts the exchange and returns the caller's answer. */
+    /** Starts the exchange and returns the caller's response. */
     synchronized HttpResponse start() {
         startAttempt(mRuntime.acquire(mRequest, mTriedTargets));
         if (!mRequest.kind().hedgeAfter().isZero()) {
@@ -97,8 +97,8 @@
             finish(refuse(RefusalCode.TARGET_FAILED, failure.toString()));
             return;
         }
-        if (result instanceof AttemptResult.Responded answered) {
-            onResponse(answered);
+        if (result instanceof AttemptResult.Responded responded) {
+            onResponse(responded);
         } else if (result instanceof AttemptResult.Refused refused) {
             onRefused(refused);
         } else if (result instanceof AttemptResult.Failed failed) {
@@ -106,13 +106,13 @@
         }
     }
 
-    private void onResponse(AttemptResult.Responded answered) {
-        boolean error = answered.headers().status().code() >= MIN_SERVER_ERROR;
-        if (error && retry(answered.target(), FailureKind.SERVER_ERROR)) {
-            answered.body().abort();
+    private void onResponse(AttemptResult.Responded responded) {
+        boolean error = responded.headers().status().code() >= MIN_SERVER_ERROR;
+        if (error && retry(responded.target(), FailureKind.SERVER_ERROR)) {
+            responded.body().abort();
             return;
         }
-        finish(mResponder.relay(mRequest, answered));
+        finish(mResponder.relay(mRequest, responded));
     }
 
     private void onRefused(AttemptResult.Refused refused) {
@@ -149,7 +149,7 @@
         return slot.isPresent();
     }
 
-    /** Puts a request back into the queue whose try ran nothing; false if it tried often enough. */
+    /** Queues the request again if its attempt did not run; false at the attempt limit. */
     private boolean requeue(FailureKind kind) {
         if (kind.mayHaveRun() || mAttempts >= MAX_ATTEMPTS) {
             return false;
@@ -184,8 +184,8 @@
     }
 
     private static void discard(AttemptResult result) {
-        if (result instanceof AttemptResult.Responded answered) {
-            answered.body().abort();
+        if (result instanceof AttemptResult.Responded responded) {
+            responded.body().abort();
         }
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/OutcomeHandler.java
@@ -11,16 +11,16 @@
 import org.dahliapass.decisions.once.OperationAnswer;
 import org.dahliapass.decisions.once.OperationKey;
 
-/** Answers callers who ask what became of a guarded operation. */
+/** Serves the outcomes of at-most-once operations. */
 final class OutcomeHandler implements HttpService {
     private final RequestIdGenerator mIds;
     private final AtMostOnceService mOperations;
     private final TokenIssuer mTokenIssuer;
 
-    OutcomeHandler(RequestIdGenerator ids, AtMostOnceService once, TokenIssuer tokens) {
+    OutcomeHandler(RequestIdGenerator ids, AtMostOnceService operations, TokenIssuer tokenIssuer) {
         mIds = ids;
-        mOperations = once;
-        mTokenIssuer = tokens;
+        mOperations = operations;
+        mTokenIssuer = tokenIssuer;
     }
 
     @Override
--- a/entry/src/main/java/org/dahliapass/entry/Readiness.java
+++ b/entry/src/main/java/org/dahliapass/entry/Readiness.java
@@ -3,23 +3,23 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Whether this VM takes requests, and what it says to callers when it doesn't. */
+/** The serving state of this VM and the refusal for callers while it does not serve. */
 public final class Readiness {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
     private final AtomicReference<State> mState = new AtomicReference<>(State.STARTING);
 
-    /** The states of a VM as its callers see it. */
+    /** The states of a VM towards its callers. */
     public enum State {
-        /** No configuration yet. */
+        /** No configuration is in force yet. */
         STARTING("This VM has no configuration yet. Use another address."),
         /** Requests are served. */
         SERVING(""),
-        /** Requests are served, but asks no longer name this VM. */
+        /** Requests are served, but discovery omits this VM. */
         LEAVING(""),
-        /** A newer configuration may be in force that this VM can't hear of. */
+        /** The VM is isolated and its configuration may be outdated. */
         ISOLATED("This VM is cut off and may hold old configuration. Use another address."),
-        /** The process ends. */
+        /** The process is stopping. */
         STOPPED("This VM is stopping. Use another address.");
 
         private final String mMessage;
@@ -34,22 +34,22 @@
         }
     }
 
-    /** Returns the state. */
+    /** Returns the current state. */
     public State state() {
         return mState.get();
     }
 
-    /** Moves from one state to another; does nothing if the state is another by now. */
+    /** Changes the state if it is {@code from}; returns whether it was changed. */
     public boolean transition(State from, State to) {
         return mState.compareAndSet(from, to);
     }
 
-    /** Moves to a state whatever the state is. */
+    /** Sets the state unconditionally. */
     public void set(State to) {
         mState.set(to);
     }
 
-    /** Returns the refusal that callers get in this state; empty if requests are served. */
+    /** Returns the refusal for callers, or empty if requests are served. */
     Optional<Refusal> refusal() {
         State state = mState.get();
         if (state.serves()) {
--- a/entry/src/main/java/org/dahliapass/entry/Refusal.java
+++ b/entry/src/main/java/org/dahliapass/entry/Refusal.java
@@ -12,39 +12,39 @@
 import java.util.Optional;
 
 /**
- * A final answer that this VM gives in place of a target's.
+ * A final response by this VM in place of a target's response.
  *
- * @param code why
- * @param message what is wrong and what the caller may do
- * @param retryAfterMillis when to come back; sent only where the reason makes that worthwhile
- * @param token a fresh token for a guarded request, empty if none is needed
+ * @param code the reason
+ * @param message the problem and what the caller can do about it
+ * @param retryAfterMillis the delay before a retry; sent only if the code is retryable
+ * @param token a new token for an at-most-once request, empty if none is needed
  */
 public record Refusal(
         RefusalCode code, String message, long retryAfterMillis, Optional<String> token) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1000;
 
-    /** Creates a refusal that says when to come back and needs no token. */
+    /** Creates a refusal without a token. */
     public static Refusal of(RefusalCode code, String message, long retryAfterMillis) {
         return new Refusal(code, message, retryAfterMillis, Optional.empty());
     }
 
-    /** Returns the same refusal with another time to come back. */
+    /** Returns a copy with another delay before a retry, in milliseconds. */
     public Refusal withRetryAfter(long millis) {
         return new Refusal(code, message, millis, token);
     }
 
-    /** Returns the same refusal with a fresh token. */
-    public Refusal withToken(String freshToken) {
-        return new Refusal(code, message, retryAfterMillis, Optional.of(freshToken));
+    /** Returns a copy with a token. */
+    public Refusal withToken(String newToken) {
+        return new Refusal(code, message, retryAfterMillis, Optional.of(newToken));
     }
 
-    /** Returns the HTTP answer, which carries the request's id so that it can be looked up. */
+    /** Returns the HTTP response, which carries the request id for later lookup. */
     public HttpResponse toResponse(String requestId) {
         return toResponse(requestId, code.outcome());
     }
 
-    /** Returns the HTTP answer to a try whose operation may have run by another one. */
+    /** Returns the HTTP response if the operation may have run by another request. */
     HttpResponse toResponseWithUnknownOutcome(String requestId) {
         return toResponse(requestId, RefusalCode.Outcome.UNKNOWN);
     }
--- a/entry/src/main/java/org/dahliapass/entry/RefusalLog.java
+++ b/entry/src/main/java/org/dahliapass/entry/RefusalLog.java
@@ -4,23 +4,23 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** Keeps the newest refusals, so that one that a caller holds can be looked up by its id. */
+/** A bounded log of the latest refusals, for lookup by request id. */
 final class RefusalLog {
     private static final int CAPACITY = 2000;
 
     private final Deque<Entry> mEntries = new ArrayDeque<>();
 
     /**
-     * One refusal that was given.
+     * A refusal that was sent to a caller.
      *
-     * @param atMillis when
-     * @param requestId the request's id
-     * @param customer the customer that asked
-     * @param refusal the answer it got
+     * @param atMillis the time in milliseconds since the epoch
+     * @param requestId the id of the refused request
+     * @param customer the customer that sent the request
+     * @param refusal the refusal sent
      */
     record Entry(long atMillis, String requestId, String customer, Refusal refusal) {}
 
-    /** Keeps a refusal and forgets the oldest one beyond the capacity. */
+    /** Adds a refusal and evicts the oldest one beyond the capacity. */
     synchronized void add(long atMillis, String requestId, String customer, Refusal refusal) {
         mEntries.addLast(new Entry(atMillis, requestId, customer, refusal));
         if (mEntries.size() > CAPACITY) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Finds the refusal of a request if it is still kept. */
+    /** Returns the refusal of a request, or empty if it is unknown or evicted. */
     synchronized Optional<Entry> find(String requestId) {
         return mEntries.stream().filter(entry -> entry.requestId().equals(requestId)).findFirst();
     }
--- a/entry/src/main/java/org/dahliapass/entry/RequestDispatcher.java
+++ b/entry/src/main/java/org/dahliapass/entry/RequestDispatcher.java
@@ -16,7 +16,7 @@
 import org.dahliapass.model.Idempotency;
 import org.dahliapass.traffic.ServiceRuntime;
 
-/** Chooses the exchange that serves a matched request. */
+/** Dispatches requests to the exchange for their kind. */
 final class RequestDispatcher {
     private final Clock mClock;
     private final ControlLoop mLoop;
@@ -32,21 +32,21 @@
             ControlLoop loop,
             TargetClients clients,
             ServiceTable services,
-            AtMostOnceService once,
-            TokenIssuer tokens,
+            AtMostOnceService operations,
+            TokenIssuer tokenIssuer,
             Forwarder forwarder,
-            CallerResponder observer) {
+            CallerResponder responder) {
         mClock = clock;
         mLoop = loop;
         mClients = clients;
         mServices = services;
-        mOperations = once;
-        mTokenIssuer = tokens;
+        mOperations = operations;
+        mTokenIssuer = tokenIssuer;
         mForwarder = forwarder;
-        mResponder = observer;
+        mResponder = responder;
     }
 
-    /** Serves a request. */
+    /** Serves a request and returns its response. */
     HttpResponse dispatch(CallerRequest request) {
         if (request.kind().idempotency() == Idempotency.AT_MOST_ONCE) {
             return dispatchAtMostOnce(request);
@@ -71,12 +71,12 @@
         return HttpResponse.of(
                 mOperations
                         .begin(operation, digest(request), request.deadlineMillis())
-                        .thenApply(beginning -> startExchange(request, operation, beginning)));
+                        .thenApply(beginResult -> startExchange(request, operation, beginResult)));
     }
 
     private HttpResponse startExchange(
-            CallerRequest request, Operation operation, BeginResult beginning) {
-        if (beginning instanceof BeginResult.WrongHome) {
+            CallerRequest request, Operation operation, BeginResult beginResult) {
+        if (beginResult instanceof BeginResult.WrongHome) {
             return HttpResponse.of(
                     mForwarder
                             .forwardToHome(request, operation)
@@ -96,7 +96,7 @@
                         mOperations,
                         mResponder,
                         mTokenIssuer::issueForSelf)
-                .start(beginning);
+                .start(beginResult);
     }
 
     private CompletableFuture<HttpResponse> resolveWithoutHome(
@@ -139,7 +139,8 @@
             digest.update(request.message().content().array());
             return HexFormat.of().formatHex(digest.digest(), 0, 16);
         } catch (NoSuchAlgorithmException failure) {
-            throw new IllegalStateException("Every Java runtime has SHA-256", failure);
+            throw new IllegalStateException(
+                    "SHA-256 is not available in this Java runtime", failure);
         }
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/RequestIdGenerator.java
+++ b/entry/src/main/java/org/dahliapass/entry/RequestIdGenerator.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.dahliapass.model.VmIdentity;
 
-/** Makes request ids that name the VM's life which gave them, so that any id can be looked up. */
+/** Generates request ids that begin with the identity of this VM, so that they can be looked up. */
 final class RequestIdGenerator {
     private final VmIdentity mSelf;
     private final AtomicLong mNext = new AtomicLong();
@@ -12,7 +12,7 @@
         mSelf = self;
     }
 
-    /** Returns a new id. */
+    /** Returns a new id, unique in the fleet. */
     String next() {
         return mSelf + "." + Long.toString(mNext.incrementAndGet(), Character.MAX_RADIX);
     }
--- a/entry/src/main/java/org/dahliapass/entry/ResultRecorder.java
+++ b/entry/src/main/java/org/dahliapass/entry/ResultRecorder.java
@@ -10,7 +10,7 @@
 import org.dahliapass.decisions.once.RecordedHeader;
 import org.dahliapass.decisions.once.RecordedResult;
 
-/** Copies a target's answer as it passes by, as far as it is worth keeping. */
+/** Records a response while it is relayed, with a body of up to 16 KiB, for later replay. */
 final class ResultRecorder {
     private static final int MAX_BODY_BYTES = 16 * 1024;
 
@@ -22,27 +22,27 @@
         mHeaders = headers;
     }
 
-    /** Copies a piece of the body. */
-    synchronized void add(HttpData piece) {
-        if (mTooLarge || mBody.size() + piece.length() > MAX_BODY_BYTES) {
+    /** Appends a chunk of the body; a body above the limit is dropped. */
+    synchronized void add(HttpData chunk) {
+        if (mTooLarge || mBody.size() + chunk.length() > MAX_BODY_BYTES) {
             mTooLarge = true;
             return;
         }
-        byte[] bytes = piece.array();
+        byte[] bytes = chunk.array();
         mBody.write(bytes, 0, bytes.length);
     }
 
     /**
-     * Returns what is kept.
+     * Returns the recorded result.
      *
-     * @param whole whether the body ended well; a body that broke off is not kept
+     * @param complete whether the body was received completely; a truncated body is not recorded
      */
-    synchronized RecordedResult result(boolean whole) {
+    synchronized RecordedResult result(boolean complete) {
         String type = mHeaders.get(HttpHeaderNames.CONTENT_TYPE);
         List<RecordedHeader> headers =
                 type == null ? List.of() : List.of(new RecordedHeader("content-type", type));
         Optional<RecordedBody> body =
-                whole && !mTooLarge
+                complete && !mTooLarge
                         ? Optional.of(RecordedBody.copyOf(mBody.toByteArray()))
                         : Optional.empty();
         return new RecordedResult(mHeaders.status().code(), headers, body);
--- a/entry/src/main/java/org/dahliapass/entry/Route.java
+++ b/entry/src/main/java/org/dahliapass/entry/Route.java
@@ -6,25 +6,26 @@
 import org.dahliapass.model.ServiceTemplate;
 
 /**
- * A customer's way to a service.
+ * The route of a customer's requests to a service.
  *
- * @param customer the customer that asks
- * @param own the service in the customer's own template: its request kinds and limits
- * @param provided the service in its provider's template: its targets, floor and detection
+ * @param customer the customer that sends requests
+ * @param own the service in the customer's template, with its request kinds and limits
+ * @param provided the service in its provider's template, with its targets, floor share and failure
+ *     detection
  */
 public record Route(String customer, ServiceTemplate own, ServiceTemplate provided) {
 
     /**
-     * Returns the customer's kind of a request.
+     * Returns the customer's request kind for a method and path.
      *
-     * <p>Guards against a customer's template that calls idempotent what the provider guards, which
-     * would let a request run twice: the provider knows its targets, so its word goes first.
+     * <p>The kind is at-most-once if the provider declares it so, even if the customer's template
+     * declares it idempotent; otherwise a retry could run the operation twice.
      */
     public Optional<RequestKind> kindOf(String method, String path) {
-        boolean guarded =
+        boolean atMostOnce =
                 provided.kindOf(method, path)
                         .filter(kind -> kind.idempotency() == Idempotency.AT_MOST_ONCE)
                         .isPresent();
-        return own.kindOf(method, path).map(kind -> guarded ? kind.asAtMostOnce() : kind);
+        return own.kindOf(method, path).map(kind -> atMostOnce ? kind.asAtMostOnce() : kind);
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/RoutingTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/RoutingTable.java
@@ -9,9 +9,9 @@
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.model.Template;
 
-/** An immutable snapshot of the templates in force on this VM, which traffic threads read. */
+/** An immutable snapshot of the templates in force on this VM, read by traffic threads. */
 public final class RoutingTable {
-    /** The table of a VM that has no configuration. */
+    /** A table without templates. */
     public static final RoutingTable EMPTY = new RoutingTable(Map.of());
 
     private final Map<String, Template> mTemplates;
@@ -20,26 +20,26 @@
         mTemplates = Map.copyOf(templates);
     }
 
-    /** Returns a table in which this template replaces the customer's earlier one. */
+    /** Returns a copy in which this template replaces the customer's previous one. */
     public RoutingTable with(Template template) {
         Map<String, Template> templates = new HashMap<>(mTemplates);
         templates.put(template.customer(), template);
         return new RoutingTable(templates);
     }
 
-    /** Returns a table without the customer's template. */
+    /** Returns a copy without the customer's template. */
     public RoutingTable without(String customer) {
         Map<String, Template> templates = new HashMap<>(mTemplates);
         templates.remove(customer);
         return new RoutingTable(templates);
     }
 
-    /** Returns the templates. */
+    /** Returns the templates in force. */
     public Collection<Template> templates() {
         return mTemplates.values();
     }
 
-    /** Returns all services that have targets here. */
+    /** Returns all services with targets. */
     public List<ServiceTemplate> provided() {
         return mTemplates.values().stream()
                 .flatMap(template -> template.services().stream())
@@ -47,7 +47,7 @@
                 .toList();
     }
 
-    /** Finds a customer's way to a service; empty if either template lacks it. */
+    /** Returns a customer's route to a service, or empty if either template lacks the service. */
     public Optional<Route> find(String customer, String service) {
         Template template = mTemplates.get(customer);
         if (template == null) {
@@ -57,7 +57,7 @@
                 .flatMap(own -> provided(own.id()).map(found -> new Route(customer, own, found)));
     }
 
-    /** Finds the service in its provider's template. */
+    /** Returns a service from its provider's template, or empty if it has no targets there. */
     public Optional<ServiceTemplate> provided(ServiceId id) {
         Template template = mTemplates.get(id.provider());
         if (template == null) {
--- a/entry/src/main/java/org/dahliapass/entry/SameLoopScheduler.java
+++ b/entry/src/main/java/org/dahliapass/entry/SameLoopScheduler.java
@@ -13,22 +13,21 @@
 import java.util.Objects;
 
 /**
- * Sends a request to a target on the event loop that serves its caller.
+ * An event loop scheduler that sends each request on the event loop that serves its caller.
  *
- * <p>A request that is sent on another loop waits twice until a thread wakes up, once on its way
- * and once on its answer's, which on a busy machine is most of what a VM adds.
+ * <p>Avoids two thread hand-offs per request, one for the request and one for the response.
  */
 public final class SameLoopScheduler implements EventLoopScheduler {
     private final List<EventLoop> mLoops = new ArrayList<>();
 
-    /** Takes the loops that serve callers. */
+    /** Creates a scheduler for the event loops that serve callers. */
     public SameLoopScheduler(EventLoopGroup group) {
         for (EventExecutor executor : group) {
             mLoops.add((EventLoop) executor);
         }
     }
 
-    /** A loop that is lent without a count of its users. */
+    /** A holder without usage counting. */
     private record UncountedHolder(EventLoop loop) implements ReleasableHolder<EventLoop> {
         @Override
         public EventLoop get() {
@@ -39,7 +38,7 @@
         public void release() {}
     }
 
-    /** Returns this thread's own loop; on any other thread always the same one for an endpoint. */
+    /** Returns the current event loop, or a fixed one per endpoint on any other thread. */
     @Override
     public ReleasableHolder<EventLoop> acquire(
             SessionProtocol protocol, EndpointGroup endpoints, Endpoint endpoint) {
@@ -48,7 +47,7 @@
                 return new UncountedHolder(loop);
             }
         }
-        int place = Math.floorMod(Objects.hashCode(endpoint), mLoops.size());
-        return new UncountedHolder(mLoops.get(place));
+        int index = Math.floorMod(Objects.hashCode(endpoint), mLoops.size());
+        return new UncountedHolder(mLoops.get(index));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
+++ b/entry/src/main/java/org/dahliapass/entry/SlotRefusals.java
@@ -3,14 +3,14 @@
 import com.linecorp.armeria.common.util.Exceptions;
 import org.dahliapass.traffic.RefusedException;
 
-/** Turns slots that were not given into callers' answers. */
+/** Maps failed slot acquisitions to refusals. */
 final class SlotRefusals {
-    /** What a caller waits whose request was taken back on its way, in milliseconds. */
+
     private static final long WITHDRAWN_RETRY_AFTER_MILLIS = 1_000;
 
     private SlotRefusals() {}
 
-    /** Returns the caller's answer for a slot that was not given. */
+    /** Returns the refusal for a failed slot acquisition. */
     static Refusal of(Throwable failure) {
         if (Exceptions.peel(failure) instanceof RefusedException refused) {
             return Refusal.of(codeOf(refused), refused.detail(), refused.retryAfterMillis());
--- a/entry/src/main/java/org/dahliapass/entry/StalledResponseMonitor.java
+++ b/entry/src/main/java/org/dahliapass/entry/StalledResponseMonitor.java
@@ -9,11 +9,11 @@
 import org.dahliapass.kernel.OperationException;
 
 /**
- * Breaks off answers that have begun and make no progress any more.
+ * A monitor that aborts responses whose body makes no progress.
  *
- * <p>Guards against a target that stalls in the middle of a body; it would show as a caller that
- * waits for ever and a slot that is never free. One sweep over the answers in flight does it: a
- * timer for each request, moved with each piece, outlives short requests and keeps all they hold.
+ * <p>Without it, a target that stalls in the middle of a body would block the caller and occupy a
+ * slot forever. A periodic sweep is used because a timer per request would keep each short request
+ * in memory until the timer expires. Thread-safe.
  */
 final class StalledResponseMonitor {
     private final Clock mClock;
@@ -23,7 +23,7 @@
         mClock = clock;
     }
 
-    /** An answer that is watched until it is done. */
+    /** A response that is monitored until it completes. */
     static final class WatchedResponse {
         private final HttpResponse mResponse;
         private final long mStallMillis;
@@ -41,25 +41,25 @@
             return nowMillis - mProgressMillis > mStallMillis;
         }
 
-        /** Notes that a piece has gone on to the caller. */
+        /** Records that data was relayed to the caller. */
         void onProgress() {
             mProgressMillis = mClock.millis();
         }
     }
 
-    /** Watches an answer; it may pause for as long as {@code stall}. */
-    WatchedResponse watch(HttpResponse response, Duration stall) {
-        WatchedResponse watched = new WatchedResponse(response, stall.toMillis(), mClock);
+    /** Starts monitoring a response, which may pause for up to {@code stallTimeout}. */
+    WatchedResponse watch(HttpResponse response, Duration stallTimeout) {
+        WatchedResponse watched = new WatchedResponse(response, stallTimeout.toMillis(), mClock);
         mWatched.add(watched);
         return watched;
     }
 
-    /** Ends watching an answer that is done. */
+    /** Stops monitoring a response. */
     void unwatch(WatchedResponse watched) {
         mWatched.remove(watched);
     }
 
-    /** Breaks off what has stalled; called about once a second. */
+    /** Aborts the stalled responses; called about once per second. */
     void abortStalled() {
         long now = mClock.millis();
         List<WatchedResponse> stalled =
@@ -70,15 +70,15 @@
         }
     }
 
-    /**
-     * A cause of its own: a plain abort would look like the caller's doing, no fault of a target.
-     */
+    /** Tells a stall, which is the target's failure, apart from a cancellation by the caller. */
     private static OperationException stallFailure() {
         return new OperationException(
-                "receive body", "target", "It made no progress for too long.");
+                "receive body",
+                "target",
+                "The response body made no progress within the stall timeout.");
     }
 
-    /** Returns how many answers are watched. */
+    /** Returns the number of monitored responses. */
     int size() {
         return mWatched.size();
     }
--- a/entry/src/main/java/org/dahliapass/entry/TargetAttempt.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetAttempt.java
@@ -25,12 +25,11 @@
 import org.dahliapass.traffic.Slot;
 
 /**
- * One try of one request at one target: waits for a slot, sends, and hands on the answer as it
- * comes. Every try ends with exactly one release of its slot.
+ * An attempt to send a request to a target: waits for a slot, sends the request and streams the
+ * response. Releases its slot exactly once.
  *
- * <p>A response belongs to its try by construction: it is the object that the HTTP client returned
- * for this very exchange, on a connection that serves one exchange at a time and is closed when an
- * exchange is cancelled or breaks off. So a late answer can't reach another caller.
+ * <p>A late response can't reach another caller: a connection serves one exchange at a time and is
+ * closed when its exchange is cancelled or fails.
  */
 final class TargetAttempt {
     private static final int MIN_SERVER_ERROR = 500;
@@ -68,21 +67,21 @@
         mClock = clock;
     }
 
-    /** Starts the try; the future completes when the answer's head is there or the try failed. */
+    /** Starts the attempt; the future completes with the response headers or the failure. */
     CompletableFuture<AttemptResult> start(CompletableFuture<Slot> slot) {
         mSlot = slot;
         Futures.whenDone(slot, this::onSlot);
         return mResult;
     }
 
-    /** Returns the target once the try has a slot. */
+    /** Returns the target, or empty until a slot is acquired. */
     Optional<Endpoint> target() {
         CompletableFuture<Slot> slot = mSlot;
-        boolean given = slot != null && slot.isDone() && !slot.isCompletedExceptionally();
-        return given ? Optional.of(slot.join().target()) : Optional.empty();
+        boolean acquired = slot != null && slot.isDone() && !slot.isCompletedExceptionally();
+        return acquired ? Optional.of(slot.join().target()) : Optional.empty();
     }
 
-    /** Ends the try, because the caller went away or another try answered first. */
+    /** Cancels the attempt because the caller disconnected or another attempt won. */
     void cancel() {
         mCancelled = true;
         mSlot.cancel(false);
@@ -140,7 +139,7 @@
         mSent.context().clearResponseTimeout();
         StalledResponseMonitor.WatchedResponse watched =
                 mClients.stallMonitor().watch(mSent.response(), stallTimeout());
-        StreamMessage<HttpData> body = split.body().peek(piece -> watched.onProgress());
+        StreamMessage<HttpData> body = split.body().peek(chunk -> watched.onProgress());
         Futures.whenDone(
                 body.whenComplete(),
                 (ignored, failure) -> {
@@ -150,7 +149,7 @@
         mResult.complete(new AttemptResult.Responded(slot.target(), headers, body));
     }
 
-    /** An answer that has begun may take as long as it makes progress; one that stalls ends. */
+    /** Once the response has begun, only a stall ends it, not the deadline. */
     private Duration stallTimeout() {
         Duration deadline = mRequest.kind().deadline();
         return deadline.compareTo(MIN_STALL_TIMEOUT) > 0 ? deadline : MIN_STALL_TIMEOUT;
--- a/entry/src/main/java/org/dahliapass/entry/TargetClients.java
+++ b/entry/src/main/java/org/dahliapass/entry/TargetClients.java
@@ -22,9 +22,9 @@
 import org.dahliapass.kernel.KernelService;
 import org.dahliapass.model.Endpoint;
 
-/** Keeps one HTTP client per target and per peer VM, all on one pool of connections. */
+/** The HTTP clients for targets and peer VMs, with a shared connection pool. */
 public final class TargetClients implements KernelService {
-    /** The name under which the kernel holds the clients. */
+    /** The name under which the clients are registered with the kernel. */
     public static final String NAME = "target-clients";
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
@@ -35,10 +35,7 @@
 
     private final StalledResponseMonitor mStallMonitor;
 
-    /**
-     * Each loop keeps connections of its own to each target, so their number bounds those that a
-     * target gets from this VM.
-     */
+    /** Bounds the connections per target, since each event loop has its own. */
     private static final int MAX_EVENT_LOOPS = 8;
 
     private final EventLoopGroup mEventLoops =
@@ -59,20 +56,20 @@
         mStallMonitor = new StalledResponseMonitor(clock);
     }
 
-    /** Returns what breaks off answers that stall. */
+    /** Returns the monitor that aborts stalled responses. */
     StalledResponseMonitor stallMonitor() {
         return mStallMonitor;
     }
 
     /**
-     * One request that was sent.
+     * A request that was sent.
      *
-     * @param response the answer as it arrives
-     * @param context the request's context, by which its timeout is moved
+     * @param response the streaming response
+     * @param context the request context, which can change the timeout
      */
     public record SentRequest(HttpResponse response, ClientRequestContext context) {}
 
-    /** Sends a request; its timeout runs until {@code timeout} unless it is moved. */
+    /** Sends a request; {@code timeout} applies until it is changed through the context. */
     public SentRequest send(Endpoint endpoint, HttpRequest request, Duration timeout) {
         WebClient client = mClients.computeIfAbsent(endpoint, this::newClient);
         try (ClientRequestContextCaptor captor = Clients.newContextCaptor()) {
@@ -83,7 +80,7 @@
         }
     }
 
-    /** Returns the event loops on which traffic is served and sent. */
+    /** Returns the event loops shared by the caller server and the clients. */
     EventLoopGroup eventLoops() {
         return mEventLoops;
     }
--- a/entry/src/main/java/org/dahliapass/entry/TokenIssuer.java
+++ b/entry/src/main/java/org/dahliapass/entry/TokenIssuer.java
@@ -7,7 +7,7 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 
-/** Mints the tokens with which the keys of guarded operations begin. */
+/** Issues the tokens that begin the keys of at-most-once operations. */
 final class TokenIssuer {
     private final Clock mClock;
     private final FleetService mFleet;
@@ -19,17 +19,16 @@
         mReachability = reach;
     }
 
-    /** Returns a token whose home is this VM; empty text while there is no second VM. */
+    /** Returns a token whose home is this VM, or an empty string if there is no other VM. */
     String issueForSelf() {
         return issue(mFleet.view().self(), mFleet.view().members());
     }
 
     /**
-     * Returns a token whose home is the given VM.
+     * Returns a token whose home is the given VM, or an empty string if there is no other VM.
      *
-     * <p>The witness is another VM of the home's cell, one that this VM hears, in another
-     * availability zone if there is one, so that one zone's loss doesn't take both. Which VM it is
-     * matters for availability only: the key names it, and nobody else's word counts.
+     * <p>The witness is preferably a reachable VM in another availability zone, so that the loss of
+     * one zone does not affect both. The choice affects availability only, not correctness.
      */
     String issue(Vm home, List<Vm> cell) {
         long now = mClock.millis();
@@ -53,7 +52,7 @@
         return vm.availabilityZone().equals(home.availabilityZone());
     }
 
-    /** Spreads the homes over the witnesses. */
+    /** Distributes the homes over the witnesses. */
     private static int distance(Vm home, Vm vm) {
         return (vm.identity().name() + home.identity().name()).hashCode() & Integer.MAX_VALUE;
     }
--- a/entry/src/test/java/org/dahliapass/entry/RouteTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/RouteTest.java
@@ -9,7 +9,7 @@
 import org.dahliapass.model.TemplateParser;
 import org.testng.annotations.Test;
 
-/** Checks whose word counts on what must not run twice. */
+/** Tests that the provider's at-most-once kinds take precedence over the customer's. */
 public final class RouteTest {
     private static final String KIND =
             "[kind desk %s]\nmethod = POST\npath = /%s/**\nidempotent = %s\ndeadline = 5s\n";
@@ -47,10 +47,9 @@
         return new Route("valley", own, provided).kindOf("POST", "/sign-offs/7").orElseThrow();
     }
 
-    // A customer's template calls idempotent what its provider guards. A retry would then run a
-    // sign-off twice, so the provider's word goes first.
+    // Otherwise a retry would run an operation twice that the provider declares at-most-once.
     @Test
-    public void providersGuardGoesBeforeTheCustomersWord() {
+    public void providersAtMostOnceOverridesCustomersIdempotent() {
         RequestKind kind =
                 kind(
                         KIND.formatted("sign-off", "sign-offs", "no"),
@@ -61,7 +60,7 @@
     }
 
     @Test
-    public void kindThatTheProviderDoesNotGuardStaysAsTheCustomerSays() {
+    public void kindThatProviderDoesNotDeclareAtMostOnceStaysIdempotent() {
         RequestKind kind =
                 kind(
                         KIND.formatted("listing", "listings", "yes"),
--- a/entry/src/test/java/org/dahliapass/entry/SameLoopSchedulerTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/SameLoopSchedulerTest.java
@@ -37,23 +37,23 @@
     }
 
     @Test
-    public void everyLoopGetsItself() throws Exception {
+    public void eventLoopAcquiresItself() throws Exception {
         Set<EventLoop> seen = new HashSet<>();
         for (EventExecutor executor : mGroup) {
-            EventLoop given = executor.submit(() -> acquire(80)).get();
-            assertSame(given, executor);
-            seen.add(given);
+            EventLoop acquired = executor.submit(() -> acquire(80)).get();
+            assertSame(acquired, executor);
+            seen.add(acquired);
         }
         assertEquals(seen.size(), 3);
     }
 
     @Test
-    public void anotherThreadGetsOneLoopForAnEndpoint() {
+    public void otherThreadAcquiresSameLoopForSameEndpoint() {
         assertSame(acquire(80), acquire(80));
     }
 
     @Test
-    public void otherThreadsSpreadTheEndpoints() {
+    public void otherThreadDistributesEndpointsOverAllLoops() {
         Set<EventLoop> seen = new HashSet<>();
         for (int port = 1; port <= 100; port++) {
             seen.add(acquire(port));
--- a/entry/src/test/java/org/dahliapass/entry/ServicePathTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/ServicePathTest.java
@@ -6,11 +6,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks how request paths are taken apart. */
+/** Tests for {@link ServicePath}. */
 public final class ServicePathTest {
 
     @Test
-    public void splitsCustomerServicePathAndQuery() {
+    public void parsesCustomerServicePathAndQuery() {
         ServicePath path =
                 ServicePath.parse("/services/himal/desk/listings/7?page=2").orElseThrow();
         assertEquals(path.customer(), "himal");
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void keepsEncodedCharactersThatHaveNoPlainSpelling() {
+    public void keepsNecessaryPercentEncoding() {
         assertTrue(ServicePath.parse("/services/himal/desk/listings/a%20b").isPresent());
     }
 
@@ -38,15 +38,15 @@
         };
     }
 
-    // A caller spells a guarded path in another way. If it were matched as the idempotent kind
-    // that covers the rest, a retry would run the sign-off twice, because the target decodes it.
+    // An encoded at-most-once path must not match an idempotent kind: the target decodes it, and a
+    // retry would run the operation twice.
     @Test(dataProvider = "ambiguous")
-    public void refusesPathsThatATargetMayReadAsOthers(String path) {
+    public void rejectsAmbiguousPaths(String path) {
         assertTrue(ServicePath.parse(path).isEmpty(), path);
     }
 
     @Test
-    public void refusesPathsWithoutServiceOrRest() {
+    public void rejectsPathsWithoutServiceOrRest() {
         assertTrue(ServicePath.parse("/services/himal").isEmpty());
         assertTrue(ServicePath.parse("/services//desk/x").isEmpty());
         assertTrue(ServicePath.parse("/other/himal/desk/x").isEmpty());
--- a/entry/src/test/java/org/dahliapass/entry/StalledResponseMonitorTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/StalledResponseMonitorTest.java
@@ -14,34 +14,33 @@
 import org.dahliapass.kernel.OperationException;
 import org.testng.annotations.Test;
 
-/** Checks that answers end that stall, and only those. */
+/** Tests for {@link StalledResponseMonitor}. */
 public final class StalledResponseMonitorTest {
-    private static final Duration STALL = Duration.ofSeconds(30);
+    private static final Duration STALL_TIMEOUT = Duration.ofSeconds(30);
 
     private final ManualClock mClock = new ManualClock(Instant.EPOCH);
     private final StalledResponseMonitor mMonitor = new StalledResponseMonitor(mClock);
 
-    // A target stops in the middle of a body. The caller would wait for ever; the answer is broken
-    // off once it has made no progress for the stall time.
+    // A target that stops in the middle of a body must not block the caller forever.
     @Test
-    public void answerWithoutProgressIsBrokenOff() {
+    public void responseWithoutProgressIsAborted() {
         HttpResponseWriter response = HttpResponse.streaming();
-        mMonitor.watch(response, STALL);
-        mClock.advance(STALL.plusMillis(1));
+        mMonitor.watch(response, STALL_TIMEOUT);
+        mClock.advance(STALL_TIMEOUT.plusMillis(1));
         mMonitor.abortStalled();
         Throwable cause =
                 expectThrows(CompletionException.class, () -> response.whenComplete().join())
                         .getCause();
-        // Any other cause is taken for the caller's doing, and the target would never be suspected.
+        // Any other cause counts as a cancellation by the caller, not as the target's failure.
         assertTrue(cause instanceof OperationException, cause.toString());
         assertEquals(mMonitor.size(), 0);
     }
 
     @Test
-    public void slowAnswerThatMakesProgressGoesOn() {
+    public void slowResponseThatMakesProgressContinues() {
         HttpResponseWriter response = HttpResponse.streaming();
-        StalledResponseMonitor.WatchedResponse watched = mMonitor.watch(response, STALL);
-        for (int piece = 0; piece < 10; piece++) {
+        StalledResponseMonitor.WatchedResponse watched = mMonitor.watch(response, STALL_TIMEOUT);
+        for (int chunk = 0; chunk < 10; chunk++) {
             mClock.advance(Duration.ofSeconds(20));
             watched.onProgress();
             mMonitor.abortStalled();
@@ -51,13 +50,12 @@
         response.close();
     }
 
-    // Callers send hundreds of short requests a second. Each used to leave a timer of a minute with
-    // all that it held, until the memory was full; an answer that is done must leave nothing.
+    // Guards against a memory leak by short requests.
     @Test
-    public void answerThatIsDoneLeavesNothing() {
+    public void unwatchedResponseIsRemoved() {
         int before = mMonitor.size();
         for (int request = 0; request < 1000; request++) {
-            mMonitor.unwatch(mMonitor.watch(HttpResponse.streaming(), STALL));
+            mMonitor.unwatch(mMonitor.watch(HttpResponse.streaming(), STALL_TIMEOUT));
         }
         assertEquals(mMonitor.size(), before);
     }
