--- a/entry/src/main/java/org/dahliapass/entry/EntryMain.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryMain.java
@@ -14,7 +14,7 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.kernel.Program;
 
-/** The binary {@code dahliapass-vm}: one entry VM. */
+/** The main class of the program {@code dahliapass-vm}, which runs an entry VM. */
 public final class EntryMain extends Program {
     private static final ComponentLog LOG = ComponentLog.of("vm");
     private static final Duration STOP_TIMEOUT = Duration.ofMinutes(15);
@@ -24,10 +24,10 @@
     private OptionSpec<String> mSettings;
 
     private EntryMain() {
-        super("dahliapass-vm", "An entry VM: asks, requests, and its part in the fleet.");
+        super("dahliapass-vm", "Runs an entry VM, which serves discovery and customers' requests.");
     }
 
-    /** Runs until SIGTERM, then drains. */
+    /** Runs the VM until SIGTERM, then drains it. */
     public static void main(String[] arguments) {
         ExitCode code = new EntryMain().main(arguments, System.out, System.err);
         System.exit(code.code());
@@ -49,7 +49,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::onSignal, "stop"));
         System.out.println(vm.readyLine());
         mStopRequested.await();
-        LOG.info("Stopping: leaving the asks, then draining.");
+        LOG.info("Stopping: leaving discovery, then draining.");
         vm.leaveAndStop().join();
         LOG.info("Stopped.");
         mStopped.countDown();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The runtime ends with its hooks, so the hook waits until the VM has drained. */
+    /** Waits until the VM has drained, since the JVM exits when its shutdown hooks return. */
     private void onSignal() {
         mStopRequested.countDown();
         try {
--- a/entry/src/main/java/org/dahliapass/entry/EntryVm.java
+++ b/entry/src/main/java/org/dahliapass/entry/EntryVm.java
@@ -17,7 +17,7 @@
 import org.dahliapass.traffic.EntryMetrics;
 import org.dahliapass.wire.LinkFilter;
 
-/** One entry VM, put together from its services; a process holds one, tests hold several. */
+/** An entry VM with its services; a process runs one, tests run several. */
 public final class EntryVm {
     private static final ComponentLog LOG = ComponentLog.of("vm");
     private static final int MAX_OUTCOME_SERIES = 1000;
@@ -25,7 +25,7 @@
     private static final Duration REGISTER_RETRY_DELAY = Duration.ofSeconds(2);
     private static final int INCARNATION_RANDOM_BITS = 20;
 
-    /** How many gossip periods pass until no VM names one that is leaving. */
+    /** Gossip periods until discovery on all VMs omits a leaving VM. */
     private static final int GOSSIP_SPREAD_PERIODS = 5;
 
     private final VmSettings mSettings;
@@ -39,17 +39,18 @@
     private final Kernel mKernel = new Kernel();
 
     /**
-     * Puts a VM together.
+     * Creates a VM.
      *
-     * @param settings its settings
-     * @param clock the time that all its decisions follow
-     * @param stopRequested run when an operator asks for a drain, or another life replaced this one
+     * @param settings the VM's settings
+     * @param clock the clock for all decisions
+     * @param stopRequested called when an operator requests a drain or when a newer incarnation of
+     *     this VM has joined
      */
     public EntryVm(VmSettings settings, Clock clock, Runnable stopRequested) {
         this(settings, clock, LinkFilter.ALLOW_ALL, stopRequested);
     }
 
-    /** Puts a VM together whose links to other VMs can be cut; for failure tests. */
+    /** Creates a VM whose links to other VMs can be filtered, for tests. */
     public EntryVm(VmSettings settings, Clock clock, LinkFilter filter, Runnable stopRequested) {
         RandomGenerator random = new SplittableRandom();
         mSettings = settings;
@@ -57,19 +58,19 @@
         mLoop = new ControlLoop(clock);
         EntryMetrics metrics = new EntryMetrics();
         RefusalLog refusals = new RefusalLog();
-        OutcomeHistory burn = new OutcomeHistory(MAX_OUTCOME_SERIES);
+        OutcomeHistory outcomes = new OutcomeHistory(MAX_OUTCOME_SERIES);
         mPeers = new PeerLink(mIdentity, settings, filter);
         mCallers =
                 new CallerServer(
                         settings,
                         mIdentity,
                         clock,
-                        new CallerResponder(clock, metrics, burn, refusals),
+                        new CallerResponder(clock, metrics, outcomes, refusals),
                         mReadiness);
         mOperators =
                 new OperatorServer(
                         settings,
-                        kernel -> newResponses(kernel, clock, refusals, burn),
+                        kernel -> newResponses(kernel, clock, refusals, outcomes),
                         mReadiness,
                         stopRequested);
         mFleet =
@@ -101,7 +102,7 @@
     }
 
     private OperatorResponses newResponses(
-            Kernel kernel, Clock clock, RefusalLog refusals, OutcomeHistory burn) {
+            Kernel kernel, Clock clock, RefusalLog refusals, OutcomeHistory outcomes) {
         return new OperatorResponses(
                 clock,
                 mLoop,
@@ -112,32 +113,31 @@
                 kernel.find(AtMostOnceService.NAME, AtMostOnceService.class),
                 kernel.find(ExplanationLog.NAME, ExplanationLog.class),
                 refusals,
-                burn);
+                outcomes);
     }
 
     /**
-     * Guards against two lives of one VM with the same incarnation, of which the second would
-     * answer for keys that the first ran. Wall time orders the lives; the random part keeps them
-     * apart even if the clock was set back.
+     * Combines the time, which orders incarnations, with random bits, which keep them distinct even
+     * if the clock was set back. A reused incarnation could respond for keys of its predecessor.
      */
     private static long newIncarnation(Clock clock, RandomGenerator random) {
-        long part = random.nextLong(1L << INCARNATION_RANDOM_BITS);
-        return (clock.millis() << INCARNATION_RANDOM_BITS) | part;
+        long randomPart = random.nextLong(1L << INCARNATION_RANDOM_BITS);
+        return (clock.millis() << INCARNATION_RANDOM_BITS) | randomPart;
     }
 
-    /** Starts all services; requests are served once configuration is there. */
+    /** Starts all services; requests are served once a configuration is in force. */
     public CompletableFuture<Void> start() {
         return mKernel.start().thenRun(this::register);
     }
 
     /**
-     * Stops gracefully: asks stop naming this VM at once; it serves until every answer that named
-     * it has run out and what is in flight has ended. What still waits for a slot is served or
-     * refused meanwhile, so the periodic events go on until the callers' server has drained.
+     * Stops gracefully: discovery omits this VM at once, and it serves until earlier discovery
+     * responses have expired and requests in flight have completed. Queued requests still need the
+     * timers, so these run until the caller server has drained.
      */
     public CompletableFuture<Void> leaveAndStop() {
         mReadiness.transition(Readiness.State.SERVING, Readiness.State.LEAVING);
-        LOG.info("Leaving; serving on until answers to asks have run out.");
+        LOG.info("Leaving; serving until earlier discovery responses have expired.");
         return mFleet.leave()
                 .thenCompose(ignored -> registerLeaving())
                 .thenCompose(ignored -> awaitDiscoveryExpiry())
@@ -145,7 +145,7 @@
                 .thenCompose(ignored -> stopNow());
     }
 
-    /** The VM list may be slow or away; the VM serves all the same and tries again. */
+    /** Retries in the background, since the VM serves without the VM list. */
     private void register() {
         if (!mSettings.announce() || mFleet.isLeaving()) {
             return;
@@ -154,7 +154,9 @@
                 mFleet.register(false),
                 (ignored, failure) -> {
                     if (failure != null) {
-                        LOG.info("The VM list gave no word: " + failure.getMessage());
+                        LOG.info(
+                                "Registration in the VM list failed; retrying: "
+                                        + failure.getMessage());
                         mLoop.schedule(REGISTER_RETRY_DELAY, this::register);
                     }
                 });
@@ -167,39 +169,41 @@
         return mFleet.register(true)
                 .exceptionally(
                         failure -> {
-                            LOG.warn("The VM list didn't take the leave: " + failure.getMessage());
+                            LOG.warn(
+                                    "Marking this VM as leaving in the VM list failed: "
+                                            + failure.getMessage());
                             return null;
                         });
     }
 
     private CompletableFuture<Void> awaitDiscoveryExpiry() {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> expired = new CompletableFuture<>();
         Duration spread = mSettings.gossipPeriod().multipliedBy(GOSSIP_SPREAD_PERIODS);
-        mLoop.schedule(mSettings.discoveryTimeToLive().plus(spread), () -> over.complete(null));
-        return over;
+        mLoop.schedule(mSettings.discoveryTimeToLive().plus(spread), () -> expired.complete(null));
+        return expired;
     }
 
-    /** Stops at once, as a crash would look to the others; for tests. */
+    /** Stops without leaving the fleet, which other VMs see as a crash; for tests. */
     public CompletableFuture<Void> stopNow() {
         return mLoop.cancelTimers().thenCompose(ignored -> mKernel.stop());
     }
 
-    /** Returns this life of this VM. */
+    /** Returns the identity of this VM, including its incarnation. */
     public VmIdentity identity() {
         return mIdentity;
     }
 
-    /** Returns where callers reach the VM; valid once started. */
+    /** Returns the address for callers; valid once started. */
     public Endpoint callerEndpoint() {
         return mCallers.endpoint();
     }
 
-    /** Returns where operators reach the VM; valid once started. */
+    /** Returns the address for operators; valid once started. */
     public Endpoint operatorEndpoint() {
         return mOperators.endpoint();
     }
 
-    /** Returns the line that tells a launcher that the VM is ready and where it listens. */
+    /** Returns the line that tells a launcher the addresses of a ready VM. */
     public String readyLine() {
         return "ready vm="
                 + mIdentity.name()
--- a/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExplanationLog.java
@@ -10,9 +10,9 @@
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.EntryMetrics;
 
-/** Keeps the newest explanations of what this VM did on its own, for operators. */
+/** A bounded log of the latest explanations of automatic actions, for operators. */
 public final class ExplanationLog implements KernelService {
-    /** The name under which the kernel holds the log. */
+    /** The name under which the log is registered with the kernel. */
     public static final String NAME = "explanations";
 
     private static final ComponentLog LOG = ComponentLog.of("action");
@@ -25,7 +25,7 @@
         mMetrics = metrics;
     }
 
-    /** Keeps an explanation and forgets the oldest one beyond the capacity. */
+    /** Adds an explanation and evicts the oldest one beyond the capacity. */
     public void add(Explanation explanation) {
         synchronized (mEntries) {
             mEntries.addLast(explanation);
@@ -38,10 +38,10 @@
         LOG.info(action + " " + explanation.subject() + ": " + explanation.cause());
     }
 
-    /** Returns the kept explanations that match, oldest first. */
-    public List<Explanation> find(Predicate<Explanation> wanted) {
+    /** Returns the matching explanations, oldest first. */
+    public List<Explanation> find(Predicate<Explanation> filter) {
         synchronized (mEntries) {
-            return mEntries.stream().filter(wanted).toList();
+            return mEntries.stream().filter(filter).toList();
         }
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/ExplanationQuery.java
+++ b/entry/src/main/java/org/dahliapass/entry/ExplanationQuery.java
@@ -1,16 +1,16 @@
 package org.dahliapass.entry;
 
 /**
- * What an operator wants explained; each part may be null for "any".
+ * An operator's query for explanations; null components match everything.
  *
- * @param target a target's address
- * @param request a request's id
- * @param customer a customer's name
- * @param since milliseconds since the epoch
+ * @param target the target's address
+ * @param request the request id
+ * @param customer the customer's name
+ * @param since the earliest time in milliseconds since the epoch
  */
 record ExplanationQuery(String target, String request, String customer, String since) {
 
-    /** Returns the time from which on explanations are wanted, in milliseconds; 0 for all. */
+    /** Returns the earliest time in milliseconds since the epoch; 0 if absent or malformed. */
     long sinceMillis() {
         try {
             return since == null ? 0 : Long.parseLong(since);
@@ -19,10 +19,10 @@
         }
     }
 
-    /** Returns whether a subject is one that is asked for. */
+    /** Returns whether a subject matches the target and the customer. */
     boolean matches(String subject) {
-        boolean targetFits = target == null || subject.contains(target);
-        boolean customerFits = customer == null || subject.contains(customer);
-        return targetFits && customerFits;
+        boolean targetMatches = target == null || subject.contains(target);
+        boolean customerMatches = customer == null || subject.contains(customer);
+        return targetMatches && customerMatches;
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/OperatorResponses.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorResponses.java
@@ -16,7 +16,7 @@
 import org.dahliapass.model.explain.Explanation;
 import org.dahliapass.traffic.ServiceRuntime;
 
-/** Puts what operators ask a VM for into JSON. */
+/** Builds the JSON responses of the operator server. */
 final class OperatorResponses {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -39,24 +39,24 @@
             Readiness readiness,
             ConfigurationService configuration,
             ServiceTable services,
-            AtMostOnceService once,
+            AtMostOnceService operations,
             ExplanationLog explanations,
             RefusalLog refusals,
-            OutcomeHistory burn) {
+            OutcomeHistory outcomes) {
         mClock = clock;
         mLoop = loop;
         mFleet = fleet;
         mReadiness = readiness;
         mConfiguration = configuration;
         mServices = services;
-        mOperations = once;
+        mOperations = operations;
         mExplanations = explanations;
         mRefusals = refusals;
-        mOutcomes = burn;
+        mOutcomes = outcomes;
         mStartedMillis = clock.millis();
     }
 
-    /** Returns this VM's state. */
+    /** Returns the status of this VM. */
     CompletableFuture<String> status() {
         return mOperations
                 .recordCounts()
@@ -82,7 +82,7 @@
                         });
     }
 
-    /** Returns the fleet as this VM sees it. */
+    /** Returns the fleet in this VM's view. */
     String members() {
         ArrayNode root = MAPPER.createArrayNode();
         for (FleetMember member : mFleet.view().all()) {
@@ -99,7 +99,7 @@
         return root.toString();
     }
 
-    /** Returns which revision of a customer's template is in force here. */
+    /** Returns the revision of a customer's template in force, or empty if there is none. */
     Optional<String> template(String customer) {
         return mConfiguration
                 .activeRevision(customer)
@@ -113,12 +113,12 @@
                         });
     }
 
-    /** Returns up to which change this VM knows all, for a customer that it holds nothing of. */
+    /** Returns the number up to which all changes are known to this VM. */
     String headNumber() {
         return MAPPER.createObjectNode().put("headNumber", mConfiguration.headNumber()).toString();
     }
 
-    /** Returns the health of all targets of the services that this VM serves. */
+    /** Returns the status of the targets of all services that this VM serves. */
     CompletableFuture<String> targets() {
         return mLoop.submit(
                 () -> {
@@ -136,7 +136,7 @@
                 });
     }
 
-    /** Returns what this VM did on its own, and the refusal that a request id names. */
+    /** Returns the explanations that match, or the refusal if the query names a request. */
     String explanations(ExplanationQuery query) {
         ArrayNode root = MAPPER.createArrayNode();
         String vm = mFleet.view().self().identity().toString();
@@ -175,7 +175,7 @@
         node.put("setting", "");
     }
 
-    /** Returns this VM's share of the burn report. */
+    /** Returns this VM's outcome counts for the error budget report. */
     String errorBudget(String customer) {
         long now = mClock.millis();
         ErrorBudgetSnapshot snapshot =
--- a/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
+++ b/entry/src/main/java/org/dahliapass/entry/OperatorServer.java
@@ -17,9 +17,9 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.traffic.EntryMetrics;
 
-/** The HTTP server for operators: health, metrics, status, explanations, drain. */
+/** The HTTP server for operators: health, metrics, status, explanations and drain. */
 public final class OperatorServer implements KernelService {
-    /** The name under which the kernel holds the server. */
+    /** The name under which the server is registered with the kernel. */
     public static final String NAME = "operator-server";
 
     private final VmSettings mSettings;
@@ -32,11 +32,11 @@
 
     OperatorServer(
             VmSettings settings,
-            Function<Kernel, OperatorResponses> answersOf,
+            Function<Kernel, OperatorResponses> responsesFactory,
             Readiness readiness,
             Runnable drain) {
         mSettings = settings;
-        mResponsesFactory = answersOf;
+        mResponsesFactory = responsesFactory;
         mReadiness = readiness;
         mDrain = drain;
     }
@@ -69,7 +69,7 @@
                 .build();
     }
 
-    /** Returns where operators reach this VM; valid once started. */
+    /** Returns the operator server's address; valid once started. */
     public Endpoint endpoint() {
         InetSocketAddress address = mServer.activePort().localAddress();
         return new Endpoint(address.getAddress().getHostAddress(), address.getPort());
--- a/entry/src/main/java/org/dahliapass/entry/VmSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmSettings.java
@@ -12,22 +12,22 @@
 /**
  * The settings of one entry VM.
  *
- * @param fleet the fleet's name; VMs of other fleets are strangers
+ * @param fleet the fleet's name; messages of other fleets are rejected
  * @param name the VM's name, unique in the fleet
  * @param availabilityZone the VM's availability zone
- * @param address the IP number on which the VM listens
+ * @param address the IP address on which the VM listens
  * @param callersPort the port for callers; 0 for any free one
  * @param peersPort the port for other VMs, TCP and UDP; 0 for any free one
  * @param operatorsPort the port for operators; 0 for any free one
- * @param store where the platform's key-value service is reached
- * @param vmList where the platform's VM list is reached
- * @param announce whether the VM enters itself into the VM list; no if the platform does it
- * @param discoveryTimeToLive how long a caller may use an ask's answer
+ * @param store the address of the platform's key-value store
+ * @param vmList the address of the platform's VM list
+ * @param announce whether the VM registers itself in the VM list, rather than the platform
+ * @param discoveryTimeToLive how long callers may use a discovery response
  * @param gossipPeriod the period of the failure detector
- * @param controlPeriod the period of evidence, queue and snapshot upkeep
- * @param evidenceBytesPerSecond what regular evidence to the cells may cost, in bytes a second
- * @param operationWindow how long keys of guarded operations are kept
- * @param operationCapacity keys that are kept at most, as home and as witness each
+ * @param controlPeriod the period of evidence reports, queue maintenance and snapshots
+ * @param evidenceBytesPerSecond the budget for periodic evidence to the cells, in bytes per second
+ * @param operationWindow how long keys of at-most-once operations are kept
+ * @param operationCapacity the maximum number of keys kept, as home and as witness each
  */
 public record VmSettings(
         String fleet,
@@ -57,7 +57,7 @@
     /**
      * Reads a settings file.
      *
-     * @throws SettingsException with all problems of the file
+     * @throws SettingsException if the file is invalid, with all problems
      */
     public static VmSettings read(Path path) {
         return from(IniFile.read(path));
@@ -66,7 +66,7 @@
     /**
      * Reads settings from a parsed file.
      *
-     * @throws SettingsException with all problems of the file
+     * @throws SettingsException if the file is invalid, with all problems
      */
     public static VmSettings from(IniFile file) {
         IniSection vm = file.section("vm");
--- a/entry/src/main/java/org/dahliapass/entry/package-info.java
+++ b/entry/src/main/java/org/dahliapass/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry VM: the process between callers and targets. */
+/** The entry VM, a proxy between callers and targets. */
 package org.dahliapass.entry;
--- a/entry/src/test/java/org/dahliapass/entry/VmSettingsTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/VmSettingsTest.java
@@ -9,7 +9,7 @@
 import org.dahliapass.kernel.SettingsException;
 import org.testng.annotations.Test;
 
-/** Checks that a VM starts only on settings that make sense. */
+/** Tests for {@link VmSettings}. */
 public final class VmSettingsTest {
     private static final String GOOD =
             """
@@ -41,13 +41,13 @@
     }
 
     @Test
-    public void controlSectionMayBeLeftOut() {
+    public void controlSectionIsOptional() {
         VmSettings settings = read(GOOD.substring(0, GOOD.indexOf("[control]")));
         assertEquals(settings.discoveryTimeToLive(), Duration.ofSeconds(30));
     }
 
     @Test
-    public void reportsAllProblemsAtOnceByFileSectionAndKey() {
+    public void reportsAllProblemsByFileSectionAndKey() {
         String bad =
                 GOOD.replace("name = vm-01", "name = VM 1")
                         .replace("callers-port = 8080", "callers-port = 808080")
