--- a/entry/src/main/java/org/dahliapass/entry/AtMostOnceCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceCodec.java
@@ -23,10 +23,10 @@
 import org.dahliapass.wire.message.ResolveKeyReply;
 
 /**
- * Translates between the records of guarded operations and the messages between VMs.
+ * Converts between the records of at-most-once operations and the messages between VMs.
  *
- * <p>What a newer release may say and this one doesn't know reads as the weakest word: an intent
- * that is not accepted, an outcome that is unknown.
+ * <p>Unknown values from a newer release are decoded conservatively: an intent is not accepted, an
+ * outcome is unknown.
  */
 final class AtMostOnceCodec {
     private AtMostOnceCodec() {}
@@ -54,7 +54,7 @@
         return message.build();
     }
 
-    /** Reads an operation; empty if the key isn't one. */
+    /** Parses an operation; empty if the key is malformed. */
     static Optional<Operation> operation(String customer, String key) {
         return OperationKey.parse(key).map(parsed -> new Operation(customer, parsed));
     }
--- a/entry/src/main/java/org/dahliapass/entry/AtMostOnceService.java
+++ b/entry/src/main/java/org/dahliapass/entry/AtMostOnceService.java
@@ -24,9 +24,9 @@
 import org.dahliapass.kernel.KernelService;
 import org.dahliapass.model.VmIdentity;
 
-/** Holds this VM's records of guarded operations on the control thread and talks to the peers. */
+/** Runs the at-most-once protocol of this VM, as home and as witness, on the control thread. */
 public final class AtMostOnceService implements KernelService {
-    /** The name under which the kernel holds the service. */
+    /** The name under which the service is registered with the kernel. */
     public static final String NAME = "once";
 
     private static final ComponentLog LOG = ComponentLog.of("once");
@@ -34,7 +34,7 @@
     private static final long CLOCK_MARGIN_MILLIS = 60_000;
     private static final int MAX_BODY_BYTES = 16 * 1024;
 
-    /** A record with a small answer; larger answers make the table full before its capacity. */
+    /** The size of a record with a small result; larger results fill the table sooner. */
     private static final long BYTES_PER_RECORD = 1536;
 
     private static final int MAX_NOTICE_ATTEMPTS = 3;
@@ -47,7 +47,7 @@
     private final Resolver mResolver;
     private final WitnessReachability mReachability = new WitnessReachability();
 
-    /** Creates empty records for this life of this VM. */
+    /** Creates a service without records for this incarnation of the VM. */
     AtMostOnceService(VmIdentity self, VmSettings settings, Clock clock) {
         RetentionWindow window =
                 new RetentionWindow(CLOCK_MARGIN_MILLIS, settings.operationWindow().toMillis());
@@ -61,18 +61,18 @@
         mResolver = new Resolver(self, mRegister);
     }
 
-    /** Returns which witnesses lately gave no word. */
+    /** Returns the reachability of the witnesses. */
     WitnessReachability witnessReachability() {
         return mReachability;
     }
 
-    /** Begins with a guarded request that has arrived. */
+    /** Begins an at-most-once request and returns the home ledger's decision. */
     CompletableFuture<BeginResult> begin(Operation operation, String digest, long deadlineMillis) {
         return mLoop.submit(
                 () -> mLedger.begin(operation, digest, deadlineMillis, mClock.millis()));
     }
 
-    /** Asks the witness for its acknowledgement and returns what the home does on its reply. */
+    /** Requests that the witness records the intent, and returns the home's next action. */
     CompletableFuture<HomeAction> requestIntent(VmIdentity witness, Operation operation) {
         return mPeers.recordIntent(witness, operation)
                 .<Optional<IntentReply>>thenApply(Optional::of)
@@ -82,7 +82,7 @@
 
     private Optional<IntentReply> onWitnessUnreachable(Operation operation, Throwable failure) {
         mReachability.onTimeout(operation.key().witness(), mClock.millis());
-        LOG.info("No word from the witness of " + operation.key() + ": " + failure.getMessage());
+        LOG.info("No reply from the witness of " + operation.key() + ": " + failure.getMessage());
         return Optional.empty();
     }
 
@@ -95,19 +95,19 @@
         return applyDecision(() -> mLedger.witnessReplied(operation, reply.get(), mClock.millis()));
     }
 
-    /** Takes the proof that an attempt ran nothing. */
+    /** Records that an attempt did not run, and returns the home's next action. */
     CompletableFuture<HomeAction> targetRefused(
             Operation operation, int attempt, boolean anotherTarget) {
         return applyDecision(
                 () -> mLedger.targetRefused(operation, attempt, anotherTarget, mClock.millis()));
     }
 
-    /** Takes that an attempt may have run and its answer is lost. */
+    /** Records that an attempt may have run and its response is lost. */
     CompletableFuture<HomeAction> responseLost(Operation operation, int attempt) {
         return applyDecision(() -> mLedger.responseLost(operation, attempt, mClock.millis()));
     }
 
-    /** Takes the end of an attempt that ran. */
+    /** Records the result of an attempt that ran. */
     CompletableFuture<HomeAction> finished(
             Operation operation, int attempt, RecordedResult result) {
         return applyDecision(() -> mLedger.finished(operation, attempt, result, mClock.millis()));
@@ -117,8 +117,8 @@
         return mLoop.submit(decision)
                 .thenApply(
                         action -> {
-                            if (action instanceof HomeAction.Respond settle) {
-                                settle.notice()
+                            if (action instanceof HomeAction.Respond respond) {
+                                respond.notice()
                                         .ifPresent(
                                                 notice ->
                                                         notifyWitness(notice, MAX_NOTICE_ATTEMPTS));
@@ -127,25 +127,25 @@
                         });
     }
 
-    /** A notice that is lost leaves the witness with "unknown", which is true but less helpful. */
-    private void notifyWitness(OutcomeNotice notice, int triesLeft) {
+    /** Without the notice, the witness reports the outcome as unknown. */
+    private void notifyWitness(OutcomeNotice notice, int attemptsLeft) {
         VmIdentity witness = notice.operation().key().witness();
         Futures.whenDone(
                 mPeers.recordOutcome(witness, notice),
                 (ignored, failure) -> {
-                    if (failure != null && triesLeft > 1) {
-                        notifyWitness(notice, triesLeft - 1);
+                    if (failure != null && attemptsLeft > 1) {
+                        notifyWitness(notice, attemptsLeft - 1);
                     }
                 });
     }
 
-    /** Finds the answer for a key whose home is another life than this one. */
+    /** Resolves the outcome of a key whose home is unavailable. */
     CompletableFuture<OperationAnswer> resolveWithoutHome(Operation operation) {
         return mLoop.submit(() -> mResolver.homeUnavailable(operation, mClock.millis()))
                 .thenCompose(step -> runStep(operation, step));
     }
 
-    /** Finds the answer for a key whichever VM is its home. */
+    /** Returns the outcome of a key, whichever VM is its home. */
     CompletableFuture<OperationAnswer> queryOutcome(Operation operation) {
         return mLoop.submit(() -> mLedger.query(operation, mClock.millis()))
                 .thenCompose(
@@ -168,20 +168,20 @@
             return mPeers.resolve(forward.home(), operation)
                     .<Optional<PeerClient.ResolveReply>>thenApply(Optional::of)
                     .exceptionally(failure -> Optional.empty())
-                    .thenCompose(word -> onHomeReply(operation, word))
+                    .thenCompose(reply -> onHomeReply(operation, reply))
                     .thenCompose(next -> runStep(operation, next));
         }
-        ResolverStep.QueryWitness ask = (ResolverStep.QueryWitness) step;
-        return mPeers.resolve(ask.witness(), operation)
-                .handle((word, failure) -> onWitnessReply(operation, word, failure))
+        ResolverStep.QueryWitness query = (ResolverStep.QueryWitness) step;
+        return mPeers.resolve(query.witness(), operation)
+                .handle((reply, failure) -> onWitnessReply(operation, reply, failure))
                 .thenCompose(next -> runStep(operation, next));
     }
 
     private CompletableFuture<ResolverStep> onHomeReply(
-            Operation operation, Optional<PeerClient.ResolveReply> word) {
+            Operation operation, Optional<PeerClient.ResolveReply> reply) {
         return mLoop.submit(
                 () ->
-                        word.map(
+                        reply.map(
                                         found ->
                                                 mResolver.homeAnswered(
                                                         operation,
@@ -195,23 +195,23 @@
     }
 
     private ResolverStep onWitnessReply(
-            Operation operation, PeerClient.ResolveReply word, Throwable failure) {
+            Operation operation, PeerClient.ResolveReply reply, Throwable failure) {
         return failure != null
                 ? mResolver.witnessUnavailable()
-                : mResolver.witnessAnswered(operation, word.from(), word.answer());
+                : mResolver.witnessAnswered(operation, reply.from(), reply.answer());
     }
 
-    /** Answers a home that wants to dispatch a key of which this VM is the witness. */
+    /** Records a home's intent as the witness of its key. */
     CompletableFuture<IntentReply> onIntent(VmIdentity from, Operation operation) {
         return mLoop.submit(() -> mRegister.recordIntent(from, operation, mClock.millis()));
     }
 
-    /** Takes a home's word on how an operation ended. */
+    /** Records an outcome reported by a home. */
     void onOutcome(VmIdentity from, OutcomeNotice notice) {
         mLoop.execute(() -> mRegister.recordOutcome(from, notice, mClock.millis()));
     }
 
-    /** Answers a peer that asks what became of an operation. */
+    /** Returns the outcome of an operation to a peer. */
     CompletableFuture<OperationAnswer> onResolve(Operation operation) {
         return mLoop.submit(
                 () -> {
@@ -220,7 +220,7 @@
                 });
     }
 
-    /** Returns how many keys this VM keeps as home and as witness. */
+    /** Returns the number of keys kept as home and as witness, in this order. */
     CompletableFuture<int[]> recordCounts() {
         return mLoop.submit(() -> new int[] {mLedger.size(), mRegister.size()});
     }
--- a/entry/src/main/java/org/dahliapass/entry/CallerResponder.java
+++ b/entry/src/main/java/org/dahliapass/entry/CallerResponder.java
@@ -21,10 +21,11 @@
     private final OutcomeHistory mOutcomes;
     private final RefusalLog mRefusals;
 
-    CallerResponder(Clock clock, EntryMetrics metrics, OutcomeHistory burn, RefusalLog refusals) {
+    CallerResponder(
+            Clock clock, EntryMetrics metrics, OutcomeHistory outcomes, RefusalLog refusals) {
         mClock = clock;
         mMetrics = metrics;
-        mOutcomes = burn;
+        mOutcomes = outcomes;
         mRefusals = refusals;
     }
 
--- a/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/ChangeCodec.java
@@ -14,7 +14,7 @@
 import org.dahliapass.wire.message.FetchChangesReply;
 import org.dahliapass.wire.message.Service;
 
-/** Translates between the records of configuration and the messages between VMs. */
+/** Converts between configuration records and the messages between VMs. */
 final class ChangeCodec {
     private ChangeCodec() {}
 
@@ -74,24 +74,24 @@
         return new RecordsRequest(message.getSinceNumber(), groups);
     }
 
-    static FetchChangesReply encode(RecordsResponse answer) {
+    static FetchChangesReply encode(RecordsResponse response) {
         FetchChangesReply.Builder message =
                 FetchChangesReply.newBuilder()
-                        .setFirstNumber(answer.firstNumber())
-                        .setThroughNumber(answer.through());
-        answer.records().forEach(record -> message.addChanges(encode(record)));
-        for (GroupSnapshot fill : answer.snapshots()) {
+                        .setFirstNumber(response.firstNumber())
+                        .setThroughNumber(response.through());
+        response.records().forEach(record -> message.addChanges(encode(record)));
+        for (GroupSnapshot snapshot : response.snapshots()) {
             org.dahliapass.wire.message.CustomerGroup.Builder group =
                     org.dahliapass.wire.message.CustomerGroup.newBuilder();
-            fill.group().service().ifPresent(service -> group.setService(encode(service)));
-            fill.newest().forEach(record -> group.addNewest(encode(record)));
+            snapshot.group().service().ifPresent(service -> group.setService(encode(service)));
+            snapshot.newest().forEach(record -> group.addNewest(encode(record)));
             message.addGroups(group);
         }
         return message.build();
     }
 
     static RecordsResponse decode(FetchChangesReply message) {
-        List<GroupSnapshot> fills =
+        List<GroupSnapshot> snapshots =
                 message.getGroupsList().stream()
                         .map(
                                 group ->
@@ -102,7 +102,7 @@
                 message.getFirstNumber(),
                 message.getThroughNumber(),
                 decode(message.getChangesList()),
-                fills);
+                snapshots);
     }
 
     private static CustomerGroup groupOf(org.dahliapass.wire.message.CustomerGroup message) {
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationPeers.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationPeers.java
@@ -14,7 +14,7 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 
-/** Tells the configuration's follower which members to ask; control thread only. */
+/** Selects the members from which the configuration follower fetches; control thread only. */
 final class ConfigurationPeers implements FollowerPeers {
     private static final int MAX_SOURCES = 4;
 
@@ -43,12 +43,12 @@
             return cell(group.service().get());
         }
         List<VmIdentity> members = members();
-        List<VmIdentity> chosen = new ArrayList<>();
+        List<VmIdentity> sources = new ArrayList<>();
         int start = members.isEmpty() ? 0 : Math.floorMod(self().hashCode(), members.size());
         for (int step = 0; step < Math.min(MAX_SOURCES, members.size()); step++) {
-            chosen.add(members.get((start + step) % members.size()));
+            sources.add(members.get((start + step) % members.size()));
         }
-        return chosen;
+        return sources;
     }
 
     @Override
@@ -68,12 +68,12 @@
 
     @Override
     public int storeRank(CustomerGroup group) {
-        List<VmIdentity> turns =
+        List<VmIdentity> candidates =
                 new ArrayList<>(
                         group.service().isPresent() ? cell(group.service().get()) : members());
-        turns.add(self());
-        turns.sort(null);
-        return turns.indexOf(self());
+        candidates.add(self());
+        candidates.sort(null);
+        return candidates.indexOf(self());
     }
 
     private List<VmIdentity> cell(ServiceId service) {
--- a/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
+++ b/entry/src/main/java/org/dahliapass/entry/ConfigurationService.java
@@ -34,13 +34,14 @@
 import org.dahliapass.traffic.EntryMetrics;
 
 /**
- * Runs the follower of accepted changes on the control thread and publishes the templates in force.
+ * Follows accepted configuration changes on the control thread and publishes the templates in
+ * force.
  *
  * <p>Only the watchers of each zone hold a blocking read on the store's head; see {@link
- * StoreWatch}. All others hear of changes from members.
+ * StoreHeadWatcher}. All other VMs receive changes from members.
  */
 public final class ConfigurationService implements KernelService {
-    /** The name under which the kernel holds the service. */
+    /** The name under which the service is registered with the kernel. */
     public static final String NAME = "configuration";
 
     private static final ComponentLog LOG = ComponentLog.of("configuration");
@@ -63,10 +64,10 @@
     private volatile long mHeadNumber;
 
     /**
-     * The revision of a template that is in force here.
+     * The revision of a template in force on this VM.
      *
-     * @param number the change's number
-     * @param digest the text's digest
+     * @param number the change number
+     * @param digest the digest of the template's text
      */
     record ActiveRevision(long number, String digest) {}
 
@@ -81,16 +82,16 @@
         return mTable;
     }
 
-    /** Returns the number up to which this VM knows all changes. */
+    /** Returns the number up to which all changes are known to this VM. */
     long headNumber() {
         return mHeadNumber;
     }
 
     /**
-     * Finds a service in the fleet's directory.
+     * Returns the cell of a service, or empty if the service is unknown or ambiguous.
      *
-     * @param provider the customer that provides it, or null: then the customer's own service of
-     *     that name, or else the only one of that name
+     * @param provider the providing customer, or null to select the customer's service of that
+     *     name, or else the only service of that name
      */
     Optional<ServiceCell> findCell(String customer, String service, String provider) {
         Map<ServiceId, Integer> directory = mDirectory;
@@ -102,70 +103,70 @@
         if (directory.containsKey(id)) {
             return Optional.of(new ServiceCell(id, directory.get(id)));
         }
-        List<ServiceId> named =
+        List<ServiceId> sameName =
                 directory.keySet().stream().filter(key -> key.name().equals(service)).toList();
-        return provider == null && named.size() == 1
-                ? Optional.of(new ServiceCell(named.get(0), directory.get(named.get(0))))
+        return provider == null && sameName.size() == 1
+                ? Optional.of(new ServiceCell(sameName.get(0), directory.get(sameName.get(0))))
                 : Optional.empty();
     }
 
     /**
-     * A service with the size of its cell.
+     * A service and the size of its cell.
      *
      * @param service the service
-     * @param size how many VMs serve it
+     * @param size the number of VMs that serve it
      */
     record ServiceCell(ServiceId service, int size) {}
 
-    /** Returns the revision of a customer's template that is in force here. */
+    /** Returns the revision of a customer's template in force, or empty if there is none. */
     synchronized Optional<ActiveRevision> activeRevision(String customer) {
         return Optional.ofNullable(mActiveRevisions.get(customer));
     }
 
-    /** Adds what is run on the control thread after each change in force; before the start. */
+    /** Adds a listener, called on the control thread after each change; only before the start. */
     void onChange(Runnable listener) {
         mListeners.add(listener);
     }
 
-    /** Takes changes that a member passed on; control thread only. */
+    /** Handles changes received from a member; control thread only. */
     void onRumor(List<ChangeRecord> records) {
         execute(mFollower.onRumor(records, mLoop.nowMillis()));
     }
 
-    /** Takes the head number that a member's datagram carries; control thread only. */
+    /** Handles the head number in a member's datagram; control thread only. */
     void onPing(VmIdentity peer, long headNumber) {
         execute(mFollower.onPing(peer, headNumber, mLoop.nowMillis()));
     }
 
-    /** Takes the head that this VM read; control thread only. */
+    /** Handles a head read from the store; control thread only. */
     void onHead(Head head) {
         execute(mFollower.onHead(head, mLoop.nowMillis()));
     }
 
-    /** Answers a peer that asks for changes. */
+    /** Handles a peer's request for changes. */
     CompletableFuture<RecordsResponse> onFetch(RecordsRequest request) {
         return mLoop.submit(() -> mFollower.answer(request));
     }
 
-    /** Answers a peer that asks for a text. */
+    /** Handles a peer's request for a template's text. */
     CompletableFuture<Optional<String>> onFetchText(String customer, String digest) {
         return mLoop.submit(() -> mFollower.text(customer, digest));
     }
 
-    /** Returns when the store last answered, in milliseconds; control thread only. */
+    /** Returns when the store last responded, in milliseconds; control thread only. */
     long lastStoreResponseMillis() {
         return mWatch.lastResponseMillis();
     }
 
-    /** Reads the head now, whether or not this VM is a watcher. */
+    /** Reads the head once, even if this VM is no watcher; control thread only. */
     void probeStore() {
         mWatch.probe();
     }
 
     private void execute(List<FollowerAction> actions) {
         for (FollowerAction action : actions) {
-            if (action instanceof FollowerAction.SendRumor passOn) {
-                passOn.members().forEach(member -> mPeers.sendRumor(member, passOn.records()));
+            if (action instanceof FollowerAction.SendRumor rumor) {
+                rumor.members().forEach(member -> mPeers.sendRumor(member, rumor.records()));
             } else if (action instanceof FollowerAction.FetchRecords fetch) {
                 fetch(fetch);
             } else if (action instanceof FollowerAction.FetchText fetch) {
@@ -192,9 +193,10 @@
     private void fetch(FollowerAction.FetchRecords fetch) {
         Futures.whenDone(
                 mPeers.fetchChanges(fetch.peer(), fetch.request()),
-                (answer, failure) -> {
+                (response, failure) -> {
                     if (failure == null) {
-                        mLoop.execute(() -> execute(mFollower.onAnswer(answer, mLoop.nowMillis())));
+                        mLoop.execute(
+                                () -> execute(mFollower.onAnswer(response, mLoop.nowMillis())));
                     }
                 });
     }
@@ -218,7 +220,7 @@
                 mStore.read(read.key().path()),
                 (value, failure) -> {
                     if (failure != null) {
-                        LOG.info("The store gave no word: " + failure.getMessage());
+                        LOG.info("Reading the store failed: " + failure.getMessage());
                         return;
                     }
                     Optional<StoreItem> item =
@@ -272,7 +274,7 @@
         if (mFollower.isReady()
                 && mWatch.hasProbed()
                 && mReadiness.transition(Readiness.State.STARTING, servingState())) {
-            LOG.info("All templates of this VM's services are in force; serving.");
+            LOG.info("All templates of this VM's services are in force; serving requests.");
         }
     }
 
@@ -280,7 +282,7 @@
         return Readiness.State.SERVING;
     }
 
-    /** Returns the follower's figures; control thread only. */
+    /** Returns the follower's counters; control thread only. */
     FollowerCounters counters() {
         return mFollower.counters();
     }
--- a/entry/src/main/java/org/dahliapass/entry/EvidenceCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/EvidenceCodec.java
@@ -10,7 +10,7 @@
 import org.dahliapass.wire.message.InFlight;
 import org.dahliapass.wire.message.Service;
 
-/** Translates between the records of the targets' health and the messages between VMs. */
+/** Converts between evidence about target health and the messages between VMs. */
 final class EvidenceCodec {
     private EvidenceCodec() {}
 
--- a/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
+++ b/entry/src/main/java/org/dahliapass/entry/EvidenceExchange.java
@@ -21,15 +21,15 @@
 import org.dahliapass.traffic.ServiceRuntime;
 
 /**
- * Tells the other VMs of each cell what this VM saw, within a budget of bytes a second.
+ * Sends evidence about target health to the other VMs of each cell, within a byte rate budget.
  *
- * <p>Shared evidence is what lets a cell decide sooner than any of its VMs could alone.
+ * <p>Shared evidence lets a cell detect failing targets sooner than a single VM could.
  */
 final class EvidenceExchange implements KernelService {
-    /** The name under which the kernel holds the exchange. */
+    /** The name under which the exchange is registered with the kernel. */
     static final String NAME = "evidence";
 
-    /** An idle cell's members still tell each other that they are there; see IsolationGuard. */
+    /** Below the window of {@link IsolationDetector}, so that idle cells don't appear isolated. */
     private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(1500);
 
     private static final ServiceId NO_SERVICE = new ServiceId("", "");
@@ -51,7 +51,7 @@
     private void sendReports() {
         List<ServiceTemplate> served = mServices.servedTemplates();
         mPacers.keySet().retainAll(served.stream().map(ServiceTemplate::id).toList());
-        Set<Vm> unheard = new LinkedHashSet<>();
+        Set<Vm> heartbeatPeers = new LinkedHashSet<>();
         for (ServiceTemplate template : served) {
             long budget = Math.max(1, mBytesPerSecond / served.size());
             ReportPacer pacer =
@@ -60,22 +60,23 @@
             if (pacer.isDue(mLoop.nowMillis())) {
                 sendReports(template, pacer);
             } else if (isHeartbeatDue(template.id())) {
-                unheard.addAll(peers(template));
+                heartbeatPeers.addAll(peers(template));
                 mLastSentMillis.put(template.id(), mLoop.nowMillis());
             }
         }
-        sendHeartbeat(List.copyOf(unheard));
+        sendHeartbeat(List.copyOf(heartbeatPeers));
     }
 
     private boolean isHeartbeatDue(ServiceId service) {
-        long told = mLastSentMillis.getOrDefault(service, 0L);
-        return mLoop.nowMillis() - told >= HEARTBEAT_PERIOD.toMillis();
+        long lastSent = mLastSentMillis.getOrDefault(service, 0L);
+        return mLoop.nowMillis() - lastSent >= HEARTBEAT_PERIOD.toMillis();
     }
 
     /**
-     * Guards against a cell whose paced reports are rarer than the window in which its members must
-     * hear each other; with the store away it would stand down as a whole. An empty report of no
-     * service costs little; the receivers take it for nothing but a sign of life.
+     * Sends an empty report of no service, which only shows that this VM is alive.
+     *
+     * <p>Without heartbeats, a cell whose paced reports are rarer than the isolation window would
+     * stop serving during a store outage.
      */
     private void sendHeartbeat(List<Vm> peers) {
         if (peers.isEmpty()) {
--- a/entry/src/main/java/org/dahliapass/entry/EvidenceLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/EvidenceLink.java
@@ -5,12 +5,12 @@
 import org.dahliapass.decisions.traffic.TargetInFlight;
 import org.dahliapass.model.Vm;
 
-/** Sends what this VM saw of a service's targets to another VM of the cell. */
+/** Sends evidence about a service's targets to the other VMs of its cell. */
 interface EvidenceLink {
     /**
-     * Sends a report to each of the peers; a lost one is not sent again.
+     * Sends a report to each peer, without retransmission.
      *
-     * @return the bytes of all messages together
+     * @return the total size of the messages in bytes
      */
     long report(List<Vm> peers, EvidenceReport report, List<TargetInFlight> inFlight);
 }
--- a/entry/src/main/java/org/dahliapass/entry/FleetMember.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetMember.java
@@ -4,10 +4,10 @@
 import org.dahliapass.model.Vm;
 
 /**
- * A VM as operators see it.
+ * A VM of the fleet in the operators' view.
  *
  * @param vm the VM
- * @param operatorEndpoint where operators reach it
- * @param state its state in the membership, in lower case
+ * @param operatorEndpoint the address of its operator server
+ * @param state its membership state in lower case
  */
 public record FleetMember(Vm vm, Endpoint operatorEndpoint, String state) {}
--- a/entry/src/main/java/org/dahliapass/entry/FleetService.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetService.java
@@ -34,9 +34,9 @@
 import org.dahliapass.registry.VmListClient;
 import org.dahliapass.traffic.EntryMetrics;
 
-/** Runs the membership on the control thread and publishes the fleet as traffic threads see it. */
+/** Runs the membership protocol on the control thread and publishes fleet snapshots. */
 public final class FleetService implements KernelService {
-    /** The name under which the kernel holds the service. */
+    /** The name under which the service is registered with the kernel. */
     public static final String NAME = "fleet";
 
     private static final ComponentLog LOG = ComponentLog.of("fleet");
@@ -61,7 +61,7 @@
     private volatile boolean mLeaving;
 
     /**
-     * The members and the cells that were planned from them, so that an ask costs no planning.
+     * A cache of the cells of one set of members.
      *
      * @param members the members
      * @param cells the cells planned so far
@@ -69,10 +69,10 @@
     private record CellPlan(List<MemberUpdate> members, Map<CellKey, List<MemberUpdate>> cells) {}
 
     /**
-     * A cell of a certain size.
+     * The key of a planned cell.
      *
      * @param service the service
-     * @param size the number of VMs
+     * @param size the number of VMs in the cell
      */
     private record CellKey(ServiceId service, int size) {}
 
@@ -89,62 +89,62 @@
         mOnReplaced = replaced;
     }
 
-    /** Adds what is run on the control thread after each change of the fleet; before the start. */
+    /** Adds a listener, called on the control thread after fleet changes; only before the start. */
     void onChange(Runnable listener) {
         mListeners.add(listener);
     }
 
-    /** Returns the fleet. */
+    /** Returns the current fleet snapshot. */
     FleetView view() {
         return mView;
     }
 
-    /** Returns whether this VM has begun to leave. */
+    /** Returns whether this VM is leaving. */
     boolean isLeaving() {
         return mLeaving;
     }
 
-    /** Returns the cell of a service in order of rank. */
+    /** Returns the VMs of a service's cell in order of rank. */
     List<Vm> cellOf(ServiceTemplate template) {
         return cellOf(template.id(), template.cellSize());
     }
 
-    /** Returns the cell of a service in order of rank. */
+    /** Returns the VMs of a service's cell in order of rank. */
     List<Vm> cellOf(ServiceId service, int size) {
         return membersOf(service, size).stream().map(MemberUpdate::vm).toList();
     }
 
-    /** Returns the cell of a service with the members' states; planned once for each fleet. */
+    /** Returns the members of a service's cell with their states, in order of rank. */
     List<MemberUpdate> membersOf(ServiceId service, int size) {
-        CellPlan planned = mCellPlan;
-        return planned.cells()
+        CellPlan plan = mCellPlan;
+        return plan.cells()
                 .computeIfAbsent(
                         new CellKey(service, size),
-                        key -> CellPlanner.plan(service, size, planned.members()));
+                        key -> CellPlanner.plan(service, size, plan.members()));
     }
 
-    /** Returns whether this VM serves a service, also while it is leaving; control thread only. */
+    /** Returns whether this VM serves a service, even while leaving; control thread only. */
     boolean isInCell(ServiceId service, int size) {
         return mCells.isInCell(service, size);
     }
 
-    /** Returns this VM's rank in a service's cell; -1 if it isn't in it. */
+    /** Returns this VM's rank in a service's cell, or -1 if it is not in the cell. */
     int rankInCell(ServiceTemplate template) {
         List<Vm> cell = cellOf(template);
-        for (int place = 0; place < cell.size(); place++) {
-            if (cell.get(place).identity().equals(mView.self().identity())) {
-                return place;
+        for (int rank = 0; rank < cell.size(); rank++) {
+            if (cell.get(rank).identity().equals(mView.self().identity())) {
+                return rank;
             }
         }
         return -1;
     }
 
-    /** Returns which share of the VMs was heard within the window; control thread only. */
+    /** Returns the fraction of VMs heard from within the window; control thread only. */
     double heardFraction(List<VmIdentity> vms, Duration window) {
         return mMembership.heardFraction(vms, mLoop.nowMillis(), window.toMillis());
     }
 
-    /** Returns the lives that are members; safe on any thread, empty before the start. */
+    /** Returns the identities of all members, empty before the start; safe on any thread. */
     Set<VmIdentity> memberIdentities() {
         return mIdentities;
     }
@@ -154,35 +154,35 @@
         mMembership.setHeadNumber(number);
     }
 
-    /** Takes a datagram; control thread only. */
+    /** Handles a datagram; control thread only. */
     void onGossip(GossipMessage message) {
         execute(mMembership.onGossip(message, mLoop.nowMillis()));
     }
 
-    /** Notes that a VM was heard by a request or reply; control thread only. */
+    /** Records contact with a VM; control thread only. */
     void onHeard(VmIdentity identity) {
         mMembership.onHeard(identity, mLoop.nowMillis());
     }
 
-    /** Answers another VM's request for the member list; control thread only. */
+    /** Handles another VM's request for the member list; control thread only. */
     List<MemberUpdate> onJoin(JoinRequest request) {
-        JoinResponse answer = mMembership.onJoinRequest(request, mLoop.nowMillis());
-        execute(answer.actions());
-        return answer.members();
+        JoinResponse response = mMembership.onJoinRequest(request, mLoop.nowMillis());
+        execute(response.actions());
+        return response.members();
     }
 
-    /** Enters this VM into the platform's list, for platforms that leave that to the VM. */
+    /** Registers this VM in the platform's VM list. */
     CompletableFuture<Void> register(boolean leaving) {
         MemberUpdate self = mMembership.self();
         return mVmList.register(new ListedVm(self.vm(), self.operators(), leaving));
     }
 
-    /** Takes this VM out of the platform's list. */
+    /** Removes this VM from the platform's VM list. */
     CompletableFuture<Void> deregister() {
         return mVmList.deregister(mView.self().identity().name());
     }
 
-    /** Tells the fleet that this VM leaves; asks no longer name it. */
+    /** Announces to the fleet that this VM leaves; discovery omits it from then on. */
     CompletableFuture<Void> leave() {
         return mLoop.submit(
                 () -> {
@@ -217,12 +217,7 @@
         mChanged |= changed;
     }
 
-    /**
-     * Takes all changes of a tick together.
-     *
-     * <p>Guards against a snapshot and a round of listeners for each datagram, which would show as
-     * seconds of processor time while a whole zone is being lost.
-     */
+    /** Batches the changes of a tick, to avoid a snapshot per datagram when a whole zone fails. */
     private void publishChanges() {
         if (mChanged) {
             mChanged = false;
@@ -260,12 +255,12 @@
     private void publish() {
         List<MemberUpdate> members = mMembership.members();
         Map<MemberState, Integer> counts = new EnumMap<>(MemberState.class);
-        List<Vm> usable = new ArrayList<>();
+        List<Vm> alive = new ArrayList<>();
         List<FleetMember> all = new ArrayList<>();
         for (MemberUpdate member : members) {
             counts.merge(member.state(), 1, Integer::sum);
             if (member.state() == MemberState.ALIVE) {
-                usable.add(member.vm());
+                alive.add(member.vm());
             }
             String state = member.state().name().toLowerCase(Locale.ROOT);
             all.add(new FleetMember(member.vm(), member.operators(), state));
@@ -273,14 +268,14 @@
         mCellPlan = new CellPlan(List.copyOf(members), new ConcurrentHashMap<>());
         mCells.updateMembers(zonesByVm(members));
         mIdentities = PeerLink.identities(members);
-        mView = new FleetView(mMembership.self().vm(), usable, all);
+        mView = new FleetView(mMembership.self().vm(), alive, all);
         for (MemberState state : MemberState.values()) {
             String name = state.name().toLowerCase(Locale.ROOT);
             mMetrics.onMemberCount(name, counts.getOrDefault(state, 0));
         }
     }
 
-    /** A VM that leaves is in no cell for the others, but keeps what it serves until it stops. */
+    /** Includes this VM even while it leaves, since it serves until it stops. */
     private Map<String, String> zonesByVm(List<MemberUpdate> members) {
         Map<String, String> zones = new HashMap<>();
         zones.put(mIdentity.name(), mSettings.availabilityZone());
--- a/entry/src/main/java/org/dahliapass/entry/FleetSettings.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetSettings.java
@@ -4,32 +4,32 @@
 import org.dahliapass.decisions.membership.MembershipSettings;
 
 /**
- * The membership's tolerances of this fleet.
+ * The membership protocol's settings for this fleet.
  *
- * @param membership the tolerances
+ * @param membership the protocol settings
  */
 record FleetSettings(MembershipSettings membership) {
 
-    /** Returns the standard tolerances scaled to another period of the failure detector. */
+    /** Returns the default settings with durations scaled to a failure detection period. */
     static FleetSettings of(Duration period) {
-        MembershipSettings standard = MembershipSettings.defaults();
+        MembershipSettings defaults = MembershipSettings.defaults();
         return new FleetSettings(
                 new MembershipSettings(
                         period,
-                        scaled(standard.pingTimeout(), period, standard),
-                        standard.indirectProbes(),
-                        standard.suspicionPeriods(),
-                        standard.retransmissions(),
-                        standard.rumorFanout(),
-                        scaled(standard.rumorInterval(), period, standard),
-                        scaled(standard.exchangeInterval(), period, standard),
-                        scaled(standard.seedInterval(), period, standard),
-                        standard.tombstoneRetention(),
-                        standard.datagramBytes()));
+                        scaled(defaults.pingTimeout(), period, defaults),
+                        defaults.indirectProbes(),
+                        defaults.suspicionPeriods(),
+                        defaults.retransmissions(),
+                        defaults.rumorFanout(),
+                        scaled(defaults.rumorInterval(), period, defaults),
+                        scaled(defaults.exchangeInterval(), period, defaults),
+                        scaled(defaults.seedInterval(), period, defaults),
+                        defaults.tombstoneRetention(),
+                        defaults.datagramBytes()));
     }
 
-    private static Duration scaled(Duration value, Duration period, MembershipSettings standard) {
-        double factor = (double) period.toMillis() / standard.period().toMillis();
+    private static Duration scaled(Duration value, Duration period, MembershipSettings defaults) {
+        double factor = (double) period.toMillis() / defaults.period().toMillis();
         return Duration.ofMillis(Math.max(1, Math.round(value.toMillis() * factor)));
     }
 }
--- a/entry/src/main/java/org/dahliapass/entry/FleetView.java
+++ b/entry/src/main/java/org/dahliapass/entry/FleetView.java
@@ -6,21 +6,21 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * An immutable snapshot of the fleet as this VM sees it, which traffic threads read.
+ * An immutable snapshot of the fleet in this VM's view, read by traffic threads.
  *
  * @param self this VM
- * @param members all VMs that take requests, this one included unless it is leaving
- * @param all all VMs that aren't dead, for operators
+ * @param members the alive VMs, including this one unless it is leaving
+ * @param all all VMs that are not dead, for operators
  */
 public record FleetView(Vm self, List<Vm> members, List<FleetMember> all) {
 
-    /** Copies the lists. */
+    /** Creates a snapshot from copies of the lists. */
     public FleetView {
         members = List.copyOf(members);
         all = List.copyOf(all);
     }
 
-    /** Finds a life of a VM that isn't known to be dead. */
+    /** Returns the VM with this identity, or empty if it is unknown or dead. */
     public Optional<Vm> find(VmIdentity identity) {
         return all.stream()
                 .map(FleetMember::vm)
--- a/entry/src/main/java/org/dahliapass/entry/GossipCodec.java
+++ b/entry/src/main/java/org/dahliapass/entry/GossipCodec.java
@@ -18,15 +18,15 @@
 import org.dahliapass.wire.message.MemberStatus;
 
 /**
- * Translates between the records of the membership decisions and the messages between VMs.
+ * Converts between the records of the membership protocol and the messages between VMs.
  *
- * <p>What a newer release may have added is left out: a kind that isn't known makes the datagram a
- * rumor, a member of an unknown status is skipped.
+ * <p>Tolerates additions of newer releases: a datagram of an unknown kind is decoded as a rumor,
+ * and a member with an unknown status is skipped.
  */
 public final class GossipCodec {
     private GossipCodec() {}
 
-    /** Writes a datagram; the transport adds the version and the fleet's name. */
+    /** Encodes a datagram; the transport adds the version and the fleet name. */
     public static Gossip.Builder encode(GossipMessage message) {
         Gossip.Builder gossip =
                 Gossip.newBuilder()
@@ -40,7 +40,7 @@
         return gossip;
     }
 
-    /** Reads a datagram. */
+    /** Decodes a datagram. */
     public static GossipMessage decode(Gossip gossip) {
         return new GossipMessage(
                 decode(gossip.getSender()),
@@ -52,7 +52,7 @@
                 decodeMembers(gossip.getMembersList()));
     }
 
-    /** Writes a request for the member list. */
+    /** Encodes a request for the member list. */
     public static Join encode(JoinRequest request) {
         return Join.newBuilder()
                 .addMembers(encode(request.self()))
@@ -60,26 +60,26 @@
                 .build();
     }
 
-    /** Reads a request for the member list; empty if it lacks the sender's own news. */
+    /** Decodes a request for the member list; empty if the sender's own update is missing. */
     public static Optional<JoinRequest> decode(Join join) {
         return decodeMembers(join.getMembersList()).stream()
                 .findFirst()
                 .map(self -> new JoinRequest(self, join.getListDigest()));
     }
 
-    /** Writes a member list. */
+    /** Encodes a member list. */
     public static JoinReply encode(List<MemberUpdate> members) {
         JoinReply.Builder reply = JoinReply.newBuilder();
         members.forEach(update -> reply.addMembers(encode(update)));
         return reply.build();
     }
 
-    /** Reads a member list. */
+    /** Decodes a member list. */
     public static List<MemberUpdate> decode(JoinReply reply) {
         return decodeMembers(reply.getMembersList());
     }
 
-    /** Writes an identity. */
+    /** Encodes an identity. */
     public static Identity encode(VmIdentity identity) {
         return Identity.newBuilder()
                 .setName(identity.name())
@@ -87,7 +87,7 @@
                 .build();
     }
 
-    /** Reads an identity. */
+    /** Decodes an identity. */
     public static VmIdentity decode(Identity identity) {
         return new VmIdentity(identity.getName(), identity.getIncarnation());
     }
@@ -120,10 +120,7 @@
                                         member.getRefutation()));
     }
 
-    /**
-     * Reads a VM. Texts that repeat over a list of thousands of VMs share one instance, since each
-     * VM keeps the whole list in its memory.
-     */
+    /** Interns repeated strings, since the list of thousands of VMs stays in memory. */
     private static Vm decodeVm(org.dahliapass.wire.message.MemberUpdate member) {
         return new Vm(
                 decode(member.getIdentity()),
--- a/entry/src/main/java/org/dahliapass/entry/GossipLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/GossipLink.java
@@ -7,12 +7,12 @@
 import org.dahliapass.decisions.membership.MemberUpdate;
 import org.dahliapass.model.Endpoint;
 
-/** What membership sends to other VMs. */
+/** Sends membership messages to other VMs. */
 interface GossipLink {
-    /** Sends a datagram; it may get lost. */
+    /** Sends a datagram without a delivery guarantee. */
     void send(Endpoint peer, GossipMessage message);
 
-    /** Asks a peer for its member list; fails without a word. */
+    /** Requests the member list of a peer; fails if the peer does not reply. */
     CompletableFuture<List<MemberUpdate>> exchange(
             Endpoint peer, long recipientIncarnation, JoinRequest request);
 }
--- a/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
+++ b/entry/src/main/java/org/dahliapass/entry/HealthPoller.java
@@ -20,14 +20,14 @@
 import org.dahliapass.model.Target;
 
 /**
- * Reads the targets' own health and load reports, each target by one VM of the cell in turn.
+ * Polls the health and load reports of targets.
  *
- * <p>The reports lag or mislead, so they only ever say that a target is leaving or cold; what work
- * shows goes first. A probe costs a target about 25 ms, so the whole cell together reads a target
- * about once in {@link #PERIOD}, whatever the cell's size.
+ * <p>The reports may be outdated or wrong, so the outcomes of requests take precedence. The VMs of
+ * a cell take turns, so that each target is polled about once per {@link #PERIOD} whatever the size
+ * of the cell.
  */
 final class HealthPoller implements KernelService {
-    /** The name under which the kernel holds the poller. */
+    /** The name under which the poller is registered with the kernel. */
     static final String NAME = "health-poller";
 
     private static final Duration PERIOD = Duration.ofSeconds(1);
@@ -43,11 +43,11 @@
     private void poll() {
         mRound++;
         for (ServiceTemplate template : mServices.servedTemplates()) {
-            int cell = Math.max(1, mFleet.cellOf(template).size());
-            int place = mFleet.rankInCell(template);
+            int cellSize = Math.max(1, mFleet.cellOf(template).size());
+            int rank = mFleet.rankInCell(template);
             List<Target> targets = template.targets();
             for (int index = 0; index < targets.size(); index++) {
-                if (Math.floorMod(index + mRound, cell) == place) {
+                if (Math.floorMod(index + mRound, cellSize) == rank) {
                     read(template, targets.get(index).endpoint());
                 }
             }
@@ -75,15 +75,17 @@
         return mClients.send(target, HttpRequest.of(HttpMethod.GET, path), TIMEOUT)
                 .response()
                 .aggregate()
-                .handle((answer, failure) -> failure == null ? parse(answer) : Optional.empty());
+                .handle(
+                        (response, failure) ->
+                                failure == null ? parse(response) : Optional.empty());
     }
 
-    private static Optional<JsonNode> parse(AggregatedHttpResponse answer) {
-        if (!answer.status().equals(HttpStatus.OK)) {
+    private static Optional<JsonNode> parse(AggregatedHttpResponse response) {
+        if (!response.status().equals(HttpStatus.OK)) {
             return Optional.empty();
         }
         try {
-            return Optional.of(MAPPER.readTree(answer.contentUtf8()));
+            return Optional.of(MAPPER.readTree(response.contentUtf8()));
         } catch (IOException expected) {
             return Optional.empty();
         }
--- a/entry/src/main/java/org/dahliapass/entry/IsolationDetector.java
+++ b/entry/src/main/java/org/dahliapass/entry/IsolationDetector.java
@@ -15,15 +15,14 @@
 import org.dahliapass.model.explain.Explanation;
 
 /**
- * Makes a VM stand down that hears neither the store nor most of its cells.
+ * Detects that this VM reaches neither the store nor most VMs of its cells, and stops serving.
  *
- * <p>Guards against a VM that is cut off while a newer configuration comes into force elsewhere; it
- * would show as requests served by reverted limits. Such a VM can't know, so it refuses and names
- * other addresses as the way out. A store outage alone doesn't trigger it, since the cell is heard.
- * Standing down takes {@link #WINDOW}, less than the time within which an accept is in force.
+ * <p>An isolated VM would serve requests by outdated limits while a newer configuration is in force
+ * elsewhere. A store outage alone does not isolate a VM. {@link #WINDOW} is shorter than the time
+ * in which an accepted change comes into force.
  */
 final class IsolationDetector implements KernelService {
-    /** The name under which the kernel holds the guard. */
+    /** The name under which the detector is registered with the kernel. */
     static final String NAME = "isolation-guard";
 
     private static final Duration WINDOW = Duration.ofSeconds(4);
@@ -43,18 +42,22 @@
 
     private void check() {
         List<VmIdentity> peers = cellPeers();
-        double share = mFleet.heardFraction(peers, WINDOW);
-        boolean storeHeard =
+        double heardFraction = mFleet.heardFraction(peers, WINDOW);
+        boolean storeReachable =
                 mLoop.nowMillis() - mConfiguration.lastStoreResponseMillis() < WINDOW.toMillis();
-        boolean isolated = !peers.isEmpty() && share < MIN_HEARD_FRACTION && !storeHeard;
-        if (!peers.isEmpty() && share < MIN_HEARD_FRACTION) {
+        boolean isolated =
+                !peers.isEmpty() && heardFraction < MIN_HEARD_FRACTION && !storeReachable;
+        if (!peers.isEmpty() && heardFraction < MIN_HEARD_FRACTION) {
             mConfiguration.probeStore();
         }
         if (isolated && mReadiness.transition(Readiness.State.SERVING, Readiness.State.ISOLATED)) {
-            explain(Action.STOOD_DOWN, "it hears neither the store nor most of its cells", share);
+            explain(
+                    Action.STOOD_DOWN,
+                    "it hears neither the store nor most of its cells",
+                    heardFraction);
         }
         if (!isolated && mReadiness.transition(Readiness.State.ISOLATED, Readiness.State.SERVING)) {
-            explain(Action.RESUMED, "it hears its cells or the store again", share);
+            explain(Action.RESUMED, "it hears its cells or the store again", heardFraction);
         }
     }
 
@@ -67,8 +70,9 @@
         return List.copyOf(peers);
     }
 
-    private void explain(Action action, String cause, double share) {
-        String evidence = Math.round(share * 100) + "% of its cells' VMs heard in the window";
+    private void explain(Action action, String cause, double heardFraction) {
+        String evidence =
+                Math.round(heardFraction * 100) + "% of its cells' VMs heard in the window";
         mExplanations.add(
                 new Explanation(
                         mLoop.nowMillis(),
--- a/entry/src/main/java/org/dahliapass/entry/PeerClient.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerClient.java
@@ -7,22 +7,22 @@
 import org.dahliapass.decisions.once.OutcomeNotice;
 import org.dahliapass.model.VmIdentity;
 
-/** What a VM asks of another VM about guarded operations. All futures fail without a word. */
+/** The at-most-once protocol's client for other VMs. Futures fail if the peer does not reply. */
 interface PeerClient {
     /**
-     * A peer's word on an operation.
+     * A peer's reply about an operation.
      *
-     * @param from the life of the peer that answered
-     * @param answer what it says
+     * @param from the identity of the peer that replied
+     * @param answer the peer's answer
      */
     record ResolveReply(VmIdentity from, OperationAnswer answer) {}
 
-    /** Asks the witness to record an intent. */
+    /** Requests that the witness records an intent. */
     CompletableFuture<IntentReply> recordIntent(VmIdentity witness, Operation operation);
 
-    /** Tells the witness how an operation ended. */
+    /** Sends the outcome of an operation to the witness. */
     CompletableFuture<Void> recordOutcome(VmIdentity witness, OutcomeNotice notice);
 
-    /** Asks a peer what became of an operation. */
+    /** Queries a peer for the outcome of an operation. */
     CompletableFuture<ResolveReply> resolve(VmIdentity peer, Operation operation);
 }
--- a/entry/src/main/java/org/dahliapass/entry/PeerLink.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerLink.java
@@ -34,19 +34,19 @@
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
 
-/** This VM's word to the other VMs: gossip, guarded operations, evidence, configuration. */
+/** Sends gossip, at-most-once messages, evidence and configuration requests to other VMs. */
 final class PeerLink implements KernelService, GossipLink, PeerClient, EvidenceLink {
-    /** The name under which the kernel holds the link. */
+    /** The name under which the link is registered with the kernel. */
     static final String NAME = "peer-link";
 
     private static final Duration JOIN_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration OPERATION_TIMEOUT = Duration.ofMillis(750);
     private static final Duration FETCH_TIMEOUT = Duration.ofMillis(900);
 
-    /** The transport adds the sender and the fleet's name to it. */
+    /** Leaves room in the datagram for the sender and the fleet name, added by the transport. */
     private static final int MAX_RUMOR_BYTES = 1000;
 
-    /** What a small message costs on the way, its reply included: headers and stamps. */
+    /** The overhead of a message and its reply: headers and sender fields. */
     private static final int OVERHEAD_BYTES = 200;
 
     private static final Duration EVIDENCE_TIMEOUT = Duration.ofSeconds(1);
@@ -63,12 +63,12 @@
                         filter);
     }
 
-    /** Returns where other VMs reach this one; valid once started. */
+    /** Returns the peer address of this VM; valid once started. */
     Endpoint endpoint() {
         return mTransport.endpoint();
     }
 
-    /** Returns what was sent, received and refused. */
+    /** Returns the counters of sent, received and refused messages. */
     TrafficCounters counters() {
         return mTransport.counters();
     }
@@ -131,7 +131,7 @@
         return (long) peers.size() * (message.getSerializedSize() + OVERHEAD_BYTES);
     }
 
-    /** Sends changes to a member; they may get lost, and pings then show the gap. */
+    /** Sends changes to a member as datagrams; pings reveal lost ones by the head number. */
     void sendRumor(VmIdentity member, List<ChangeRecord> records) {
         Optional<Vm> peer = mFleet.view().find(member);
         if (peer.isEmpty()) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Asks a member for changes. */
+    /** Requests changes from a member. */
     CompletableFuture<RecordsResponse> fetchChanges(VmIdentity peer, RecordsRequest request) {
         PeerRequest.Builder message =
                 PeerRequest.newBuilder().setFetchChanges(ChangeCodec.encode(request));
@@ -158,7 +158,7 @@
                 .thenApply(reply -> ChangeCodec.decode(reply.getFetchChanges()));
     }
 
-    /** Asks a member for a template's text; empty if it doesn't hold it. */
+    /** Requests a template's text from a member; empty if the member does not have it. */
     CompletableFuture<Optional<String>> fetchText(VmIdentity peer, String customer, String digest) {
         FetchText fetch = FetchText.newBuilder().setCustomer(customer).setDigest(digest).build();
         PeerRequest.Builder message = PeerRequest.newBuilder().setFetchText(fetch);
@@ -170,18 +170,21 @@
                                         : Optional.empty());
     }
 
-    /** Asks a VM that is known by its identity only. */
+    /** Sends a request to a member; fails if no member has this identity. */
     CompletableFuture<PeerReply> request(
             VmIdentity identity, String step, PeerRequest.Builder request, Duration timeout) {
         Optional<Vm> peer = mFleet.view().find(identity);
         if (peer.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new OperationException(step, identity.toString(), "This VM is not a member."));
+                    new OperationException(
+                            step,
+                            identity.toString(),
+                            "No member of the fleet has this identity."));
         }
         return send(peer.get(), request, timeout);
     }
 
-    /** Sends a request that only this very life of the peer answers. */
+    /** Sends a request that only this incarnation of the peer accepts. */
     CompletableFuture<PeerReply> send(Vm peer, PeerRequest.Builder request, Duration timeout) {
         PeerRequest message =
                 request.setRecipientIncarnation(peer.identity().incarnation()).build();
@@ -215,7 +218,7 @@
         return mTransport.stop();
     }
 
-    /** Returns the identities of these members. */
+    /** Returns the identities of members. */
     static Set<VmIdentity> identities(List<MemberUpdate> members) {
         return members.stream().map(MemberUpdate::identity).collect(Collectors.toSet());
     }
--- a/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
+++ b/entry/src/main/java/org/dahliapass/entry/PeerRequestHandler.java
@@ -24,7 +24,7 @@
 import org.dahliapass.wire.message.RecordOutcome;
 import org.dahliapass.wire.message.RecordOutcomeReply;
 
-/** Answers the other VMs' requests. */
+/** Handles requests from other VMs. */
 final class PeerRequestHandler implements RequestHandler {
     private final ControlLoop mLoop;
     private final Supplier<FleetService> mFleet;
@@ -54,7 +54,8 @@
             case FETCH_TEXT -> onFetchText(request.getFetchText());
             default ->
                     CompletableFuture.failedFuture(
-                            new IllegalArgumentException("This release has no such request."));
+                            new IllegalArgumentException(
+                                    "The request type is unknown to this release."));
         };
     }
 
@@ -63,9 +64,9 @@
                 .get()
                 .onFetch(ChangeCodec.decode(request))
                 .thenApply(
-                        answer ->
+                        response ->
                                 PeerReply.newBuilder()
-                                        .setFetchChanges(ChangeCodec.encode(answer))
+                                        .setFetchChanges(ChangeCodec.encode(response))
                                         .build());
     }
 
@@ -88,7 +89,8 @@
         Optional<JoinRequest> join = GossipCodec.decode(request.getJoin());
         if (join.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new IllegalArgumentException("A join without the sender's own news."));
+                    new IllegalArgumentException(
+                            "The join request lacks the sender's member update."));
         }
         return mLoop.submit(() -> mFleet.get().onJoin(join.get()))
                 .thenApply(
--- a/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
+++ b/entry/src/main/java/org/dahliapass/entry/ServiceTable.java
@@ -33,12 +33,12 @@
 import org.dahliapass.traffic.TargetEventListener;
 
 /**
- * The services that this VM serves: for each its traffic decisions and the health of its targets.
+ * The services that this VM serves, with their runtimes and the health of their targets.
  *
- * <p>Health belongs to the control thread; traffic threads find the runtimes in a published map.
+ * <p>Health is confined to the control thread; traffic threads read a published map of runtimes.
  */
 public final class ServiceTable implements KernelService, TargetEventListener {
-    /** The name under which the kernel holds the table. */
+    /** The name under which the table is registered with the kernel. */
     public static final String NAME = "services";
 
     private final Clock mClock;
@@ -62,12 +62,12 @@
         mSettings = settings;
     }
 
-    /** Finds the traffic decisions of a service that this VM serves. */
+    /** Returns the runtime of a service, or empty if this VM does not serve it. */
     Optional<ServiceRuntime> find(ServiceId id) {
         return Optional.ofNullable(mRuntimes.get(id));
     }
 
-    /** Returns the traffic decisions of all services that this VM serves. */
+    /** Returns the runtimes of all services that this VM serves. */
     Collection<ServiceRuntime> runtimes() {
         return mRuntimes.values();
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A failure is told to the cell at once; successes wait for the next regular report. */
+    /** Failures are reported at once; successes wait for the next periodic report. */
     private void sendUrgentReport(ServiceId service) {
         TargetHealth health = mHealth.get(service);
         if (health == null) {
@@ -98,7 +98,7 @@
                 .ifPresent(report -> mUrgentReportSender.accept(mTemplates.get(service), report));
     }
 
-    /** Sets who sends urgent reports to the cell; before the start. */
+    /** Sets the sender of urgent reports to the cell; only before the start. */
     void setUrgentReportSender(BiConsumer<ServiceTemplate, EvidenceReport> sender) {
         mUrgentReportSender = sender;
     }
@@ -118,7 +118,7 @@
                 });
     }
 
-    /** Takes a target's health and load report, or that it gave none; control thread only. */
+    /** Records a target's health and load report, or that there is none; control thread only. */
     void onReports(ServiceId service, Endpoint target, Optional<HealthReport> report, double load) {
         long now = mClock.millis();
         withHealth(
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Takes what a peer of the cell saw; control thread only. */
+    /** Records evidence from another VM of the cell; control thread only. */
     void onPeerReport(EvidenceReport report, List<TargetInFlight> inFlight) {
         withHealth(report.service(), health -> health.onPeerEvidence(report, mClock.millis()));
         publishIfChanged(report.service());
@@ -148,13 +148,13 @@
                                                         use.inFlight())));
     }
 
-    /** Takes the delta of a service's evidence for the cell; control thread only. */
+    /** Drains the evidence about a service since the last report; control thread only. */
     Optional<EvidenceReport> drainReport(ServiceId service) {
         return Optional.ofNullable(mHealth.get(service))
                 .map(health -> health.takeReport(mClock.millis()));
     }
 
-    /** Returns the health of a service's targets, for operators; control thread only. */
+    /** Returns the status of a service's targets; control thread only. */
     List<TargetStatus> statuses(ServiceId service) {
         TargetHealth health = mHealth.get(service);
         return health == null ? List.of() : List.copyOf(health.view().targets().values());
@@ -165,7 +165,7 @@
         return List.copyOf(mTemplates.values());
     }
 
-    /** Makes the table agree with configuration and membership; control thread only. */
+    /** Updates the table to the current configuration and membership; control thread only. */
     void refresh() {
         Map<ServiceId, ServiceRuntime> runtimes = new HashMap<>();
         VmIdentity self = mFleet.view().self().identity();
@@ -210,7 +210,7 @@
         return new TargetHealth(self, mSettings.availabilityZone(), template, mClock.millis());
     }
 
-    /** Decides anew and publishes; called every control period on the control thread. */
+    /** Updates and publishes target health each control period; control thread only. */
     void tick() {
         for (ServiceId id : mRuntimes.keySet()) {
             withHealth(id, health -> health.onTick(mClock.millis()));
@@ -219,7 +219,7 @@
         }
     }
 
-    /** Evidence may have led to a decision between two ticks, which traffic must see at once. */
+    /** Publishes a decision between two ticks without waiting for the next tick. */
     private void publishIfChanged(ServiceId id) {
         TargetHealth health = mHealth.get(id);
         if (health != null && !health.view().equals(mPublished.get(id))) {
--- a/entry/src/main/java/org/dahliapass/entry/StoreHeadWatcher.java
+++ b/entry/src/main/java/org/dahliapass/entry/StoreHeadWatcher.java
@@ -14,10 +14,10 @@
 import org.dahliapass.registry.StoredValue;
 
 /**
- * Holds a blocking read on the store's head while this VM is one of its zone's watchers.
+ * Watches the store's head by a blocking read while this VM is one of its zone's watchers.
  *
- * <p>A waiting read counts as a call, so only two VMs of each zone hold one, whatever the fleet's
- * size.
+ * <p>Only two VMs per zone watch, so that the load on the store does not grow with the fleet. Not
+ * thread-safe; used on the control thread.
  */
 final class StoreHeadWatcher {
     private static final ComponentLog LOG = ComponentLog.of("configuration");
@@ -44,12 +44,12 @@
         mLastResponseMillis = loop.nowMillis();
     }
 
-    /** Returns when the store last answered, in milliseconds; control thread only. */
+    /** Returns when the store last responded, in milliseconds; control thread only. */
     long lastResponseMillis() {
         return mLastResponseMillis;
     }
 
-    /** Begins to watch if this VM has become a watcher; control thread only. */
+    /** Starts watching if this VM has become a watcher; control thread only. */
     void refresh() {
         if (!mWatching && isWatcher()) {
             mWatching = true;
@@ -72,7 +72,7 @@
                         mLoop.execute(
                                 () -> {
                                     if (failure != null) {
-                                        LOG.info("The store gave no word: " + message(failure));
+                                        LOG.info("Watching the store failed: " + message(failure));
                                         mLoop.schedule(RETRY_DELAY, () -> watch(0));
                                         return;
                                     }
@@ -81,7 +81,7 @@
                                 }));
     }
 
-    /** Reads the head once, to learn whether the store can be heard; control thread only. */
+    /** Reads the head once to test whether the store is reachable; control thread only. */
     void probe() {
         long now = mLoop.nowMillis();
         if (mStopped || now - mLastProbeMillis < MIN_PROBE_INTERVAL.toMillis()) {
@@ -101,11 +101,9 @@
     }
 
     /**
-     * Returns whether the store was asked once, with or without an answer; control thread only.
+     * Returns whether a probe has completed, successfully or not; control thread only.
      *
-     * <p>Guards against a VM that fills itself from a peer that is behind, which would show as a
-     * fresh VM that serves an older revision than the fleet. With the store there, it knows the
-     * newest number before it serves; with the store away, its peers' word is the best there is.
+     * <p>A new VM must not serve an outdated revision from a peer while the store is reachable.
      */
     boolean hasProbed() {
         return mProbed;
@@ -121,7 +119,7 @@
         return failure.getCause() == null ? failure.getMessage() : failure.getCause().getMessage();
     }
 
-    /** Stops watching. */
+    /** Stops watching; safe on any thread. */
     void stop() {
         mLoop.execute(() -> mStopped = true);
     }
--- a/entry/src/main/java/org/dahliapass/entry/VmListReader.java
+++ b/entry/src/main/java/org/dahliapass/entry/VmListReader.java
@@ -12,11 +12,11 @@
 import org.dahliapass.registry.VmListClient;
 
 /**
- * Reads the platform's VM list: at once and often while this VM knows nobody, rarely after that.
+ * Polls the platform's VM list for addresses to contact: often while this VM knows no other, rarely
+ * afterwards.
  *
- * <p>The list lags both ways: it gives addresses to contact, never a verdict. Guards against each
- * VM waiting on it, which at 3,700 VMs would be as many waiting calls on the platform and a whole
- * list to each at each change; members tell each other of changes sooner.
+ * <p>The list may be outdated, so it never decides membership. Blocking reads are avoided, since
+ * each VM of the fleet would hold one and receive the whole list at each change.
  */
 final class VmListReader {
     private static final Duration ALONE_PERIOD = Duration.ofMillis(500);
@@ -33,26 +33,26 @@
     private volatile boolean mStopped;
 
     /**
-     * Prepares the reading.
+     * Creates a reader, which {@link #poll} starts.
      *
-     * @param alone tells whether this VM knows no other; asked on the control thread
-     * @param onAddresses takes the addresses for peers, on the control thread
+     * @param isAlone whether this VM knows no other VM; called on the control thread
+     * @param onAddresses the receiver of the peer addresses; called on the control thread
      */
     VmListReader(
             VmListClient client,
             ControlLoop loop,
             RandomGenerator random,
-            BooleanSupplier alone,
+            BooleanSupplier isAlone,
             Consumer<List<Endpoint>> onAddresses) {
         mClient = client;
         mLoop = loop;
         mRandom = random;
-        mIsAlone = alone;
+        mIsAlone = isAlone;
         mOnAddresses = onAddresses;
         mStartedMillis = loop.nowMillis();
     }
 
-    /** Reads the list now and goes on by itself until it is stopped. */
+    /** Reads the list and schedules the next read, until stopped. */
     void poll() {
         if (mStopped) {
             return;
@@ -67,24 +67,21 @@
             mOnAddresses.accept(
                     list.vms().stream().map(entry -> entry.vm().peerEndpoint()).toList());
         }
-        Duration pause = period();
-        // Spread, so that VMs that started together don't call together for ever.
-        mLoop.schedule(pause.plusMillis(mRandom.nextLong(pause.toMillis())), this::poll);
+        Duration period = period();
+        // Jitter prevents synchronized reads by VMs that started together.
+        mLoop.schedule(period.plusMillis(mRandom.nextLong(period.toMillis())), this::poll);
     }
 
-    /**
-     * Guards against a fleet that starts all at once with a list that lags: its VMs may find each
-     * other in separate groups, which only a later look at the list brings together.
-     */
+    /** VMs that start together may form separate groups until they read the list again. */
     private Duration period() {
         if (mIsAlone.getAsBoolean()) {
             return ALONE_PERIOD;
         }
-        boolean young = mLoop.nowMillis() - mStartedMillis < STARTUP_DURATION.toMillis();
-        return young ? STARTUP_PERIOD : PERIOD;
+        boolean starting = mLoop.nowMillis() - mStartedMillis < STARTUP_DURATION.toMillis();
+        return starting ? STARTUP_PERIOD : PERIOD;
     }
 
-    /** Stops reading. */
+    /** Stops polling. */
     void stop() {
         mStopped = true;
     }
--- a/entry/src/main/java/org/dahliapass/entry/WitnessReachability.java
+++ b/entry/src/main/java/org/dahliapass/entry/WitnessReachability.java
@@ -5,33 +5,36 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Remembers which witnesses lately gave this VM no word, so that fresh tokens name others.
+ * The witnesses that recently did not reply to this VM, so that new tokens name others.
  *
- * <p>Guards against a cut between this VM and one other that the rest of the fleet doesn't see: the
- * other stays a member, and a token that names it leads to "not run" for as long as the cut lasts.
- * A witness that gave no word is passed over for a while; if there is no other, the one whose
- * silence is longest ago is named all the same. Safe for use by several threads.
+ * <p>Covers a network partition between two VMs that the rest of the fleet does not detect: a token
+ * that names the unreachable witness would lead to "not run" for as long as it lasts. If all
+ * witnesses are unreachable, the one with the oldest timeout is used. Thread-safe.
  */
 final class WitnessReachability {
-    /** Then one operation tries the witness again. */
+    /** How long a timeout counts; then the witness is used again. */
     static final long RETENTION_MILLIS = 30_000;
 
     private final Map<VmIdentity, Long> mTimeoutMillis = new ConcurrentHashMap<>();
 
-    /** Takes that a witness answered. */
+    /** Records a reply of a witness. */
     void onReply(VmIdentity witness) {
         mTimeoutMillis.remove(witness);
     }
 
-    /** Takes that a witness gave no word in time, and forgets those whose silence is long past. */
+    /** Records a timeout of a witness and evicts expired timeouts. */
     void onTimeout(VmIdentity witness, long nowMillis) {
-        mTimeoutMillis.values().removeIf(silentAt -> silentAt + RETENTION_MILLIS <= nowMillis);
+        mTimeoutMillis
+                .values()
+                .removeIf(timeoutMillis -> timeoutMillis + RETENTION_MILLIS <= nowMillis);
         mTimeoutMillis.put(witness, nowMillis);
     }
 
-    /** Returns when a witness last gave no word, in milliseconds; 0 if not lately. */
+    /**
+     * Returns when a witness last timed out, in milliseconds since the epoch; 0 if not recently.
+     */
     long lastTimeoutMillis(VmIdentity witness, long nowMillis) {
-        long silentAt = mTimeoutMillis.getOrDefault(witness, 0L);
-        return nowMillis < silentAt + RETENTION_MILLIS ? silentAt : 0;
+        long timeoutMillis = mTimeoutMillis.getOrDefault(witness, 0L);
+        return nowMillis < timeoutMillis + RETENTION_MILLIS ? timeoutMillis : 0;
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/AtMostOnceCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/AtMostOnceCodecTest.java
@@ -19,7 +19,7 @@
 import org.dahliapass.wire.message.ResolveKeyReply;
 import org.testng.annotations.Test;
 
-/** Checks that words on guarded operations keep their meaning on the way to another VM. */
+/** Tests for {@link AtMostOnceCodec}. */
 public final class AtMostOnceCodecTest {
     private static final Operation OPERATION =
             AtMostOnceCodec.operation("himal", "vm-1~a.vm-2~b.mn3k5a7q.op-1").orElseThrow();
@@ -34,13 +34,13 @@
     }
 
     @Test
-    public void resultsKeepStatusHeadersAndBody() {
+    public void resultRoundTripsWithStatusHeadersAndBody() {
         OperationAnswer answer = new OperationAnswer.Result(RESULT);
         assertEquals(roundTrip(answer), answer);
     }
 
     @Test
-    public void bodyThatWasNotKeptIsNotAnEmptyBody() {
+    public void missingBodyDiffersFromEmptyBody() {
         RecordedResult without = new RecordedResult(200, List.of(), Optional.empty());
         RecordedResult empty =
                 new RecordedResult(200, List.of(), Optional.of(RecordedBody.copyOf(new byte[0])));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void notRunKeepsItsProof() {
+    public void notRunRoundTripsWithReason() {
         for (NotRunReason reason : NotRunReason.values()) {
             OperationAnswer answer = new OperationAnswer.NotRun(reason);
             assertEquals(roundTrip(answer), answer);
@@ -59,16 +59,15 @@
     }
 
     @Test
-    public void intentRepliesKeepTheirMeaning() {
+    public void intentRepliesRoundTrip() {
         for (IntentReply reply : IntentReply.values()) {
             assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.encode(reply)), reply);
         }
     }
 
-    // A newer release answers with a word that this one doesn't know. It must not read as leave to
-    // dispatch, nor as "not run".
+    // An unknown value from a newer release must not permit a dispatch or be read as "not run".
     @Test
-    public void unknownWordsReadAsTheWeakest() {
+    public void unknownValuesAreDecodedConservatively() {
         assertEquals(AtMostOnceCodec.decode(IntentStatus.UNRECOGNIZED), IntentReply.REFUSED);
         ResolveKeyReply newer = ResolveKeyReply.newBuilder().setAnswerValue(99).build();
         assertEquals(
@@ -76,12 +75,12 @@
     }
 
     @Test
-    public void outcomesComeBackAndMalformedKeysDoNot() {
+    public void outcomesRoundTripAndMalformedKeysAreRejected() {
         OutcomeNotice ran = new OutcomeNotice(OPERATION, Optional.of(RESULT));
-        OutcomeNotice givenUp = new OutcomeNotice(OPERATION, Optional.empty());
+        OutcomeNotice abandoned = new OutcomeNotice(OPERATION, Optional.empty());
         assertEquals(AtMostOnceCodec.decode(AtMostOnceCodec.outcome(ran)), Optional.of(ran));
         assertEquals(
-                AtMostOnceCodec.decode(AtMostOnceCodec.outcome(givenUp)), Optional.of(givenUp));
+                AtMostOnceCodec.decode(AtMostOnceCodec.outcome(abandoned)), Optional.of(abandoned));
         assertTrue(AtMostOnceCodec.operation("himal", "no key").isEmpty());
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/ChangeCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/ChangeCodecTest.java
@@ -12,7 +12,7 @@
 import org.dahliapass.model.ServiceId;
 import org.testng.annotations.Test;
 
-/** Checks that changes come to another VM as they were sent. */
+/** Tests for {@link ChangeCodec}. */
 public final class ChangeCodecTest {
     private static final ServiceId DESK = new ServiceId("himal", "desk");
     private static final ChangeRecord RECORD =
@@ -20,12 +20,12 @@
                     7, "himal", "d1", List.of(new ServiceUse(DESK, 6)), "operation", "asha", 3);
 
     @Test
-    public void recordsComeBack() {
+    public void changeRecordRoundTrips() {
         assertEquals(ChangeCodec.decode(ChangeCodec.encode(RECORD)), RECORD);
     }
 
     @Test
-    public void requestsComeBackWithAndWithoutTheProviders() {
+    public void requestsRoundTripWithAndWithoutProviders() {
         RecordsRequest with =
                 new RecordsRequest(4, List.of(CustomerGroup.PROVIDERS, CustomerGroup.of(DESK)));
         RecordsRequest without = new RecordsRequest(0, List.of(CustomerGroup.of(DESK)));
@@ -34,8 +34,8 @@
     }
 
     @Test
-    public void answersComeBackWithBothKindsOfGroups() {
-        RecordsResponse answer =
+    public void responseRoundTripsWithBothKindsOfGroups() {
+        RecordsResponse response =
                 new RecordsResponse(
                         2,
                         7,
@@ -43,6 +43,6 @@
                         List.of(
                                 new GroupSnapshot(CustomerGroup.PROVIDERS, List.of(RECORD)),
                                 new GroupSnapshot(CustomerGroup.of(DESK), List.of())));
-        assertEquals(ChangeCodec.decode(ChangeCodec.encode(answer)), answer);
+        assertEquals(ChangeCodec.decode(ChangeCodec.encode(response)), response);
     }
 }
--- a/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
+++ b/entry/src/test/java/org/dahliapass/entry/GossipCodecTest.java
@@ -23,12 +23,12 @@
 import org.dahliapass.wire.message.Gossip;
 import org.testng.annotations.Test;
 
-/** Checks that messages survive the translation, and fit into a datagram. */
+/** Tests for {@link GossipCodec}, including the size of its datagrams. */
 public final class GossipCodecTest {
     private static final VmIdentity SENDER = new VmIdentity("vm-1", 1_764_700_000_000L);
 
     @Test
-    public void datagramComesBackEqual() {
+    public void datagramRoundTrips() {
         for (GossipKind kind : GossipKind.values()) {
             List<MemberUpdate> updates = new ArrayList<>();
             for (MemberState state : MemberState.values()) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void joinComesBackEqual() {
+    public void joinRoundTrips() {
         JoinRequest request = new JoinRequest(update(SENDER, MemberState.ALIVE), -5);
         assertEquals(GossipCodec.decode(GossipCodec.encode(request)), Optional.of(request));
         List<MemberUpdate> list = List.of(request.self());
@@ -50,17 +50,17 @@
 
     @Test
     public void memberOfUnknownStatusIsSkipped() {
-        Gossip newer =
+        Gossip gossip =
                 Gossip.newBuilder()
                         .addMembers(
                                 org.dahliapass.wire.message.MemberUpdate.newBuilder()
                                         .setStatusValue(99))
                         .build();
-        assertTrue(GossipCodec.decode(newer).updates().isEmpty());
+        assertTrue(GossipCodec.decode(gossip).updates().isEmpty());
     }
 
     @Test
-    public void fullestDatagramFits() {
+    public void largestDatagramFits() {
         Membership membership =
                 new Membership(
                         MembershipSettings.defaults(),
@@ -85,7 +85,9 @@
                 largest = Math.max(largest, gossip.getSerializedSize());
             }
         }
-        assertTrue(largest > 600, "The datagram carries little news: " + largest + " bytes.");
+        assertTrue(
+                largest > 600,
+                "The datagram is too small to test the limit: " + largest + " bytes.");
         assertTrue(largest <= PeerTransport.MAX_DATAGRAM_BYTES, largest + " bytes don't fit.");
     }
 
