--- a/spec/src/test/java/org/dahliapass/spec/AlloyRunner.java
+++ b/spec/src/test/java/org/dahliapass/spec/AlloyRunner.java
@@ -18,10 +18,10 @@
 import kodkod.engine.satlab.SATFactory;
 
 /**
- * Runs the commands of one Alloy specification, whole or with one guard switched off.
+ * A runner for the commands of an Alloy specification, with all guards or with one guard removed.
  *
- * <p>A guard is a predicate whose name starts with {@code guard}. Switching it off replaces its
- * body by an empty one, which is always true; nothing else of the text changes.
+ * <p>A guard is a predicate whose name starts with {@code guard}. Removing a guard empties the body
+ * of its predicate, which then is always true.
  */
 final class AlloyRunner {
     private static final Pattern CHECK = Pattern.compile("(?m)^check (\\w+)");
@@ -36,38 +36,39 @@
         mSource = source;
     }
 
-    /** Loads the specification with this file name from the test resources. */
+    /** Loads the specification with the file name from the test resources. */
     static AlloyRunner forResource(String name) {
         try (InputStream stream = AlloyRunner.class.getResourceAsStream("/" + name)) {
             if (stream == null) {
-                throw new IllegalArgumentException("No specification " + name + "; check the name");
+                throw new IllegalArgumentException(
+                        "specification " + name + " isn't in the test resources");
             }
             String source = new String(stream.readAllBytes(), StandardCharsets.UTF_8);
             return new AlloyRunner(name, source);
         } catch (IOException e) {
-            throw new UncheckedIOException("Can't read specification " + name, e);
+            throw new UncheckedIOException("can't read specification " + name, e);
         }
     }
 
-    /** Names the guards of the specification, in the order of the text. */
+    /** Returns the names of the guards, in source order. */
     List<String> guardNames() {
         return GUARD.matcher(mSource).results().map(match -> match.group(1)).toList();
     }
 
-    /** Names the assertions that the specification checks, in the order of the text. */
+    /** Returns the names of the checked assertions, in source order. */
     List<String> assertionNames() {
         return CHECK.matcher(mSource).results().map(match -> match.group(1)).toList();
     }
 
     /**
-     * Tells whether the solver finds an instance of a {@code run}, or a counterexample of a {@code
-     * check}, in the whole specification.
+     * Returns whether the solver finds an instance of a {@code run} command or a counterexample to
+     * a {@code check} command.
      */
     boolean isSatisfiable(String commandName) {
         return solve(mSource, commandName, true);
     }
 
-    /** Like {@link #isSatisfiable}, with the named guard switched off. */
+    /** Like {@link #isSatisfiable}, with the guard removed. */
     boolean isSatisfiableWithout(String guard, String commandName) {
         return solve(sourceWithout(guard), commandName, false);
     }
@@ -78,7 +79,10 @@
                 matcher.results()
                         .filter(match -> match.group(1).equals(guard))
                         .findFirst()
-                        .orElseThrow(() -> new IllegalArgumentException("No guard " + guard));
+                        .orElseThrow(
+                                () ->
+                                        new IllegalArgumentException(
+                                                "specification has no guard " + guard));
         int bodyEnd = closingBrace(found.end());
         return mSource.substring(0, found.end()) + mSource.substring(bodyEnd);
     }
@@ -113,17 +117,17 @@
                 .orElseThrow(
                         () ->
                                 new IllegalArgumentException(
-                                        "No command " + commandName + " in " + mName));
+                                        "no command " + commandName + " in " + mName));
     }
 
     /**
-     * Turns a warning of the parser into a failure: a warned expression is usually always empty, so
-     * an assertion built on it would hold for no reason.
+     * A reporter that fails on parser warnings. They usually mark an expression that is always
+     * empty, with which an assertion would hold vacuously.
      */
     private static final class StrictReporter extends A4Reporter {
         @Override
         public void warning(ErrorWarning warning) {
-            throw new AssertionError("The specification has a warning: " + warning.msg, warning);
+            throw new AssertionError("Alloy reports a warning: " + warning.msg, warning);
         }
     }
 }
--- a/spec/src/test/java/org/dahliapass/spec/AtMostOnceSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/AtMostOnceSpecificationTest.java
@@ -22,40 +22,40 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks the at-most-once specification {@code once.als} with Alloy and SAT4J.
+ * Checks the at-most-once protocol of {@code once.als}.
  *
- * <p>Scope: two addresses, three lives, two sendings to targets; one key over 10 steps for {@code
- * AtMostOnce} and over 9 for {@code NotRunIsTrueForever}; two keys over 8 for {@code
+ * <p>Scope: 2 addresses, 3 incarnations, 2 dispatches to targets; 1 key over 10 steps for {@code
+ * AtMostOnce} and over 9 for {@code NotRunIsTrueForever}; 2 keys over 8 steps for {@code
  * ResultIsFromTheRun}.
  */
 public final class AtMostOnceSpecificationTest {
 
-    /** A one-line guard, its parameters, its body, and the assertion that fails without it. */
+    /** Matches a one-line guard; groups: name, parameters, assertion that fails without it. */
     private static final Pattern GUARD =
             Pattern.compile("(?m)^pred (guard\\w+)(\\[.*?\\]) \\{ .* \\} // (\\w+)$");
 
     private static final Pattern ANY_GUARD = Pattern.compile("(?m)^pred guard");
-    private static final String WHOLE_COURSE = "WholeCourse";
+    private static final String COMPLETE_RUN = "WholeCourse";
 
     private String mSpecification;
 
-    /** Reads the specification. */
+    /** Loads the specification from the test resources. */
     @BeforeClass
-    public void read() throws IOException {
-        // The solver's library logs each translation at INFO, hundreds of lines for these checks.
+    public void loadSpecification() throws IOException {
+        // Kodkod logs each translation at INFO.
         System.setProperty("org.slf4j.simpleLogger.log.kodkod", "error");
         try (InputStream stream = getClass().getResourceAsStream("/once.als")) {
             mSpecification = new String(stream.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** The assertions. */
+    /** Provides the names of the assertions. */
     @DataProvider
     public Object[][] assertions() {
         return new Object[][] {{"AtMostOnce"}, {"NotRunIsTrueForever"}, {"ResultIsFromTheRun"}};
     }
 
-    /** The guards that the specification names. */
+    /** Provides the guards of the specification. */
     @DataProvider
     public Object[][] guards() {
         return GUARD.matcher(mSpecification)
@@ -64,19 +64,21 @@
                 .toArray(Object[][]::new);
     }
 
-    /** The whole protocol has no counterexample within the scope. */
+    /** Requires that the protocol has no counterexample within the scope. */
     @Test(dataProvider = "assertions")
     public void assertionHolds(String assertion) {
-        assertFalse(isSatisfiable(mSpecification, assertion), assertion + " has a counterexample.");
+        assertFalse(isSatisfiable(mSpecification, assertion), assertion + " has a counterexample");
     }
 
-    /** A request can be rejected by one target, run at the next and be answered by its result. */
+    /** Requires a trace in which one target rejects a request and another one executes it. */
     @Test
-    public void wholeCourseIsPossible() {
-        assertTrue(isSatisfiable(mSpecification, WHOLE_COURSE), "The protocol does nothing.");
+    public void completeRunIsPossible() {
+        assertTrue(
+                isSatisfiable(mSpecification, COMPLETE_RUN),
+                "no trace reaches a result after a rejected dispatch");
     }
 
-    /** Each guard alone is needed: without it there is a counterexample. */
+    /** Requires a counterexample for each guard that is removed. */
     @Test(dataProvider = "guards")
     public void guardIsNeeded(String name, MatchResult guard) {
         String weakened =
@@ -88,15 +90,16 @@
                         + mSpecification.substring(guard.end());
         assertTrue(
                 isSatisfiable(weakened, guard.group(3)),
-                guard.group(3) + " holds without " + name + ", so the guard is idle.");
+                guard.group(3) + " holds without " + name + ": the guard is redundant");
     }
 
-    /** No guard is left out of these checks by the way it is written. */
+    /** Requires that the pattern matches every guard. */
     @Test
     public void everyGuardIsChecked() {
-        long written = ANY_GUARD.matcher(mSpecification).results().count();
-        assertEquals(guards().length, written, "Write each guard on one line with its assertion.");
-        assertTrue(written > 0, "once.als names no guard.");
+        long guardCount = ANY_GUARD.matcher(mSpecification).results().count();
+        assertEquals(
+                guards().length, guardCount, "each guard must be on one line with its assertion");
+        assertTrue(guardCount > 0, "once.als has no guard");
     }
 
     private static boolean isSatisfiable(String specification, String label) {
--- a/spec/src/test/java/org/dahliapass/spec/DistributionSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/DistributionSpecificationTest.java
@@ -6,15 +6,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks how accepted changes come into force on the VMs: late rumors, replaced VMs that start
- * empty, and the report that a change is in force everywhere.
+ * Checks the distribution of accepted changes in {@code distribution.als}: late rumors, replaced
+ * VMs that start empty, and the report that a change is in force on all VMs.
  *
  * <p>Scope: 2 customers, 2 VMs (3 for {@code reportedStays}), 2 accepted changes (3 for {@code
- * neverBack} and {@code storeFillIsCurrent}), traces of 6 to 8 states. Solver: SAT4J. Time: 12 to
- * 15 s on a busy machine with 12 cores.
+ * neverBack} and {@code storeFillIsCurrent}), traces of 6 to 8 states.
  */
 public final class DistributionSpecificationTest extends SpecificationTestBase {
-    /** Lists the guards in the order of the specification. */
+    /** Creates the test with the guards in the order of the specification. */
     public DistributionSpecificationTest() {
         super(
                 "distribution.als",
@@ -27,8 +26,8 @@
     }
 
     /**
-     * The limit of a fill from a peer: what the peer lacks, the new VM lacks too, until a rumor or
-     * a ping tells it; only what was reported in force everywhere is sure to be there.
+     * A VM that fills from a peer may lack an unreported change that the peer lacks, until a rumor
+     * or a ping announces it.
      */
     @Test
     void fillFromPeerMayLackUnreportedChange() {
--- a/spec/src/test/java/org/dahliapass/spec/MembershipSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/MembershipSpecificationTest.java
@@ -6,15 +6,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks the member list: suspicion, refutation, death, tombstones and new incarnations, under
- * loss, crashes, one-way cuts and messages that arrive late, twice or out of order.
+ * Checks the membership protocol of {@code membership.als}: suspicion, refutation, death,
+ * tombstones and new incarnations under message loss, crashes, one-way partitions, delay,
+ * duplication and reordering.
  *
  * <p>Scope: 3 incarnations of 2 VMs ({@code deadStaysDead}, {@code oneIncarnation}) or of 3 VMs, 2
- * refutations of each, traces of 5 to 8 states. Solver: SAT4J. Time: 12 to 19 s on a busy machine
- * with 12 cores.
+ * refutations of each, traces of 5 to 8 states.
  */
 public final class MembershipSpecificationTest extends SpecificationTestBase {
-    /** Lists the guards in the order of the specification. */
+    /** Creates the test with the guards in the order of the specification. */
     public MembershipSpecificationTest() {
         super(
                 "membership.als",
@@ -28,9 +28,9 @@
                         new Variant("guardHelpersAsked", "cutPairNotSuspected")));
     }
 
-    /** The limit of indirect probes: with no helper left, a one-way cut looks like a death. */
+    /** Without a helper for indirect probes, a one-way partition can't be told from a crash. */
     @Test
-    void cutWithoutHelperEndsInDeath() {
+    void oneWayCutWithoutHelperIsDeclaredDead() {
         assertTrue(runner().isSatisfiable("unpromisedWithoutHelper"));
     }
 }
--- a/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
+++ b/spec/src/test/java/org/dahliapass/spec/SpecificationTestBase.java
@@ -10,39 +10,39 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks one specification: whole, it keeps its promises in the written scope; without any one of
- * its guards, a promise breaks; and it has interesting traces.
+ * A base for the tests of a specification: its assertions hold within the scope, removing any guard
+ * violates an assertion, and a trace of interest exists.
  */
 abstract class SpecificationTestBase {
-    /** Starts the name of an assertion that the protocol doesn't promise. */
-    private static final String UNPROMISED = "unpromised";
+    /** The name prefix of assertions that the protocol doesn't guarantee. */
+    private static final String NOT_GUARANTEED_PREFIX = "unpromised";
 
     private final AlloyRunner mRunner;
     private final List<Variant> mVariants;
 
     /**
-     * Names what there is to check.
+     * Creates the test of a specification.
      *
-     * @param resource file name of the specification
-     * @param variants for each guard, the promise that breaks without it counterexample
+     * @param resource the file name of the specification
+     * @param variants for each guard, an assertion that is violated without it
      */
     SpecificationTestBase(String resource, List<Variant> variants) {
         mRunner = AlloyRunner.forResource(resource);
         mVariants = variants;
     }
 
-    /** A guard to switch off, and the promise that then has a counterexample. */
+    /** A guard to remove and the assertion that then has a counterexample. */
     record Variant(String guard, String violatedAssertion) {}
 
-    /** Runs the commands of the specification under test. */
+    /** Returns the runner of the specification under test. */
     AlloyRunner runner() {
         return mRunner;
     }
 
     @DataProvider
-    Object[][] promises() {
-        Stream<String> promises = mRunner.assertionNames().stream();
-        return rows(promises.filter(promise -> !promise.startsWith(UNPROMISED)));
+    Object[][] assertions() {
+        Stream<String> assertions = mRunner.assertionNames().stream();
+        return rows(assertions.filter(assertion -> !assertion.startsWith(NOT_GUARANTEED_PREFIX)));
     }
 
     @DataProvider
@@ -55,26 +55,30 @@
     }
 
     @Test
-    void interestingTracesExist() {
+    void interestingTraceExists() {
         assertTrue(
-                mRunner.isSatisfiable("interesting"), "No interesting trace: the facts contradict");
+                mRunner.isSatisfiable("interesting"),
+                "no interesting trace: the facts may be contradictory");
     }
 
-    @Test(dataProvider = "promises")
-    void wholeSpecificationKeepsPromise(String promise) {
-        assertFalse(mRunner.isSatisfiable(promise), "Counterexample to " + promise);
+    @Test(dataProvider = "assertions")
+    void assertionHolds(String assertion) {
+        assertFalse(mRunner.isSatisfiable(assertion), "Counterexample to " + assertion);
     }
 
     @Test(dataProvider = "variants")
-    void withoutGuardPromiseBreaks(Variant variant) {
+    void assertionFailsWithoutGuard(Variant variant) {
         assertTrue(
                 mRunner.isSatisfiableWithout(variant.guard(), variant.violatedAssertion()),
-                "No counterexample; the guard isn't needed or the scope is too small: " + variant);
+                "no counterexample: the guard is redundant or the scope is too small: " + variant);
     }
 
     @Test
     void eachGuardHasVariant() {
-        List<String> switchedOff = mVariants.stream().map(Variant::guard).distinct().toList();
-        assertEquals(switchedOff, mRunner.guardNames(), "Guards and variants differ");
+        List<String> removedGuards = mVariants.stream().map(Variant::guard).distinct().toList();
+        assertEquals(
+                removedGuards,
+                mRunner.guardNames(),
+                "each guard must have a variant, in source order");
     }
 }
--- a/spec/src/test/java/org/dahliapass/spec/StopsSpecificationTest.java
+++ b/spec/src/test/java/org/dahliapass/spec/StopsSpecificationTest.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Checks planned stops: a VM that leaves while callers hold its address, and a target that leaves
- * while work for it waits.
+ * Checks planned stops in {@code stops.als}: a VM that leaves while callers cache its address, and
+ * a target that leaves while requests for it are queued.
  *
  * <p>Scope: 5 ticks, 2 other VMs and 1 caller ({@code noneMissed}), 1 other VM and 2 callers
- * ({@code noneCut}), 4 ticks and 2 pieces of work (a target that leaves); every bound is one tick;
- * traces of 8 to 16 states. Solver: SAT4J. Time: 7 to 10 s on a busy machine with 12 cores.
+ * ({@code noneCut}), 4 ticks and 2 requests (a target that leaves); every bound is one tick; traces
+ * of 8 to 16 states.
  */
 public final class StopsSpecificationTest extends SpecificationTestBase {
     private static final String NONE_MISSED = "noneMissed";
     private static final String NO_LATE_DISPATCH = "noLateDispatch";
 
-    /** Lists the guards in the order of the specification. */
+    /** Creates the test with the guards in the order of the specification. */
     public StopsSpecificationTest() {
         super(
                 "stops.als",
--- a/spec/src/test/resources/configuration.als
+++ b/spec/src/test/resources/configuration.als
@@ -1,18 +1,17 @@
 /*
- * The accept protocol on the configuration store: operators race, die between any two steps and
- * lose answers; the store may carry out a request long after its sender gave up on it.
+ * The accept protocol on the configuration store under concurrent operators, crashes between any
+ * two steps and lost responses. The store may execute a request after its sender has timed out.
  *
- * The store holds `head` (the newest number and a ring of the newest records; here the ring holds
- * one record, so that each accept pushes one out), a pointer for each customer (the newest record
- * of the customer that left the ring, with one operation id kept) and the texts. `order` is the
- * history that an all-seeing observer would write down; the protocol reads of it only what is in
- * the ring or under a pointer.
+ * The store contains `head` (the newest number and a ring of the newest records, here of size one),
+ * a pointer for each customer (the customer's newest record that was evicted from the ring, with
+ * one operation ID) and the texts. `order` is the complete history; the protocol reads only those
+ * entries that are in the ring or under a pointer.
  */
 module configuration
 
 open util/ordering[Number] as numbers
 
-/** Numbers of changes; the first one stands for "no change yet". */
+/** Change numbers; the first number means "no change yet". */
 sig Number {}
 
 sig Customer {}
@@ -23,15 +22,15 @@
 abstract sig Verdict {}
 one sig Accepted, Refused, Unknown extends Verdict {}
 
-/** One run of the accept command; the atom is its operation id. */
+/** An execution of the accept command; the atom is its operation ID. */
 sig Operation {
   customer: one Customer,
   var step: one Step,
-  /** The newest change of the customer when the draft was taken. */
+  /** The newest change of the customer when the draft was created. */
   var base: lone Number,
-  /** The number of `head` that this operation read last: its compare-and-swap expects it. */
+  /** The last number of `head` that this operation read; expected by its compare-and-swap. */
   var expected: lone Number,
-  /** The compare-and-swap that the store hasn't carried out yet. */
+  /** The pending compare-and-swap. */
   var inFlight: lone Number,
   var verdict: lone Verdict
 }
@@ -40,19 +39,19 @@
   var head: one Number,
   var pointer: Customer -> lone Number,
   var texts: set Operation,
-  /** The customers that have a pointer: without it a new VM can't know whom to look for. */
+  /** The customers that have a pointer, for new VMs to discover. */
   var index: set Customer,
   var order: Number -> lone Operation
 }
 
-/** One reader of one customer's template, which keeps what it saw. */
+/** A reader of one customer's template, with the values that it has read. */
 one sig Reader {
   reads: one Customer,
   var sawHead: lone Number,
   var sawPointer: lone Number,
-  /** Whether the pointer has been read; it may be absent. */
+  /** Non-empty if the pointer has been read, even if it is absent. */
   var pointerRead: set Customer,
-  /** The newest change of the customer when the reader began. */
+  /** The newest change of the customer when the reader started. */
   var due: lone Number
 }
 
@@ -60,34 +59,34 @@
 
 fun newest[asked: Customer]: lone Number { numbers/max[Store.order.customer.asked] }
 
-/** What an operation or a reader takes for the newest change: the higher of ring and pointer. */
+/** The newest change visible to an operation or a reader: the higher of ring and pointer. */
 fun seen[asked: Customer, head: Number, pointer: Number]: lone Number {
   numbers/max[{ number: head | customerOf[number] = asked } + pointer]
 }
 
-/** The number that the last compare-and-swap of the operation gave it, if it won. */
+/** The number assigned by the operation's last compare-and-swap if it succeeds. */
 fun sought[o: Operation]: lone Number { o.expected.next }
 
-/* Guards. Each one is switched off in a variant, which must yield a counterexample. */
+/* Guards. Removing any one must yield a counterexample. */
 
-/** The store changes `head` only if it is still what the writer read. */
+/** The store changes `head` only if it has the value that the writer read. */
 pred guardCompareAndSwap[o: Operation] { Store.head = o.inFlight }
 
-/** Only a draft that was taken from the newest change is sent. */
+/** Only a draft based on the newest change is sent. */
 pred guardDraftIsCurrent[o: Operation] {
   seen[o.customer, o.expected, Store.pointer[o.customer]] = o.base
 }
 
-/** The record that the accept pushes out of the ring is under its pointer first. */
+/** The record that the accept evicts from the ring is stored under its pointer first. */
 pred guardPointerBeforeEviction[o: Operation] {
   some customerOf[o.expected] implies
     o.expected in Store.pointer[customerOf[o.expected]].*prev
 }
 
-/** The customer of that record is in the index before, too. */
+/** The customer of that record is added to the index first. */
 pred guardIndexBeforeEviction[o: Operation] { customerOf[o.expected] in Store.index }
 
-/** A pointer only grows, so that a writer that wakes late doesn't set it back. */
+/** A pointer only increases, so that a delayed writer doesn't revert it. */
 pred guardPointerMonotone[asked: Customer, number: Number] {
   no Store.pointer[asked] or numbers/lt[Store.pointer[asked], number]
 }
@@ -99,18 +98,18 @@
 pred guardHeadBeforePointer { some Reader.sawHead }
 
 /**
- * "No" needs a head that moved: while it stands at the expected number, the request of the lost
- * answer may still arrive at the store and win.
+ * "No" requires that `head` has changed. Otherwise the pending request may still arrive at the
+ * store and succeed.
  */
 pred guardHeadMoved[o: Operation] { Store.head != o.expected }
 
-/** "No" needs that the operation id isn't in the ring or under the pointer. */
+/** "No" requires that the operation ID is neither in the ring nor under the pointer. */
 pred guardOperationNotFound[o: Operation] {
   Store.head = sought[o] implies Store.order[Store.head] != o
   Store.pointer[o.customer] = sought[o] implies Store.order[sought[o]] != o
 }
 
-/** "No" needs that the kept operation ids reach back to the number in question. */
+/** "No" requires that the stored operation IDs reach back to the number in question. */
 pred guardHistoryReaches[o: Operation] {
   no Store.pointer[o.customer] or numbers/lte[Store.pointer[o.customer], sought[o]]
 }
@@ -142,7 +141,7 @@
   }
 }
 
-/** The operation moves to a step and keeps all the rest. */
+/** The operation moves to another step; nothing else changes. */
 pred moves[o: Operation, to: Step] {
   o.step' = to
   base' = base
@@ -163,7 +162,7 @@
   readerKept
 }
 
-/** The operator takes the newest template as a draft, perhaps anew. */
+/** The operator creates or replaces a draft from the newest template. */
 pred takeDraft[o: Operation] {
   o.step = Drafted
   o.step' = Drafted
@@ -220,7 +219,7 @@
   order' = order
 }
 
-/** The draft is behind: the operator is told what changed. */
+/** Rejects an outdated draft. */
 pred sayConflict[o: Operation] {
   o.step = HeadRead
   seen[o.customer, o.expected, Store.pointer[o.customer]] != o.base
@@ -245,7 +244,7 @@
   storeKept
 }
 
-/** The store carries out the request; its answer arrives, or is lost, or nobody waits for it. */
+/** The store executes the request; its response arrives, is lost or is no longer awaited. */
 pred storeCarriesOut[o: Operation] {
   some o.inFlight
   no o.inFlight'
@@ -269,7 +268,7 @@
   readerKept
 }
 
-/** No answer in time; the request may still be on its way. */
+/** The operation times out; the request may still be in flight. */
 pred giveUpWaiting[o: Operation] {
   o.step = Sent
   moves[o, Doubt]
@@ -284,7 +283,7 @@
   storeKept
 }
 
-/** The last attempt is proved lost: the operation says so, or reads again for another attempt. */
+/** The last attempt has provably failed; the operation reports this or tries again. */
 pred resolveNo[o: Operation] {
   o.step = Doubt
   guardHeadMoved[o]
@@ -294,7 +293,7 @@
   storeKept
 }
 
-/** `head` hasn't moved: the same compare-and-swap goes out again, it can win only once. */
+/** `head` is unchanged: resends the same compare-and-swap, which can succeed only once. */
 pred resendSame[o: Operation] {
   o.step = Doubt
   Store.head = o.expected
@@ -314,7 +313,7 @@
   storeKept
 }
 
-/** The command dies; a request on its way is carried out all the same. */
+/** The command crashes; a request in flight may still be executed. */
 pred die[o: Operation] {
   o.step in Drafted + HeadRead + Sent + Doubt
   moves[o, Dead]
@@ -367,7 +366,7 @@
   resolveYes[o] or resolveNo[o] or resendSame[o] or sayUnknown[o] or die[o]
 }
 
-/** An operation that won earlier: it was told so, or it lost the answer, or it died. */
+/** An earlier successful operation that was informed, lost the response or crashed. */
 pred wonEarlier[o: Operation] {
   o.expected = Store.order.o.prev
   o.base = numbers/max[Store.order.o.prevs & Store.order.customer.(o.customer)]
@@ -375,7 +374,7 @@
   o.step = Told and o.verdict = Accepted or o.step in Doubt + Dead and no o.verdict
 }
 
-/** An operation under way: it has a draft, of whatever age, and perhaps read `head` long ago. */
+/** An operation in progress, with a draft and possibly a `head` of any age. */
 pred underWay[o: Operation] {
   no o.verdict
   o.base in Store.order.customer.(o.customer)
@@ -384,8 +383,8 @@
 }
 
 /**
- * Traces start in any state that a shorter history may have led to, not only in the empty one, so
- * that a bounded trace reaches deep.
+ * Traces start in any state that a shorter history can reach, so that a bounded trace covers late
+ * states.
  */
 pred start {
   Store.order.Operation = Store.head.*prev - numbers/first
@@ -407,24 +406,24 @@
   always (nothing or readerReadsHead or readerReadsPointer or some o: Operation | operationStep[o])
 }
 
-/* Promises. */
+/* Assertions. */
 
-/** What was accepted keeps its place, and numbers leave no gap. */
+/** Accepted changes keep their numbers, and numbers have no gaps. */
 assert acceptedStays {
   always (Store.order in Store.order' and
     Store.order.Operation = Store.head.*prev - numbers/first)
 }
 
-/** An operation stands in the order at most once. */
+/** An operation is accepted at most once. */
 assert acceptedOnce { always all o: Operation | lone Store.order.o }
 
-/** Each accepted change was drafted from the change of its customer just before it. */
+/** Each accepted change is based on the previous change of its customer. */
 assert noLostUpdate {
   always all number: Number, o: Store.order[number] |
     o.base = numbers/max[number.prevs & Store.order.customer.(o.customer)]
 }
 
-/** What an operator is told is true, and stays true. */
+/** Reported verdicts are true and stay true. */
 assert verdictsTrue {
   always all o: Operation {
     o.verdict = Accepted implies o in Number.(Store.order)
@@ -432,28 +431,28 @@
   }
 }
 
-/** Whoever reads `head` and pointer in one instant finds the newest change of each customer. */
+/** An atomic read of `head` and pointer finds the newest change of each customer. */
 assert storeShowsNewest {
   always all asked: Customer |
     seen[asked, Store.head, Store.pointer[asked]] = newest[asked]
 }
 
-/** A VM that starts with nothing finds each customer that has a change. */
+/** A VM that starts empty finds each customer that has a change. */
 assert newVmFindsAll {
   always Store.order[Number].customer in customerOf[Store.head] + Store.index
 }
 
-/** A reader gets no older change than the newest when it began. */
+/** A reader returns no change older than the newest one at its start. */
 assert readerNeverBehind {
   always (some Reader.sawHead and some Reader.pointerRead and some Reader.due implies
     some seen[Reader.reads, Reader.sawHead, Reader.sawPointer] and
     numbers/gte[seen[Reader.reads, Reader.sawHead, Reader.sawPointer], Reader.due])
 }
 
-/** An accepted change has its text. */
+/** The text of each accepted change is stored. */
 assert textThere { always Number.(Store.order) in Store.texts }
 
-/** Shows that the specification isn't vacuous: a lost answer resolved to yes behind a race. */
+/** Not vacuous: a lost response is resolved to yes after a race. */
 pred interesting {
   Store.head = numbers/first
   some disj winner, loser: Operation {
--- a/spec/src/test/resources/distribution.als
+++ b/spec/src/test/resources/distribution.als
@@ -1,13 +1,13 @@
 /*
- * How accepted changes reach the VMs: rumors that come late, twice or out of order, whole tables
- * fetched from a peer or from the store, VMs replaced by empty ones, and the report that a change
- * is in force everywhere. How a change gets accepted is the matter of configuration.als.
+ * The distribution of accepted changes to the VMs: rumors that are delayed, duplicated or reordered,
+ * full tables fetched from a peer or the store, VMs replaced by empty ones, and the report that a
+ * change is in force on all VMs. See configuration.als for the acceptance of changes.
  */
 module distribution
 
 open util/ordering[Number] as numbers
 
-/** Numbers of changes, each of one customer; the first one stands for "no change yet". */
+/** Change numbers, each of one customer; the first number means "no change yet". */
 sig Number { changes: lone Customer }
 
 sig Customer {}
@@ -17,22 +17,22 @@
 
 sig Vm {
   var phase: one Phase,
-  /** The change of each customer that is in force on this VM. */
+  /** The change in force on this VM, by customer. */
   var applied: Customer -> lone Number,
-  /** The number that its pings carry: it knows all changes up to here. */
+  /** The number announced in pings: this VM knows all changes up to it. */
   var told: one Number,
-  /** A table on its way to this VM, as its sender had it when it answered. */
+  /** The announced number of a table in flight to this VM, as of the response. */
   var answered: lone Number,
   var table: Customer -> lone Number,
-  /** Whether the table on its way, or the one that it filled from, came from the store. */
+  /** Non-empty if the table in flight, or the last received table, came from the store. */
   var fromStore: set Store,
-  /** The newest accepted number when this VM began to fill. */
+  /** The newest accepted number when this VM started to fill. */
   var beganAt: one Number
 }
 
 one sig Store {
   var head: one Number,
-  /** The changes that were reported to be in force everywhere. */
+  /** The changes that were reported as in force on all VMs. */
   var reported: set Number
 }
 
@@ -43,26 +43,25 @@
 
 /* Guards. */
 
-/** Nobody goes back: a change is applied only over a lower one of the same customer. */
+/** A change is applied only over a lower change of the same customer. */
 pred guardApplyHigher[current: lone Number, number: Number] {
   number not in current.*(numbers/prev)
 }
 
-/** The told number grows by a rumor only if there is no gap below it. */
+/** A rumor raises the announced number only if it leaves no gap. */
 pred guardNoGap[v: Vm, number: Number] { v.told.(numbers/next) = number }
 
-/** A VM that is itself still filling answers no peer. */
+/** A VM that is still filling doesn't respond to peers. */
 pred guardPeerServes[peer: Vm] { peer.phase = Serving }
 
-/** The report waits until each VM that serves has confirmed the change. */
+/** The report waits until each serving VM has confirmed the change. */
 pred guardAllConfirm[number: Number] {
   all v: phase.Serving | number in v.applied[number.changes].*(numbers/prev)
 }
 
 /**
- * The report waits until no VM is filling from an answer that was given before. In the code: it
- * waits for the time after which a filling VM drops an answer, and for the gossip bound, and then
- * looks at the member list again.
+ * The report waits until no VM is filling from an earlier response. The implementation waits until
+ * such responses have expired and the gossip bound has passed, and then rereads the member list.
  */
 pred guardFillsEnded { no phase.Filling & answered.Number }
 
@@ -99,7 +98,7 @@
   no v.fromStore'
 }
 
-/** A VM is replaced at any moment; what it knew is gone. */
+/** A VM is replaced at any time and loses its state. */
 pred replace[v: Vm] {
   v.phase != Absent
   v.phase' = Absent
@@ -145,7 +144,7 @@
   awaits[v]
 }
 
-/** The change that is in force after one more is offered. */
+/** The change in force after a change is received. */
 fun merged[current: lone Number, offered: lone Number]: lone Number {
   some offered and guardApplyHigher[current, offered] => offered else current
 }
@@ -193,7 +192,7 @@
   (some number: Number | receiveRumor[v, number])
 }
 
-/** At first some VMs serve, all with the same table. */
+/** Initially some VMs serve, all with the same table. */
 fact behaviour {
   no numbers/first.changes
   all number: Number - numbers/first | one number.changes
@@ -206,42 +205,42 @@
   always (nothing or accept or (some number: Number | report[number]) or some v: Vm | vmStep[v])
 }
 
-/* Promises. */
+/* Assertions. */
 
-/** No VM goes back while it lives. */
+/** No VM reverts to a lower change while it runs. */
 assert neverBack {
   always all v: Vm, asked: Customer |
     v.phase' != Absent and v.phase != Absent implies
       v.applied[asked] in v.applied'[asked].*(numbers/prev)
 }
 
-/** What a VM tells in its pings is true. */
+/** A VM knows all changes up to the number that it announces. */
 assert toldIsKnown {
   always all v: phase.Serving | all number: v.told.*(numbers/prev) - numbers/first |
     number in v.applied[number.changes].*(numbers/prev)
 }
 
-/** After the report no VM serves a lower change, not even a new one that filled from a peer. */
+/** After the report no VM serves a lower change, including new VMs that filled from a peer. */
 assert reportedStays {
   always all number: Store.reported, v: phase.Serving |
     number in v.applied[number.changes].*(numbers/prev)
 }
 
-/** A VM that filled from the store serves all that was accepted before it began. */
+/** A VM that filled from the store serves all changes accepted before it started. */
 assert storeFillIsCurrent {
   always all v: phase.Serving | some v.fromStore and no v.answered implies
     v.beganAt in v.told.*(numbers/prev)
 }
 
 /**
- * Not promised, and the check shows why: a VM that filled from a peer may lack what was accepted
- * before it began, if the peer lacked it and nobody has reported it in force.
+ * Not guaranteed: a VM that filled from a peer may lack an unreported change accepted before it
+ * started, if the peer lacked it.
  */
 assert unpromisedPeerFillIsCurrent {
   always all v: phase.Serving | v.beganAt in v.told.*(numbers/prev)
 }
 
-/** Shows that the specification isn't vacuous: a replaced VM fills from a peer after a report. */
+/** Not vacuous: a replaced VM fills from a peer after a report. */
 pred interesting {
   eventually some v: Vm {
     v.phase = Filling
--- a/spec/src/test/resources/membership.als
+++ b/spec/src/test/resources/membership.als
@@ -1,10 +1,10 @@
 /*
- * The member list: failure detection by pings, through helpers too, suspicion, refutation, death,
- * new incarnations of a VM, and messages that come late, twice or out of order.
+ * The membership protocol: failure detection by direct and indirect pings, suspicion, refutation,
+ * death, new incarnations of a VM, and messages that are delayed, duplicated or reordered.
  *
- * A process is one incarnation of a VM; a higher incarnation of the same VM stands later in the
- * order of processes. The entry that a list holds for an incarnation has a precedence: a suspicion
- * overrules the life that it doubts, a refutation overrules that suspicion, death overrules all.
+ * A process is one incarnation of a VM; higher incarnations of the same VM are later in the order of
+ * processes. Entries for an incarnation have a precedence: a suspicion overrides the alive entry
+ * that it refers to, a refutation overrides that suspicion, and death overrides all.
  */
 module membership
 
@@ -12,28 +12,28 @@
 
 sig Vm {}
 
-/** What a list says of an incarnation, lowest precedence first; numbers count the refutations. */
+/** The states of an incarnation, lowest precedence first; numbers count the refutations. */
 enum Entry { Alive0, Suspect0, Alive1, Suspect1, Alive2, Dead }
 
 sig Process {
   vm: one Vm,
-  /** The list that this process keeps. */
+  /** The member list of this process. */
   var list: Process -> lone Entry,
-  /** The list as it stood when the last period ended. */
+  /** The list at the end of the last period. */
   var lastList: Process -> lone Entry,
-  /** Whose tombstones it has dropped; only the promises look at this. */
+  /** The processes whose tombstones it has removed; read only by assertions. */
   var forgot: set Process,
-  /** Who hears nothing of what this process sends. */
+  /** The processes that receive nothing from this process. */
   cutTo: set Process
 }
 
 one sig Network {
-  /** Messages can get lost for a while, so that a probe fails without any cut. */
+  /** Non-empty if messages can be lost, so that probes fail without a partition. */
   lossy: lone Vm,
-  /** The processes that run. */
+  /** The running processes. */
   var runs: set Process,
   var started: set Process,
-  /** Entries on their way, from whomever and to anybody. */
+  /** Entries in flight, from any sender to any receiver. */
   var onTheWay: Process -> Entry
 }
 
@@ -46,42 +46,42 @@
 
 fun older[member: Process]: set Process { member.^(incarnations/prev) & vm.(member.vm) }
 
-/** Whether a request of the one gets an answer of the other directly. */
+/** Whether `asked` responds directly to a request of `asker`. */
 pred answers[asker, asked: Process] {
   asked in running and asked not in asker.cutTo and asker not in asked.cutTo
 }
 
 /* Guards. */
 
-/** An entry is taken over only if its precedence is higher; so death is final. */
+/** An entry is merged only if its precedence is higher, which makes death final. */
 pred guardHigherEntry[current: lone Entry, offered: Entry] { offered in current.nexts }
 
 /** An entry of an incarnation is ignored if the list has a newer incarnation of that VM. */
 pred guardNewestIncarnation[process, member: Process] { no newer[member] & process.list.Entry }
 
-/** A newer incarnation buries the older ones. */
+/** A newer incarnation marks the older ones as dead. */
 pred guardOlderBuried[process, member: Process] {
   all buried: older[member] & process.list.Entry | process.list'[buried] = Dead
 }
 
 /**
- * A tombstone goes only when nobody can speak of that incarnation as living any more. In the code:
- * after the longest life of a message, plus the longest cut after which a VM, when it hears from
- * the others again, throws its own list away and joins anew.
+ * A tombstone is removed only when no list or message can still contain the incarnation as alive.
+ * The implementation waits for the maximum message lifetime plus the longest partition after which
+ * a VM keeps its list instead of rejoining.
  */
 pred guardTombstoneKept[member: Process] {
   Network.onTheWay[member] + running.list[member] in Dead
 }
 
-/** A process that hears a suspicion of itself refutes it within the period. */
+/** A process refutes a suspicion of itself within the period. */
 pred guardRefutes { all process: running | no process.list[process] & suspicions }
 
-/** Death is declared only of a suspicion that has stood for a whole period, unrefuted. */
+/** A suspicion becomes a death only after a whole period without refutation. */
 pred guardSuspicionStood[process, member: Process] {
   process.lastList[member] = process.list[member]
 }
 
-/** A suspicion needs that no helper gets an answer either. */
+/** A suspicion requires that no helper gets a response either. */
 pred guardHelpersAsked[process, member: Process] {
   no helper: running - process - member | answers[process, helper] and answers[helper, member]
 }
@@ -145,7 +145,7 @@
   listsKept[Process]
 }
 
-/** Takes over an entry about a member that arrived from anywhere, at any time. */
+/** Merges a received entry about a member. */
 pred hear[process, member: Process] {
   process in running
   some entry: Network.onTheWay[member] {
@@ -183,7 +183,7 @@
   listsKept[Process]
 }
 
-/** A new incarnation copies the list of a peer; it stands above all earlier ones of its VM. */
+/** A new incarnation, higher than all earlier ones of its VM, copies the list of a peer. */
 pred begin[process: Process] {
   process not in Network.started
   older[process] in Network.started
@@ -197,14 +197,14 @@
   restKept
 }
 
-/** Whether the one knows at least what the other knows of the member. */
+/** Whether `process` knows at least as much about the member as `other`. */
 pred knowsAsMuch[process, other, member: Process] {
   some newer[member] & process.list.Entry or
   other.list[member] in process.list[member] + process.list[member].prevs or
   no process.list[member] and other.list[member] in Dead
 }
 
-/** A period ends: by then all who hear each other have told each other what they know. */
+/** A period ends after all connected processes have exchanged their lists. */
 pred periodEnds {
   guardRefutes
   all teller, process: running, member: Process |
@@ -215,7 +215,7 @@
   networkKept
 }
 
-/** At first some processes run and know each other; old messages may be on their way. */
+/** Initially some processes run and know each other; old messages may be in flight. */
 fact behaviour {
   all process: Process | process not in process.cutTo
   Network.runs = Network.started
@@ -234,41 +234,41 @@
   })
 }
 
-/** All processes run from the start to the end, and at most one pair is cut, one way. */
+/** All processes run throughout, with at most one one-way partition of a pair. */
 pred oneCutAmongLiving {
   always Process = running
   lone cutTo
 }
 
-/* Promises. */
+/* Assertions. */
 
-/** A dead incarnation never comes back. */
+/** A dead incarnation never becomes alive again. */
 assert deadStaysDead {
   always all process, member: Process |
     (process.list[member] = Dead or member in process.forgot) implies
       process.list'[member] in Dead
 }
 
-/** No list has two living incarnations of one VM, and none goes back to an older one. */
+/** No list has two live incarnations of a VM, and none reverts to an older one. */
 assert oneIncarnation {
   always all process: running, member: process.list.Entry |
     process.list[older[member]] in Dead
 }
 
-/** Whoever runs isn't declared dead, though probes get lost and a pair is cut one way. */
+/** A running process isn't declared dead despite lost probes and one one-way partition. */
 assert livingNotDead { oneCutAmongLiving implies always Dead not in Process.list[Process] }
 
-/** Without loss a pair that is cut one way isn't even suspected, as long as a helper runs. */
+/** Without loss, a one-way partition causes no suspicion while a helper runs. */
 assert cutPairNotSuspected {
   oneCutAmongLiving and no Network.lossy implies always no suspicions & Process.list[Process]
 }
 
-/** Not promised: two processes that are cut one way and have no helper hold each other for dead. */
+/** Not guaranteed: without a helper, a one-way partition ends in a declared death. */
 assert unpromisedWithoutHelper {
   oneCutAmongLiving implies always Dead not in Process.list[Process]
 }
 
-/** Shows that the specification isn't vacuous: a refutation, a death and a new incarnation. */
+/** Not vacuous: a refutation, a death and a new incarnation. */
 pred interesting {
   some process: Process {
     eventually (process in running and process.list[process] = Alive1)
--- a/spec/src/test/resources/once.als
+++ b/spec/src/test/resources/once.als
@@ -1,17 +1,18 @@
 /**
- * At most once: one key runs at most once, "not run" is true for ever, a result is the run's own.
+ * At-most-once execution: a key is executed at most once, "not run" stays true, and a result belongs
+ * to the key's execution.
  *
- * A message once sent stays in its set: it may be delivered late, often, in any order, or never. A
- * frozen VM is one that does nothing for a while. Callers and other VMs may send or ask for any key
- * at any time, so these requests need no messages here. Each guard is a one-line predicate; the test
- * empties one after the other. Callers' keys of different customers are different keys here.
+ * Sent messages stay in their sets and may be delivered late, repeatedly, in any order or never. A
+ * paused VM takes no steps. Requests from callers and other VMs may arrive at any time and aren't
+ * modelled as messages. Each guard is a one-line predicate; the test removes each of them in turn.
+ * A key here stands for a customer and the caller's key.
  */
 module atMostOnce
 
-/** An address at which one life after the other runs. */
+/** An address with successive incarnations. */
 sig Vm {}
 
-/** One incarnation, with all that it has in memory. */
+/** An incarnation of a VM with its in-memory state. */
 sig Life {
     vm: one Vm,
     var ledger: Key -> lone HomeState,
@@ -30,14 +31,14 @@
 
 var sig IntentSent, Acknowledged, Abandoned, ToldNotRun in Key {}
 
-/** One sending of a key to a target. */
+/** A dispatch of a key to a target. */
 sig Dispatch {
     key: one Key,
     by: one Life,
     var target: lone TargetState
 }
 
-/** Dispatches whose result the home has told the witness. */
+/** Dispatches whose result the home has sent to the witness. */
 var sig Reported in Dispatch {}
 
 enum HomeState { Asking, Dispatched, Ended, Tombstone }
@@ -65,7 +66,7 @@
 pred guardResultAfterRun[d: Dispatch] { d.target = Ran } // ResultIsFromTheRun
 pred guardAnswerMatchesKey[k: Key, d: Dispatch] { d.key = k } // ResultIsFromTheRun
 
-// What stays as it is
+// Frame conditions
 
 pred sameLives { Up' = Up and Dead' = Dead }
 pred sameLedgers { ledger' = ledger }
@@ -105,7 +106,7 @@
     sameLives and sameLedgers and sameRegisters and sameExpiry and sameMessages and sameAnswers
 }
 
-/** Time-out, refusal by witness or targets, full table, or a question for a key not seen. */
+/** Timeout, rejection by the witness or the targets, full table, or query for an unknown key. */
 pred giveUp[l: Life, k: Key] {
     l in Up and l.vm = k.home.vm and no l.ledger[k] & (Ended + Tombstone)
     guardHomeIsNamedLife[l, k]
@@ -150,7 +151,7 @@
     sameLives and sameLedgers and sameExpiry and sameMessages and sameTargets and sameAnswers
 }
 
-/** A question for a key that the register does not hold: it is refused for good. */
+/** A query for a key that isn't in the register: the key is rejected permanently. */
 pred refuse[l: Life, k: Key] {
     l in Up and l.vm = k.witness.vm and no l.register[k]
     guardWitnessIsNamedLife[l, k]
@@ -161,7 +162,7 @@
     sameLives and sameLedgers and sameExpiry and sameMessages and sameTargets
 }
 
-// Answers to callers
+// Responses to callers
 
 pred passOnNotRun[k: Key] {
     guardSilenceIsNoWord[k]
@@ -177,9 +178,9 @@
     sameLives and sameLedgers and sameRegisters and sameExpiry and sameMessages and sameTargets
 }
 
-// Targets, deaths, clocks
+// Targets, crashes, clocks
 
-/** Also long after the sender died. */
+/** May happen after the sender has crashed. */
 pred runAtTarget[d: Dispatch] {
     d.target = Waiting
     target' = target ++ d->Ran
@@ -208,7 +209,7 @@
     sameLedgers and sameRegisters and sameExpiry and sameMessages and sameTargets and sameAnswers
 }
 
-/** A key's window ends by the clock of one life, which drops what it holds on the key. */
+/** A key expires by the clock of one incarnation, which removes its state for the key. */
 pred expire[l: Life, k: Key] {
     l in Up
     ledger' = ledger - l->k->HomeState
@@ -239,7 +240,7 @@
 
 assert AtMostOnce { always all k: Key | lone key.k & target.Ran }
 
-/** Both sets only grow, so an answer that becomes untrue later is found as well. */
+/** Both sets only grow, so responses that become false later are found too. */
 assert NotRunIsTrueForever { always no ToldNotRun & target.Ran.key }
 
 assert ResultIsFromTheRun { always all k: Key | k.toldResult in key.k & target.Ran and lone k.toldResult }
--- a/spec/src/test/resources/stops.als
+++ b/spec/src/test/resources/stops.als
@@ -1,11 +1,11 @@
 /*
- * Planned stops. First: a VM leaves while callers hold answers that name it, peers answer asks from
- * an older view, and other VMs join with a list copied from such a peer. Second: a target leaves
- * while work for it is queued, retried or hedged.
+ * Planned stops. First, a VM leaves while callers cache discovery responses that name it, peers
+ * respond to discovery requests from an outdated view, and VMs join with a list copied from such a
+ * peer. Second, a target leaves while requests for it are queued, retried or hedged.
  *
- * Time runs in ticks. The bound on the spread of gossip, the time to live of an answer, the time
- * that a request travels and the bound on the spread of a target's sign are one tick each; what
- * happens within a tick has any order.
+ * The bounds on gossip propagation, the time to live of a discovery response, the network delay of
+ * a request and the propagation of a target's leave signal are one tick each. Events within a tick
+ * are unordered.
  */
 module stops
 
@@ -18,21 +18,21 @@
 abstract sig Stage {}
 one sig Running, Leaving, Expiring, Arriving, Stopped extends Stage {}
 
-/** The VM that stops, stage by stage. */
+/** The stopping VM with its shutdown stage. */
 one sig Leaver {
   var stage: one Stage,
-  /** When this stage began. */
+  /** When this stage started. */
   var stageAt: one Tick,
-  /** When it said LEAVING. */
+  /** When it announced LEAVING. */
   var leftAt: lone Tick
 }
 
-/** Another VM, which answers asks; it may join late. */
+/** Another VM that responds to discovery requests; it may join late. */
 sig Peer {
   var joinedAt: lone Tick,
-  /** Whether it has fetched the member list again, late enough after it joined. */
+  /** Non-empty if it has fetched the member list again, late enough after it joined. */
   var settled: set Leaver,
-  /** Whether it knows that the VM leaves. */
+  /** Non-empty if it knows that the VM is leaving. */
   var knows: set Leaver
 }
 
@@ -40,23 +40,23 @@
 one sig Idle, Travelling, Served, Missed, Cut extends Progress {}
 
 sig Caller {
-  /** When it sent the ask whose answer names the leaving VM. */
+  /** When it sent the discovery request whose response names the leaving VM. */
   var answer: lone Tick,
   var sent: lone Tick,
   var progress: one Progress
 }
 
-/** A target that leaves, as one VM sees it. */
+/** A leaving target, as seen by one VM. */
 one sig Target {
   var signAt: lone Tick,
-  /** Whether the VM knows the sign, from whichever source. */
+  /** Non-empty if the VM knows the leave signal, from any source. */
   var signKnown: set Leaver
 }
 
 abstract sig Kind {}
 one sig Queued, Retried, Hedged extends Kind {}
 
-/** Work for which the target was chosen when it was queued; then it waits to be dispatched. */
+/** A request for which the target is selected before the dispatch. */
 sig Work {
   kind: one Kind,
   var chosen: set Target,
@@ -67,51 +67,51 @@
 
 /* Guards. */
 
-/** The VM counts on no peer's knowledge before the bound on the spread of gossip has passed. */
+/** The VM assumes that peers know of the stop only after the gossip bound. */
 pred guardSpreadWaited { Clock.now in later[later[Leaver.stageAt]] }
 
-/** It serves until each answer that named it has expired. */
+/** It serves until all discovery responses that name it have expired. */
 pred guardAnswersExpired { Clock.now in later[Leaver.stageAt] }
 
-/** It serves until what was sent under such an answer has arrived. */
+/** It serves until requests sent under such a response have arrived. */
 pred guardRequestsArrived { Clock.now in later[Leaver.stageAt] }
 
-/** It serves until its work in flight has ended. */
+/** It serves until its requests in flight have completed. */
 pred guardInFlightEnded { no progress.Served }
 
-/** A peer that knows of the stop doesn't name the VM. */
+/** A peer that knows of the stop doesn't name the VM in responses. */
 pred guardAsksSkipLeaving[p: Peer] { no p.knows }
 
 /**
- * A VM that has joined answers asks only from a list that it fetched again: the news of the stop
- * may have ended its round before the others knew of the new VM.
+ * A joined VM responds to discovery requests only from a list that it fetched again, because the
+ * rumor of the stop may have expired before the other VMs knew the new one.
  */
 pred guardJoinerSettled[p: Peer] { some p.settled }
 
-/** The second fetch comes two spread bounds after the first, so that any later news reaches it. */
+/** The second fetch is two gossip bounds after the first, so that later rumors reach the VM. */
 pred guardFetchedLate[p: Peer] { Clock.now in later[later[p.joinedAt]] }
 
-/** A caller drops an answer at the end of its time to live, counted from the sending of the ask. */
+/** A caller evicts a response when its time to live, counted from the request, has passed. */
 pred guardCallerDropsExpired[c: Caller] { Clock.now in c.answer + c.answer.next }
 
-/** The sign is looked at when the work is dispatched, not only when it was queued. */
+/** The leave signal is checked at dispatch, not only at queueing. */
 pred guardQueuedChecked[w: Work] { w.kind = Queued implies no Target.signKnown }
 
-/** A retry looks at the sign too. */
+/** The leave signal is checked for retries. */
 pred guardRetriedChecked[w: Work] { w.kind = Retried implies no Target.signKnown }
 
-/** A hedge looks at the sign too. */
+/** The leave signal is checked for hedges. */
 pred guardHedgedChecked[w: Work] { w.kind = Hedged implies no Target.signKnown }
 
-/** A late report that still calls the target healthy doesn't take the sign away. */
+/** A late report that the target is healthy doesn't revoke the leave signal. */
 pred guardSignSticks { no Target.signAt }
 
 /*
- * What the stop takes as given; each bound holds when a tick ends. Other parts have to keep these
- * bounds, so they are switched off in variants like the guards.
+ * Assumptions of the stop; each bound holds when a tick ends. Other components must meet these
+ * bounds, so the tests remove them like the guards.
  */
 
-/** Gossip reaches in time each VM that all others knew when the news started. */
+/** Gossip reaches within the bound each VM that all others knew when the rumor started. */
 pred guardGossipInTime {
   all p: Peer |
     (some p.joinedAt and some Leaver.leftAt and Clock.now in later[Leaver.leftAt] and
@@ -121,7 +121,7 @@
 /** A request reaches the VM within the bound. */
 pred guardRequestsInTime { all c: progress.Travelling | Clock.now not in later[c.sent] }
 
-/** The VM hears of the target's sign within the bound, from some source. */
+/** The VM learns of the target's leave signal within the bound, from any source. */
 pred guardSignInTime {
   some Target.signAt and Clock.now in later[Target.signAt] implies some Target.signKnown
 }
@@ -200,7 +200,7 @@
   leaverKept and callersKept and targetKept and clockKept
 }
 
-/** A list is copied only from a VM that is settled itself. */
+/** A list is copied only from a settled VM. */
 pred copies[p, source: Peer] {
   some source.settled
   knows' = knows + p -> source.knows
@@ -331,25 +331,25 @@
   always (nothing or tick or vmStops or targetStops)
 }
 
-/* Promises. */
+/* Assertions. */
 
-/** No request of a caller with a valid answer meets a stopped VM. */
+/** No request sent under a valid discovery response reaches a stopped VM. */
 assert noneMissed { always no progress.Missed }
 
-/** Nothing in flight is cut. */
+/** No request in flight is cut off. */
 assert noneCut { always no progress.Cut }
 
-/** The target gets no work once the sign's bound has passed. */
+/** The target gets no requests after the bound of the leave signal. */
 assert noLateDispatch {
   always (some Target.signAt implies no Work.dispatchedAt & later[later[Target.signAt]])
 }
 
-/** Nor after this VM has known the sign. */
+/** The VM dispatches nothing to the target once it knows the leave signal. */
 assert noDispatchAfterSign {
   always (some Target.signKnown implies dispatchedAt' = dispatchedAt)
 }
 
-/** Shows that the specification isn't vacuous: a request is served just before the stop. */
+/** Not vacuous: a request is served just before the stop. */
 pred interesting {
   eventually (Leaver.stage = Arriving and some progress.Served)
   eventually Leaver.stage = Stopped
