--- a/spec/src/test/resources/distribution.als
+++ b/spec/src/test/resources/distribution.als
@@ -1,5 +1,5 @@
 /*
- * The distribution of accepted changes to the VMs: rumors that are delayed, duplicated or reordered,
+ * The distribution of accepted changes to the VMs: rumors that are late, duplicated or reordered,
  * full tables fetched from a peer or the store, VMs replaced by empty ones, and the report that a
  * change is in force on all VMs. See configuration.als for the acceptance of changes.
  */
--- a/spec/src/test/resources/membership.als
+++ b/spec/src/test/resources/membership.als
@@ -2,8 +2,8 @@
  * The membership protocol: failure detection by direct and indirect pings, suspicion, refutation,
  * death, new incarnations of a VM, and messages that are delayed, duplicated or reordered.
  *
- * A process is one incarnation of a VM; higher incarnations of the same VM are later in the order of
- * processes. Entries for an incarnation have a precedence: a suspicion overrides the alive entry
+ * A process is one incarnation of a VM; higher incarnations of the same VM come later in the order
+ * of processes. Entries for an incarnation have a precedence: a suspicion overrides the alive entry
  * that it refers to, a refutation overrides that suspicion, and death overrides all.
  */
 module membership
