--- a/lab/src/main/java/org/dahliapass/lab/capacity/Assumptions.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Assumptions.java
@@ -1,30 +1,30 @@
 package org.dahliapass.lab.capacity;
 
 /**
- * What neither the letter says nor a measurement shows.
+ * Inputs of the cost projection that are neither specified nor measured.
  *
- * @param guardedShare share of the requests that run at most once
- * @param callersPerCustomer processes of a customer that ask, each for one service
- * @param bodyBytes body of a guarded operation's answer, which home and witness keep
- * @param kinds request kinds of a service
- * @param evidenceBytes the setting {@code evidence-budget}, bytes a second
+ * @param guardedShare share of requests executed at most once
+ * @param callersPerCustomer client processes per customer, each of which discovers one service
+ * @param bodyBytes bytes of a guarded operation's response body, stored by home and witness
+ * @param kinds request kinds per service
+ * @param evidenceBytesPerSecond the setting {@code evidence-budget}, in bytes per second
  */
 record Assumptions(
         double guardedShare,
         double callersPerCustomer,
         double bodyBytes,
         int kinds,
-        double evidenceBytes) {
-    /** What the page takes. */
-    static final Assumptions PAGE = new Assumptions(0.05, 1, 256, 3, 16 * 1024);
+        double evidenceBytesPerSecond) {
+    /** The default assumptions. */
+    static final Assumptions DEFAULTS = new Assumptions(0.05, 1, 256, 3, 16 * 1024);
 
-    /** Returns the same with another share of guarded requests. */
+    /** Returns a copy with a different share of guarded requests. */
     Assumptions withGuardedShare(double share) {
-        return new Assumptions(share, callersPerCustomer, bodyBytes, kinds, evidenceBytes);
+        return new Assumptions(share, callersPerCustomer, bodyBytes, kinds, evidenceBytesPerSecond);
     }
 
-    /** Returns the same with another setting of the evidence budget. */
-    Assumptions withEvidenceBytes(double bytes) {
+    /** Returns a copy with a different evidence budget, in bytes per second. */
+    Assumptions withEvidenceBytesPerSecond(double bytes) {
         return new Assumptions(guardedShare, callersPerCustomer, bodyBytes, kinds, bytes);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/CapacityMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/CapacityMain.java
@@ -11,21 +11,23 @@
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.Program;
 
-/** Measures what control costs, and prints what it would cost at the letter's size. */
+/** Measures the cost of the control plane and prints its projection to the design fleet size. */
 public final class CapacityMain extends Program {
-    private static final List<Measures> PARTS =
+    private static final List<Benchmark> BENCHMARKS =
             List.of(
-                    new MembershipMeasures(),
-                    new HealthMeasures(),
-                    new ConfigurationMeasures(),
-                    new DirectoryMeasures(),
-                    new OnceMeasures(),
-                    new BurnMeasures());
+                    new MembershipBenchmark(),
+                    new HealthBenchmark(),
+                    new ConfigurationBenchmark(),
+                    new DirectoryBenchmark(),
+                    new GuardedOperationBenchmark(),
+                    new OutcomeHistoryBenchmark());
 
     private OptionSpec<String> mJson;
 
     private CapacityMain() {
-        super("measure capacity", "Measures the cost of control and projects it to a large fleet.");
+        super(
+                "measure capacity",
+                "Measures the cost of the control plane and projects it to a large fleet.");
     }
 
     /** Runs the program. */
@@ -40,10 +42,10 @@
 
     @Override
     protected ExitCode run(OptionSet options) {
-        Probe probe = new Probe();
-        Slopes slopes = new Slopes();
-        PARTS.forEach(part -> slopes.add(part.take(probe)));
-        CapacityReport report = new CapacityReport(slopes, StormRuns.run());
+        ResourceMeter meter = new ResourceMeter();
+        Measurements measurements = new Measurements();
+        BENCHMARKS.forEach(benchmark -> measurements.add(benchmark.run(meter)));
+        CapacityReport report = new CapacityReport(measurements, ScenarioResults.run());
         report.lines().forEach(System.out::println);
         if (options.has(mJson)) {
             write(Path.of(options.valueOf(mJson)), report.json());
--- a/lab/src/main/java/org/dahliapass/lab/capacity/CapacityReport.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/CapacityReport.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the measured lines and the projection as tables and as JSON. */
+/** Formats the measurements and the projection as Markdown tables and as JSON. */
 final class CapacityReport {
     private static final double KILO = 1e3;
     private static final double MEGA = 1e6;
@@ -16,55 +16,56 @@
     private static final double[] EVIDENCE_BYTES = {16_384, 4_096, 2_048, 1_024, 512};
     private static final double[] GUARDED_SHARES = {0.01, 0.05, 0.1, 0.2};
 
-    private final Slopes mSlopes;
-    private final StormRuns mRuns;
+    private final Measurements mMeasurements;
+    private final ScenarioResults mScenarios;
     private final List<RoleRow> mRows = new ArrayList<>();
     private final Cost mSum;
 
-    CapacityReport(Slopes slopes, StormRuns runs) {
-        mSlopes = slopes;
-        mRuns = runs;
-        Projection projection = new Projection(slopes, FleetSize.LETTER, Assumptions.PAGE);
-        mRows.addAll(projection.everyVm());
+    CapacityReport(Measurements measurements, ScenarioResults scenarios) {
+        mMeasurements = measurements;
+        mScenarios = scenarios;
+        Projection projection =
+                new Projection(measurements, FleetSize.DESIGN, Assumptions.DEFAULTS);
+        mRows.addAll(projection.vmRows());
         mSum = Projection.sum(mRows);
         mRows.add(new RoleRow("every VM", "all of the above", "", mSum, "", ""));
-        mRows.add(projection.watcher());
+        mRows.add(projection.watcherRow());
     }
 
-    /** Returns the tables, line by line. */
+    /** Returns the lines of the Markdown report. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
-        lines.add("## Each role at the letter's size");
+        lines.add("## Cost of each role at the design size");
         lines.add("");
         addRoles(lines);
         lines.add("");
-        lines.add("Share of the requests that is guarded, and what home and witness then cost:");
+        lines.add("Cost of home and witness by the share of guarded requests:");
         lines.add("");
         addSensitivity(lines);
         lines.add("");
-        lines.add("The setting evidence-budget, and how late successes then are told:");
+        lines.add("Report interval and cost by the setting evidence-budget:");
         lines.add("");
         addEvidence(lines);
         lines.add("");
-        lines.add("## The platform's service");
+        lines.add("## Load on the platform store");
         lines.add("");
         addStore(lines);
         lines.add("");
-        lines.add("## Storms, run over the real memberships");
+        lines.add("## Failure scenarios, simulated with the production membership code");
         lines.add("");
-        addStorms(lines);
+        addScenarios(lines);
         lines.add("");
-        lines.add("One change, spread by rumor from the watchers over the real followers:");
+        lines.add("Spread of one configuration change by rumor, from the watchers to all VMs:");
         lines.add("");
         addChanges(lines);
         lines.add("");
-        lines.add("## Storms and the operators' command, worked out");
+        lines.add("## Projected cost of failures and of the operators' command");
         lines.add("");
         addConsequences(lines);
         lines.add("");
-        lines.add("## Measured slopes");
+        lines.add("## Measured quantities");
         lines.add("");
-        addSlopes(lines);
+        addMeasurements(lines);
         return lines;
     }
 
@@ -90,20 +91,23 @@
     }
 
     private void addSensitivity(List<String> lines) {
-        lines.add("| Guarded | operations/s of a VM | msg/s | B/s | MB | Verdict |");
+        lines.add("| Guarded | operations/s per VM | msg/s | B/s | MB | Verdict |");
         lines.add("|--:|--:|--:|--:|--:|---|");
         for (double share : GUARDED_SHARES) {
-            Assumptions assumed = Assumptions.PAGE.withGuardedShare(share);
-            Cost cost = new Projection(mSlopes, FleetSize.LETTER, assumed).guarded().cost();
+            Assumptions assumptions = Assumptions.DEFAULTS.withGuardedShare(share);
+            Cost cost =
+                    new Projection(mMeasurements, FleetSize.DESIGN, assumptions)
+                            .guardedRow()
+                            .cost();
             add(
                     lines,
                     "| %.0f%% | %.1f | %.1f | %,.0f | %.1f | %s |",
                     share * PERCENT,
-                    share * FleetSize.LETTER.requestsPerVm(),
+                    share * FleetSize.DESIGN.requestsPerVm(),
                     cost.messages(),
                     cost.bytes(),
                     cost.memory() / MEGA,
-                    Budget.LETTER.verdict(cost));
+                    ResourceBudget.PER_VM.verdict(cost));
         }
     }
 
@@ -111,23 +115,24 @@
         lines.add("| evidence-budget | s between reports | msg/s | B/s | Verdict |");
         lines.add("|--:|--:|--:|--:|---|");
         for (double bytes : EVIDENCE_BYTES) {
-            Assumptions assumed = Assumptions.PAGE.withEvidenceBytes(bytes);
-            EvidencePace pace = new EvidencePace(mSlopes, FleetSize.LETTER, assumed);
+            Assumptions assumptions = Assumptions.DEFAULTS.withEvidenceBytesPerSecond(bytes);
+            EvidenceReportPacing pacing =
+                    new EvidenceReportPacing(mMeasurements, FleetSize.DESIGN, assumptions);
             add(
                     lines,
                     "| %,.0f B/s | %.1f | %.1f | %,.0f | %s |",
                     bytes,
-                    pace.seconds(),
-                    pace.cost().messages(),
-                    pace.cost().bytes(),
-                    Budget.LETTER.verdict(pace.cost()));
+                    pacing.periodSeconds(),
+                    pacing.cost().messages(),
+                    pacing.cost().bytes(),
+                    ResourceBudget.PER_VM.verdict(pacing.cost()));
         }
     }
 
     private void addStore(List<String> lines) {
         lines.add("| Source | Waiting | Reads/s | Writes/s | KB/s | Verdict |");
         lines.add("|---|--:|--:|--:|--:|---|");
-        for (StoreLoad.Row row : new StoreLoad(mSlopes, FleetSize.LETTER).rows()) {
+        for (StoreLoad.Row row : new StoreLoad(mMeasurements, FleetSize.DESIGN).rows()) {
             add(
                     lines,
                     "| %s | %,.0f | %,.1f | %.1f | %,.0f | %s |",
@@ -140,19 +145,19 @@
         }
     }
 
-    private void addStorms(List<String> lines) {
-        lines.add(
-                "| Storm | VMs | s until all agree | B/s quiet | B/s peak, mean | peak, one VM |");
+    private void addScenarios(List<String> lines) {
+        lines.add("| Scenario | VMs | Convergence (s) | B/s before | Peak B/s, mean | Max. |");
         lines.add("|---|--:|--:|--:|--:|--:|");
-        mRuns.storms()
+        mScenarios
+                .storms()
                 .forEach(
-                        (storm, results) ->
+                        (scenario, results) ->
                                 results.forEach(
                                         result ->
                                                 add(
                                                         lines,
                                                         "| %s | %d | %d | %,.0f | %,.0f | %,.0f |",
-                                                        storm.label(),
+                                                        scenario.label(),
                                                         result.vms(),
                                                         result.agreedSeconds(),
                                                         result.quietBytes(),
@@ -161,9 +166,9 @@
     }
 
     private void addChanges(List<String> lines) {
-        lines.add("| VMs | Hops | Rumors a VM | Reached |");
+        lines.add("| VMs | Hops | Rumors per VM | Reached |");
         lines.add("|--:|--:|--:|--:|");
-        for (StormRuns.Spreading change : mRuns.changes()) {
+        for (ScenarioResults.RumorSpread change : mScenarios.changes()) {
             add(
                     lines,
                     "| %,d | %d | %.1f | %.1f%% |",
@@ -175,9 +180,10 @@
     }
 
     private void addConsequences(List<String> lines) {
-        lines.add("| Event | What follows | Verdict |");
+        lines.add("| Event | Effect | Verdict |");
         lines.add("|---|---|---|");
-        for (Consequences.Row row : new Consequences(mSlopes, FleetSize.LETTER).rows()) {
+        for (EventProjection.Row row :
+                new EventProjection(mMeasurements, FleetSize.DESIGN).rows()) {
             lines.add("| " + row.event() + " | " + row.cost() + " | " + row.verdict() + " |");
         }
     }
@@ -187,55 +193,59 @@
     }
 
     private static String verdict(RoleRow row) {
-        String verdict = Budget.LETTER.verdict(row.cost());
+        String verdict = ResourceBudget.PER_VM.verdict(row.cost());
         return row.remedy().isEmpty() ? verdict : verdict + "; " + row.remedy();
     }
 
-    private void addSlopes(List<String> lines) {
-        lines.add("| Quantity | Unit | Base | Each | Per | Sizes | Spread | Line misses by |");
+    private void addMeasurements(List<String> lines) {
+        lines.add(
+                "| Quantity | Unit | Base | Each | Per | Sizes | Spread | Max. error of the fit |");
         lines.add("|---|---|--:|--:|---|---|--:|--:|");
-        for (Slope slope : mSlopes.all()) {
-            Quantity quantity = slope.quantity();
+        for (Measurement measurement : mMeasurements.all()) {
+            Quantity quantity = measurement.quantity();
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "| %s | %s | %,.1f | %,.3f | %s | %s | %.0f%% | %.0f%% |",
                             quantity.label(),
                             quantity.unit().symbol(),
-                            slope.line().base(),
-                            slope.line().slope(),
-                            quantity.per(),
-                            sizes(slope),
-                            slope.width() * PERCENT,
-                            slope.miss() * PERCENT));
+                            measurement.line().base(),
+                            measurement.line().slope(),
+                            quantity.sizeUnit(),
+                            sizes(measurement),
+                            measurement.maxRelativeSpread() * PERCENT,
+                            measurement.maxRelativeError() * PERCENT));
         }
     }
 
-    private static String sizes(Slope slope) {
+    private static String sizes(Measurement measurement) {
         return String.join(
                 ", ",
-                slope.points().stream()
+                measurement.points().stream()
                         .map(point -> String.format(Locale.ROOT, "%.0f", point.size()))
                         .toList());
     }
 
-    /** Returns all figures as JSON. */
+    /** Returns all measurements and projections as JSON. */
     String json() {
         ObjectMapper mapper = new ObjectMapper();
         ObjectNode root = mapper.createObjectNode();
-        ArrayNode slopes = root.putArray("slopes");
-        mSlopes.all().forEach(slope -> slopes.add(mapper.valueToTree(slope)));
+        ArrayNode measurements = root.putArray("slopes");
+        mMeasurements
+                .all()
+                .forEach(measurement -> measurements.add(mapper.valueToTree(measurement)));
         ArrayNode rows = root.putArray("rows");
         for (RoleRow row : mRows) {
             ObjectNode node = mapper.valueToTree(row);
-            node.put("verdict", Budget.LETTER.verdict(row.cost()));
+            node.put("verdict", ResourceBudget.PER_VM.verdict(row.cost()));
             rows.add(node);
         }
-        root.set("store", mapper.valueToTree(new StoreLoad(mSlopes, FleetSize.LETTER).rows()));
-        root.set("runs", mapper.valueToTree(mRuns));
+        root.set(
+                "store", mapper.valueToTree(new StoreLoad(mMeasurements, FleetSize.DESIGN).rows()));
+        root.set("runs", mapper.valueToTree(mScenarios));
         root.set(
                 "consequences",
-                mapper.valueToTree(new Consequences(mSlopes, FleetSize.LETTER).rows()));
+                mapper.valueToTree(new EventProjection(mMeasurements, FleetSize.DESIGN).rows()));
         return root.toPrettyString() + "\n";
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/ConfigurationMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/ConfigurationBenchmark.java
@@ -19,8 +19,8 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.registry.ConfigurationCodec;
 
-/** Measures templates, the head value and accepts. */
-final class ConfigurationMeasures implements Measures {
+/** Measures customer templates, the head value and the acceptance of a change. */
+final class ConfigurationBenchmark implements Benchmark {
     private static final int[] TEMPLATES = {100, 300, 1_000};
     private static final int[] PARSED = {5, 20, 60};
     private static final int[] CUSTOMERS = {500, 1_500, 4_000};
@@ -31,22 +31,50 @@
     private static final int SAMPLE_SERVICES = 1_600;
 
     @Override
-    public List<Slope> take(Probe probe) {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(probe.heap(Quantity.TEMPLATE_HEAP, TEMPLATES, ConfigurationMeasures::table));
-        slopes.add(probe.heap(Quantity.TEXT_HEAP, TEMPLATES, ConfigurationMeasures::texts));
-        slopes.add(probe.time(Quantity.TEMPLATE_PARSE, PARSED, 1, ConfigurationMeasures::parse));
-        slopes.add(probe.heap(Quantity.RECORD_HEAP, TEMPLATES, ConfigurationMeasures::records));
-        slopes.add(probe.time(Quantity.WATCHER_CHOICE, MEMBERS, 1, ConfigurationMeasures::choose));
-        slopes.add(
-                probe.time(Quantity.ROUTING_CHANGE, CUSTOMERS, 1, ConfigurationMeasures::change));
-        slopes.add(Probe.exact(Quantity.HEAD_BYTES, RECORDS, ConfigurationMeasures::headBytes));
-        slopes.add(probe.time(Quantity.HEAD_DECODE, RECORDS, 1, ConfigurationMeasures::decodeHead));
-        slopes.add(Probe.exact(Quantity.ACCEPT_CALLS, SERVICES, ConfigurationMeasures::calls));
-        slopes.add(Probe.exact(Quantity.ACCEPT_WRITES, SERVICES, ConfigurationMeasures::writes));
-        slopes.add(Probe.exact(Quantity.ACCEPT_BYTES, RECORDS, ConfigurationMeasures::bytes));
-        slopes.add(probe.time(Quantity.ACCEPT_TIME, RECORDS, 1, ConfigurationMeasures::accepts));
-        return slopes;
+    public List<Measurement> run(ResourceMeter meter) {
+        List<Measurement> measurements = new ArrayList<>();
+        measurements.add(
+                meter.measureHeap(
+                        Quantity.TEMPLATE_HEAP, TEMPLATES, ConfigurationBenchmark::table));
+        measurements.add(
+                meter.measureHeap(Quantity.TEXT_HEAP, TEMPLATES, ConfigurationBenchmark::texts));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.TEMPLATE_PARSE, PARSED, 1, ConfigurationBenchmark::parse));
+        measurements.add(
+                meter.measureHeap(
+                        Quantity.RECORD_HEAP, TEMPLATES, ConfigurationBenchmark::records));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.WATCHER_CHOICE,
+                        MEMBERS,
+                        1,
+                        ConfigurationBenchmark::selectWatchers));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.ROUTING_CHANGE,
+                        CUSTOMERS,
+                        1,
+                        ConfigurationBenchmark::replaceTemplate));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.HEAD_BYTES, RECORDS, ConfigurationBenchmark::headBytes));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.HEAD_DECODE, RECORDS, 1, ConfigurationBenchmark::decodeHead));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.ACCEPT_CALLS, SERVICES, ConfigurationBenchmark::calls));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.ACCEPT_WRITES, SERVICES, ConfigurationBenchmark::writes));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.ACCEPT_BYTES, RECORDS, ConfigurationBenchmark::bytes));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.ACCEPT_TIME, RECORDS, 1, ConfigurationBenchmark::accepts));
+        return measurements;
     }
 
     private static Template template(int customer) {
@@ -71,12 +99,12 @@
         return texts;
     }
 
-    /** Records as they come off the wire or out of the store, with strings of their own. */
+    /** Returns decoded records, which share no strings with each other. */
     private static Object records(int count) {
         return ConfigurationCodec.decode(StoreKey.HEAD, ConfigurationCodec.encode(head(count)));
     }
 
-    private static Runnable choose(int members) {
+    private static Runnable selectWatchers(int members) {
         List<Vm> vms = SampleFleet.members(0, members).stream().map(MemberUpdate::vm).toList();
         return () -> Watchers.watches(vms.get(0), vms);
     }
@@ -86,23 +114,23 @@
         return () -> texts.forEach(text -> TemplateParser.parse("customer", text));
     }
 
-    private static Runnable change(int customers) {
+    private static Runnable replaceTemplate(int customers) {
         List<ServiceTemplate> services = template(0).services();
         RoutingTable[] table = {RoutingTable.EMPTY};
-        for (Template held : held(customers, services)) {
-            table[0] = table[0].with(held);
+        for (Template template : withServices(customers, services)) {
+            table[0] = table[0].with(template);
         }
         Template changed = template(0);
         return () -> table[0] = table[0].with(changed);
     }
 
-    /** Names without the templates' own weight: only the table's copying is measured. */
-    private static List<Template> held(int customers, List<ServiceTemplate> services) {
-        List<Template> held = new ArrayList<>();
+    /** Shares the services among all templates, so that only the copy of the table is measured. */
+    private static List<Template> withServices(int customers, List<ServiceTemplate> services) {
+        List<Template> templates = new ArrayList<>();
         for (int customer = 0; customer < customers; customer++) {
-            held.add(new Template("customer-" + customer, services));
+            templates.add(new Template("customer-" + customer, services));
         }
-        return held;
+        return templates;
     }
 
     private static List<ServiceUse> uses(int services) {
@@ -161,7 +189,7 @@
         return accepted((int) services).writes();
     }
 
-    /** Returns the store after an accept into a full head, which pushes a record out. */
+    /** Returns the store after a change is accepted into a full head, which evicts a record. */
     private static SampleStore accepted(int services) {
         SampleStore store = new SampleStore(head(Head.RING_CAPACITY));
         store.run(new AcceptProtocol(request(services, 1), Head.RING_CAPACITY));
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Cost.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Cost.java
@@ -1,18 +1,18 @@
 package org.dahliapass.lab.capacity;
 
 /**
- * What a part of a role costs one VM.
+ * The resources that one VM spends on a component.
  *
- * @param messages messages a second, sent and received
- * @param bytes bytes a second, sent and received, with the headers of the transport
+ * @param messages messages per second, sent and received
+ * @param bytes bytes per second, sent and received, including transport headers
  * @param processor share of one core
  * @param memory bytes of heap
  */
 record Cost(double messages, double bytes, double processor, double memory) {
-    /** Costs nothing. */
-    static final Cost NONE = new Cost(0, 0, 0, 0);
+    /** The cost of nothing; the identity of {@link #plus}. */
+    static final Cost ZERO = new Cost(0, 0, 0, 0);
 
-    /** Returns both costs together. */
+    /** Returns the sum of both costs. */
     Cost plus(Cost other) {
         return new Cost(
                 messages + other.messages,
--- a/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/DirectoryBenchmark.java
@@ -11,30 +11,37 @@
 import org.dahliapass.standins.VmRegistration;
 
 /** Measures the directory of services and the platform's VM list. */
-final class DirectoryMeasures implements Measures {
+final class DirectoryBenchmark implements Benchmark {
     private static final int MEMBERS = 3_700;
     private static final int[] SERVICES = {100, 200, 400};
     private static final int[] FILLED = {400, 800, 1_600};
     private static final int[] LISTED = {500, 1_500, 3_700};
 
     @Override
-    public List<Slope> take(Probe probe) {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(probe.heap(Quantity.DIRECTORY_HEAP, SERVICES, DirectoryMeasures::filled));
-        slopes.add(probe.time(Quantity.CELLS_CHECK, SERVICES, 1, DirectoryMeasures::change));
-        slopes.add(probe.time(Quantity.DIRECTORY_FILL, FILLED, 1, DirectoryMeasures::fill));
-        slopes.add(Probe.exact(Quantity.VM_LIST_BYTES, LISTED, vms -> vmList((int) vms).length()));
-        slopes.add(probe.time(Quantity.VM_LIST_PARSE, LISTED, 1, DirectoryMeasures::parse));
-        return slopes;
+    public List<Measurement> run(ResourceMeter meter) {
+        List<Measurement> measurements = new ArrayList<>();
+        measurements.add(
+                meter.measureHeap(Quantity.DIRECTORY_HEAP, SERVICES, DirectoryBenchmark::filled));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.CELLS_CHECK, SERVICES, 1, DirectoryBenchmark::changeMember));
+        measurements.add(
+                meter.measureTime(Quantity.DIRECTORY_FILL, FILLED, 1, DirectoryBenchmark::fill));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.VM_LIST_BYTES, LISTED, vms -> vmList((int) vms).length()));
+        measurements.add(
+                meter.measureTime(Quantity.VM_LIST_PARSE, LISTED, 1, DirectoryBenchmark::parse));
+        return measurements;
     }
 
     private static SampleDirectory filled(int services) {
         return new SampleDirectory(MEMBERS).fill(SampleDirectory.providers(services));
     }
 
-    private static Runnable change(int services) {
+    private static Runnable changeMember(int services) {
         SampleDirectory directory = filled(services);
-        return directory::memberChanged;
+        return directory::toggleMember;
     }
 
     private static Runnable fill(int services) {
@@ -42,7 +49,7 @@
         return () -> new SampleDirectory(MEMBERS).fill(providers);
     }
 
-    /** Returns the platform's list as its stand-in writes it. */
+    /** Returns the platform's VM list in the stand-in's JSON format. */
     private static String vmList(int vms) {
         List<Object> entries = new ArrayList<>();
         for (MemberUpdate member : SampleFleet.members(0, vms)) {
@@ -59,7 +66,8 @@
         try {
             return new ObjectMapper().writeValueAsString(entries);
         } catch (JsonProcessingException failure) {
-            throw new OperationException("write VM list", "lab", "It can't be written.", failure);
+            throw new OperationException(
+                    "write VM list", "lab", "The sample VM list can't be serialized.", failure);
         }
     }
 
@@ -91,10 +99,12 @@
         return () -> {
             try {
                 if (mapper.readTree(text).size() != vms) {
-                    throw new IllegalStateException("The sample list lost VMs.");
+                    throw new IllegalStateException(
+                            "The parsed VM list doesn't have the size of the sample fleet.");
                 }
             } catch (JsonProcessingException failure) {
-                throw new OperationException("read VM list", "lab", "It can't be read.", failure);
+                throw new OperationException(
+                        "read VM list", "lab", "The sample VM list isn't valid JSON.", failure);
             }
         };
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Consequences.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/EventProjection.java
@@ -4,54 +4,53 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Works out storms and the operators' command, which no reduced fleet shows, from the lines. */
-final class Consequences {
+/** Projects the effect of fleet-wide events that a simulation of a small fleet can't show. */
+final class EventProjection {
     private static final double MICROS = 1e6;
     private static final double KILO = 1e3;
     private static final double MEGA = 1e6;
     private static final double GIGA = 1e9;
     private static final int REPLACED = 40;
-    private static final double WATCH_RETRIES = 2;
+    private static final double RETRIES_PER_SECOND = 2;
     private static final double LIST_READ_SECONDS = 450;
     private static final double TICKS_PER_SECOND = 10;
     private static final double READS_PER_VM = 20;
     private static final int KINDS = 3;
-    private static final int MOST_SERIES = 1_000;
+    private static final int MAX_SERIES = 1_000;
 
-    private final Slopes mSlopes;
+    private final Measurements mMeasurements;
     private final FleetSize mSize;
 
     /**
-     * One consequence.
+     * The projected effect of one event.
      *
-     * @param event what happens
-     * @param cost what follows, worked out
-     * @param verdict whether that is within the budget, and what would change it
+     * @param event the event
+     * @param cost the projected effect
+     * @param verdict whether the effect is within budget, and a possible remedy
      */
     record Row(String event, String cost, String verdict) {}
 
-    Consequences(Slopes slopes, FleetSize size) {
-        mSlopes = slopes;
+    EventProjection(Measurements measurements, FleetSize size) {
+        mMeasurements = measurements;
         mSize = size;
     }
 
-    /** Returns all rows. */
     List<Row> rows() {
         List<Row> rows = new ArrayList<>();
         rows.add(zoneLost());
         rows.add(replaced());
-        rows.add(storeAway());
-        rows.add(listAway());
+        rows.add(storeOutage());
+        rows.add(listOutage());
         rows.add(coldStart());
-        rows.add(denseChanges());
+        rows.add(changeBurst());
         rows.add(accept());
         rows.add(explain());
         rows.add(report());
         return rows;
     }
 
-    /** Returns the processor time of one member change on one VM, in microseconds. */
-    private double changeMicros() {
+    /** Returns the processor time that one VM spends on one member change, in microseconds. */
+    private double memberChangeMicros() {
         return at(Quantity.MEMBER_CHANGE, mSize.vms())
                 + at(Quantity.CELLS_CHECK, mSize.services())
                 + at(Quantity.WATCHER_CHOICE, mSize.vms())
@@ -60,79 +59,82 @@
 
     private Row zoneLost() {
         int lost = mSize.vms() / mSize.zones();
-        double share = TICKS_PER_SECOND * changeMicros() / MICROS * 100;
+        double share = TICKS_PER_SECOND * memberChangeMicros() / MICROS * 100;
         return new Row(
-                "zone lost, control thread of each VM",
+                "availability zone lost, control thread of each VM",
                 text(
-                        "%d VMs suspect, then dead; changes of a tick are taken together, at most"
-                                + " %.0f rounds a second of %.1f ms: %.1f%% of a core while it"
-                                + " lasts",
-                        lost, TICKS_PER_SECOND, changeMicros() / KILO, share),
-                "over 1.5% of a core for the seconds that it lasts");
+                        "%d VMs suspect, then dead; the changes of a tick are applied together, at"
+                                + " most %.0f rounds per second of %.1f ms: %.1f%% of a core until"
+                                + " convergence",
+                        lost, TICKS_PER_SECOND, memberChangeMicros() / KILO, share),
+                "over 1.5% of a core until convergence");
     }
 
     private Row replaced() {
         double list = at(Quantity.LIST_BYTES, mSize.vms());
-        double directory = mSize.services() * mSlopes.perUnit(Quantity.HEAD_BYTES);
+        double directory = mSize.services() * mMeasurements.perUnit(Quantity.HEAD_BYTES);
         double platform = at(Quantity.VM_LIST_BYTES, mSize.vms());
-        double head = new Projection(mSlopes, mSize, Assumptions.PAGE).headAnswer();
+        double head =
+                new Projection(mMeasurements, mSize, Assumptions.DEFAULTS).headResponseBytes();
         double fill = at(Quantity.DIRECTORY_FILL, mSize.services()) / MICROS;
         return new Row(
                 REPLACED + " VMs replaced at once, each new VM",
                 text(
                         "member list %.0f KB, directory %.0f KB at most, VM list %.0f KB, head"
-                                + " %.0f KB; directory taken in %.2f s of processor time",
+                                + " %.0f KB; directory loaded in %.2f s of processor time",
                         list / KILO, directory / KILO, platform / KILO, head / KILO, fill),
-                "fits; the services are looked at once after the fill");
+                "fits; the services are checked once, after the directory is loaded");
     }
 
-    private Row storeAway() {
+    private Row storeOutage() {
         double watchers = (double) mSize.zones() * 2;
-        double head = new Projection(mSlopes, mSize, Assumptions.PAGE).headAnswer();
+        double head =
+                new Projection(mMeasurements, mSize, Assumptions.DEFAULTS).headResponseBytes();
         return new Row(
-                "store away for hours, then back",
+                "store outage of several hours, then recovery",
                 text(
-                        "%.0f watchers call twice a second each, %.0f calls/s; back: %.1f MB of"
-                                + " heads; VMs serve on by what they have",
-                        watchers, watchers * WATCH_RETRIES, watchers * head / MEGA),
-                "fits; a longer, jittered pause would do");
+                        "%.0f watchers retry twice per second, %.0f calls/s; on recovery %.1f MB of"
+                                + " heads; VMs serve with their last configuration",
+                        watchers, watchers * RETRIES_PER_SECOND, watchers * head / MEGA),
+                "fits; a longer backoff with jitter would suffice");
     }
 
-    private Row listAway() {
+    private Row listOutage() {
         double list = at(Quantity.VM_LIST_BYTES, mSize.vms());
         double calls = mSize.vms() / LIST_READ_SECONDS;
         return new Row(
-                "VM list away, then back",
+                "VM list outage, then recovery",
                 text(
-                        "%,d VMs read it as rarely as ever: %.1f calls/s, %.1f MB/s",
+                        "%,d VMs read it at the usual rate: %.1f calls/s, %.1f MB/s",
                         mSize.vms(), calls, calls * list / MEGA),
-                "fits; VMs that start meanwhile wait for it");
+                "fits; VMs that start during the outage wait for it");
     }
 
     private Row coldStart() {
         double reads = mSize.customers() + 2.0 * mSize.services();
         return new Row(
-                "all VMs start at once, nobody knows anything",
+                "cold start of all VMs, without any state",
                 text(
-                        "%,.0f reads: %.0f s at %,.0f/s; the directory alone takes a VM %.0f s at"
-                                + " its %.0f reads/s; then up to %,.0f reads/s are allowed",
+                        "%,.0f reads: %.0f s at %,.0f/s; one VM reads the directory in %.0f s at"
+                                + " %.0f reads/s; then up to %,.0f reads/s are allowed",
                         reads,
-                        reads / StoreLoad.MOST_READS,
-                        StoreLoad.MOST_READS,
+                        reads / StoreLoad.MAX_READS,
+                        StoreLoad.MAX_READS,
                         mSize.services() / READS_PER_VM,
                         READS_PER_VM,
                         mSize.services() * READS_PER_VM),
-                "does not fit; StoreBudget must pause by the fleet's size, and the directory should"
-                        + " be one value");
+                "does not fit; StoreReadLimiter must scale with the fleet's size, and the directory"
+                        + " should be one value");
     }
 
-    private Row denseChanges() {
+    private Row changeBurst() {
         double changes = mSize.changesPerDay() / 3_600;
-        double head = new Projection(mSlopes, mSize, Assumptions.PAGE).headAnswer();
+        double head =
+                new Projection(mMeasurements, mSize, Assumptions.DEFAULTS).headResponseBytes();
         return new Row(
                 "2,100 changes within an hour, each watcher",
                 text("%.1f changes/s, %.0f KB/s of heads", changes, changes * head / KILO),
-                "does not fit: bytes; a head of fewer records, about 20, or one read a second");
+                "does not fit: bytes; keep about 20 records in the head or read it once a second");
     }
 
     private Row accept() {
@@ -149,23 +151,23 @@
     private Row explain() {
         return new Row(
                 "operators' command: explain",
-                text("%,d calls, one to each VM, all at once", mSize.vms()),
-                "not measured; ask only the service's cell, and a bounded number at once");
+                text("%,d calls, one to each VM, in parallel", mSize.vms()),
+                "not measured; query only the service's cell, with bounded concurrency");
     }
 
     private Row report() {
-        double series = Math.min(MOST_SERIES, mSize.customersPerVm() * KINDS);
+        double series = Math.min(MAX_SERIES, mSize.customersPerVm() * KINDS);
         double bytes = at(Quantity.BURN_BYTES, series);
         return new Row(
-                "burn report of the whole fleet",
+                "error budget report of the whole fleet",
                 text(
                         "%,d calls, %.1f MB from a VM after an hour, %.0f GB in all",
                         mSize.vms(), bytes / MEGA, mSize.vms() * bytes / GIGA),
-                "does not fit; ask for one customer, or let VMs send sums of the windows");
+                "does not fit; query one customer, or have VMs send sums per window");
     }
 
     private double at(Quantity quantity, double size) {
-        return mSlopes.at(quantity, size);
+        return mMeasurements.estimate(quantity, size);
     }
 
     private static String text(String format, Object... values) {
--- a/lab/src/main/java/org/dahliapass/lab/capacity/EvidenceMessages.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/EvidenceMessages.java
@@ -10,13 +10,13 @@
 import org.dahliapass.wire.message.Service;
 
 /**
- * Writes and reads evidence reports field by field as the entry VM's own codec does, which other
- * packages can't call; so sizes are the same.
+ * Encodes and decodes evidence reports like the entry VM's codec, which isn't visible to this
+ * package.
  */
 final class EvidenceMessages {
     private EvidenceMessages() {}
 
-    /** Writes a report with so many targets that have requests in flight. */
+    /** Encodes a report that also names the given number of targets with requests in flight. */
     static org.dahliapass.wire.message.EvidenceReport encode(EvidenceReport report, int inFlight) {
         org.dahliapass.wire.message.EvidenceReport.Builder message =
                 org.dahliapass.wire.message.EvidenceReport.newBuilder()
@@ -35,7 +35,7 @@
         return message.build();
     }
 
-    /** Reads a report. */
+    /** Decodes a report. */
     static EvidenceReport decode(org.dahliapass.wire.message.EvidenceReport message) {
         return new EvidenceReport(
                 GossipCodec.decode(message.getObserver()),
--- a/lab/src/main/java/org/dahliapass/lab/capacity/GossipSecond.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/GossipWorkload.java
@@ -14,10 +14,10 @@
 import org.dahliapass.wire.message.Gossip;
 
 /**
- * One second of a VM's gossip in a fleet without news: ten ticks, a ping that is answered, and
- * another VM's ping; with the codec both ways.
+ * One second of a VM's gossip in a stable fleet: ten ticks, a ping with its ack, and a ping from
+ * another VM; messages are encoded and decoded.
  */
-final class GossipSecond implements Runnable {
+final class GossipWorkload implements Runnable {
     private static final int TICKS = 10;
     private static final long TICK_MILLIS = 100;
     private static final long SEED = 11;
@@ -25,10 +25,10 @@
     private final Membership mMembership;
     private final MemberUpdate mOther = SampleFleet.member(1);
     private long mNowMillis;
-    private long mWrittenBytes;
+    private long mSentBytes;
 
-    GossipSecond(int members) {
-        mMembership = MembershipMeasures.membership(SampleFleet.members(1, members), SEED);
+    GossipWorkload(int members) {
+        mMembership = MembershipBenchmark.membership(SampleFleet.members(1, members), SEED);
     }
 
     @Override
@@ -37,38 +37,38 @@
             mNowMillis += TICK_MILLIS;
             for (MembershipAction action : mMembership.onTick(mNowMillis)) {
                 if (action instanceof SendGossip sent) {
-                    answerPing(sent);
+                    acknowledge(sent);
                 }
             }
         }
         GossipMessage ping = message(mOther, GossipKind.PING, 1);
-        for (MembershipAction action : mMembership.onGossip(overTheWire(ping), mNowMillis)) {
+        for (MembershipAction action : mMembership.onGossip(roundTrip(ping), mNowMillis)) {
             if (action instanceof SendGossip sent) {
-                write(sent);
+                countSent(sent);
             }
         }
     }
 
-    private void write(SendGossip sent) {
-        mWrittenBytes += Envelope.datagram(sent).toByteArray().length;
+    private void countSent(SendGossip sent) {
+        mSentBytes += Envelope.datagram(sent).toByteArray().length;
     }
 
-    /** Returns the bytes of all datagrams that the VM has sent. */
-    long writtenBytes() {
-        return mWrittenBytes;
+    /** Returns the total size of the sent datagrams, in bytes. */
+    long sentBytes() {
+        return mSentBytes;
     }
 
-    private void answerPing(SendGossip sent) {
-        write(sent);
+    private void acknowledge(SendGossip sent) {
+        countSent(sent);
         if (sent.message().kind() == GossipKind.PING) {
-            MemberUpdate target = memberAt(sent);
-            GossipMessage answer = message(target, GossipKind.ACK, sent.message().sequence());
-            mMembership.onGossip(overTheWire(answer), mNowMillis);
+            MemberUpdate target = recipient(sent);
+            GossipMessage ack = message(target, GossipKind.ACK, sent.message().sequence());
+            mMembership.onGossip(roundTrip(ack), mNowMillis);
         }
     }
 
-    /** The sample fleet's incarnations count up with the VM's number. */
-    private static MemberUpdate memberAt(SendGossip sent) {
+    /** Returns the recipient; sample incarnations are consecutive in the VM's number. */
+    private static MemberUpdate recipient(SendGossip sent) {
         long first = SampleFleet.identity(0).incarnation();
         return SampleFleet.member((int) (sent.message().recipientIncarnation() - first));
     }
@@ -84,12 +84,13 @@
                 List.of(sender));
     }
 
-    private GossipMessage overTheWire(GossipMessage message) {
+    private GossipMessage roundTrip(GossipMessage message) {
         try {
             SendGossip sent = new SendGossip(mMembership.self().vm().peerEndpoint(), message);
             return GossipCodec.decode(Gossip.parseFrom(Envelope.datagram(sent).toByteArray()));
         } catch (InvalidProtocolBufferException failure) {
-            throw new OperationException("decode datagram", "lab", "It can't be decoded.", failure);
+            throw new OperationException(
+                    "decode datagram", "lab", "The encoded sample can't be decoded.", failure);
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/OnceMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/GuardedOperationBenchmark.java
@@ -27,9 +27,9 @@
 import org.dahliapass.wire.message.RecordOutcomeReply;
 import org.dahliapass.wire.message.RecordedAnswer;
 
-/** Measures what guarded operations cost their home and witness. */
-final class OnceMeasures implements Measures {
-    /** Bytes of the answer's body in the sample. */
+/** Measures guarded operations at their home and witness. */
+final class GuardedOperationBenchmark implements Benchmark {
+    /** Bytes of the sample response body. */
     static final int BODY_BYTES = 256;
 
     private static final int[] KEYS = {1_000, 4_000, 8_000};
@@ -42,11 +42,11 @@
     private static final VmIdentity WITNESS = SampleFleet.identity(2);
     private static final RetentionWindow WINDOW = new RetentionWindow(60_000, HOUR_MILLIS);
 
-    /** Roomier than the product's limits, so that they don't cut the line short. */
+    /** Above the production limits, so that no sample operation is rejected. */
     private static final TableLimits LIMITS =
             new TableLimits(1_000_000, 100_000, 1L << 40, 16 * 1024);
 
-    /** Both sides of the sample's operations. */
+    /** The home and the witness of the sample operations. */
     private record Pair(HomeLedger home, WitnessRegister witness) {
         static Pair create() {
             return new Pair(
@@ -56,13 +56,21 @@
     }
 
     @Override
-    public List<Slope> take(Probe probe) {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(probe.heap(Quantity.HOME_HEAP, KEYS, keys -> filled(keys).home()));
-        slopes.add(probe.heap(Quantity.WITNESS_HEAP, KEYS, keys -> filled(keys).witness()));
-        slopes.add(probe.time(Quantity.GUARDED_TIME, OPERATIONS, 1, OnceMeasures::operations));
-        slopes.add(Probe.exact(Quantity.GUARDED_BYTES, BODIES, OnceMeasures::messages));
-        return slopes;
+    public List<Measurement> run(ResourceMeter meter) {
+        List<Measurement> measurements = new ArrayList<>();
+        measurements.add(meter.measureHeap(Quantity.HOME_HEAP, KEYS, keys -> filled(keys).home()));
+        measurements.add(
+                meter.measureHeap(Quantity.WITNESS_HEAP, KEYS, keys -> filled(keys).witness()));
+        measurements.add(
+                meter.measureTime(
+                        Quantity.GUARDED_TIME,
+                        OPERATIONS,
+                        1,
+                        GuardedOperationBenchmark::operations));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.GUARDED_BYTES, BODIES, GuardedOperationBenchmark::messages));
+        return measurements;
     }
 
     private static Pair filled(int keys) {
@@ -84,7 +92,7 @@
         };
     }
 
-    /** Runs one operation; each side reads its own copy of the key, as off the wire. */
+    /** Runs one operation; home and witness parse their own copies of the key. */
     private static void run(Pair pair, long number, long nowMillis) {
         Operation home = operation(number, nowMillis);
         Operation witness = operation(number, nowMillis);
@@ -96,15 +104,15 @@
                                 pair.witness().recordIntent(HOME, witness, nowMillis),
                                 nowMillis);
         if (!(dispatch instanceof HomeAction.Dispatch)) {
-            throw new IllegalStateException("The sample operation was not dispatched.");
+            throw new IllegalStateException("The home didn't dispatch the sample operation.");
         }
         pair.home().finished(home, 1, result(BODY_BYTES), nowMillis);
         OutcomeNotice notice = new OutcomeNotice(witness, Optional.of(result(BODY_BYTES)));
         pair.witness().recordOutcome(HOME, notice, nowMillis);
     }
 
-    private static Operation operation(long number, long bornMillis) {
-        OperationToken token = new OperationToken(HOME, WITNESS, bornMillis);
+    private static Operation operation(long number, long createdMillis) {
+        OperationToken token = new OperationToken(HOME, WITNESS, createdMillis);
         String text = new OperationKey(token, "sign-off-" + (1_000_000 + number)).toString();
         OperationKey key = OperationKey.parse(text).orElseThrow();
         return new Operation("customer-" + number % 300, key);
@@ -122,7 +130,9 @@
                 CREATED, headers, Optional.of(RecordedBody.copyOf(new byte[bodyBytes])));
     }
 
-    /** Intent, its reply, outcome and its reply, written field by field as the entry VM does. */
+    /**
+     * Returns the bytes of the intent, the outcome and their replies, encoded like in the entry VM.
+     */
     private static double messages(double bodyBytes) {
         Operation operation = operation(1, HOUR_MILLIS);
         String key = operation.key().toString();
--- a/lab/src/main/java/org/dahliapass/lab/capacity/HealthMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/HealthBenchmark.java
@@ -14,33 +14,40 @@
 import org.dahliapass.wire.message.PeerReply;
 import org.dahliapass.wire.message.PeerRequest;
 
-/** Measures what the health of a service's targets costs. */
-final class HealthMeasures implements Measures {
+/** Measures health tracking of a service's targets. */
+final class HealthBenchmark implements Benchmark {
     private static final int[] TARGETS = {8, 23, 64};
     private static final int[] SERVICES = {1, 3, 6};
     private static final int[] ENTRIES = {1, 6, 24};
-    private static final int[] ANSWERS = {100, 1_000, 4_000};
+    private static final int[] RESPONSES = {100, 1_000, 4_000};
     private static final int TARGETS_PER_SERVICE = 23;
     private static final int CELL = 6;
     private static final long PERIOD_MILLIS = 250;
 
-    /** Evidence is kept for 64 s; until then its memory grows. */
-    private static final long STEPS_KEPT = 256;
+    /** Fills the 64 s for which evidence is retained. */
+    private static final long RETAINED_STEPS = 256;
 
     private static final long LATENCY_MILLIS = 40;
     private static final int IN_FLIGHT = 2;
 
     @Override
-    public List<Slope> take(Probe probe) {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(probe.heap(Quantity.SERVICE_HEAP, SERVICES, HealthMeasures::services));
-        slopes.add(probe.heap(Quantity.TARGET_HEAP, TARGETS, size -> health(0, size)));
-        slopes.add(probe.time(Quantity.CONTROL_TICK, TARGETS, 1, HealthMeasures::tick));
-        slopes.add(probe.time(Quantity.OUTCOME, ANSWERS, 1, HealthMeasures::answers));
-        slopes.add(Probe.exact(Quantity.EVIDENCE_BYTES, ENTRIES, HealthMeasures::reportBytes));
-        slopes.add(Probe.exact(Quantity.REPLY_BYTES, ENTRIES, entries -> replyBytes()));
-        slopes.add(probe.time(Quantity.EVIDENCE_TIME, ENTRIES, 1, HealthMeasures::exchange));
-        return slopes;
+    public List<Measurement> run(ResourceMeter meter) {
+        List<Measurement> measurements = new ArrayList<>();
+        measurements.add(
+                meter.measureHeap(Quantity.SERVICE_HEAP, SERVICES, HealthBenchmark::services));
+        measurements.add(meter.measureHeap(Quantity.TARGET_HEAP, TARGETS, size -> health(0, size)));
+        measurements.add(
+                meter.measureTime(Quantity.CONTROL_TICK, TARGETS, 1, HealthBenchmark::tick));
+        measurements.add(
+                meter.measureTime(Quantity.OUTCOME, RESPONSES, 1, HealthBenchmark::responses));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.EVIDENCE_BYTES, ENTRIES, HealthBenchmark::reportBytes));
+        measurements.add(
+                ResourceMeter.measureExact(Quantity.REPLY_BYTES, ENTRIES, entries -> replyBytes()));
+        measurements.add(
+                meter.measureTime(Quantity.EVIDENCE_TIME, ENTRIES, 1, HealthBenchmark::exchange));
+        return measurements;
     }
 
     private static List<TargetHealth> services(int count) {
@@ -51,18 +58,18 @@
         return services;
     }
 
-    /** Returns the health of a service of which each VM of the cell has seen all targets. */
+    /** Returns the health of a service with evidence on every target from every VM of its cell. */
     private static TargetHealth health(int service, int targets) {
         ServiceTemplate template = SampleServices.service(service, targets, CELL);
         TargetHealth health =
                 new TargetHealth(SampleFleet.identity(0), SampleFleet.zone(0), template, 0);
-        for (long step = 1; step <= STEPS_KEPT; step++) {
-            spreadEvidence(health, service, targets, step * PERIOD_MILLIS);
+        for (long step = 1; step <= RETAINED_STEPS; step++) {
+            recordEvidence(health, service, targets, step * PERIOD_MILLIS);
         }
         return health;
     }
 
-    private static void spreadEvidence(
+    private static void recordEvidence(
             TargetHealth health, int service, int targets, long nowMillis) {
         for (int target = 0; target < targets; target++) {
             Endpoint endpoint = SampleServices.endpoint(service, target);
@@ -77,7 +84,7 @@
         }
     }
 
-    /** Returns a peer's report with evidence of so many pairs of target and kind. */
+    /** Returns a peer's report with the given number of target and kind pairs. */
     private static EvidenceReport report(int peer, int service, long sequence, int entries) {
         List<TargetEvidence> evidence = new ArrayList<>();
         int kinds = SampleServices.KINDS.size();
@@ -95,24 +102,24 @@
                 evidence);
     }
 
-    /** Time stands still: else the evidence would run out of the windows while it is measured. */
+    /** Uses a constant time, so that no evidence expires during the measurement. */
     private static Runnable tick(int targets) {
         TargetHealth health = health(0, targets);
-        long now = STEPS_KEPT * PERIOD_MILLIS;
+        long now = RETAINED_STEPS * PERIOD_MILLIS;
         return () -> {
             health.onTick(now);
             health.takeExplanations();
         };
     }
 
-    private static Runnable answers(int answers) {
+    private static Runnable responses(int responses) {
         TargetHealth health = health(0, TARGETS_PER_SERVICE);
-        long[] now = {STEPS_KEPT * PERIOD_MILLIS};
+        long[] now = {RETAINED_STEPS * PERIOD_MILLIS};
         return () -> {
             now[0]++;
-            for (int answer = 0; answer < answers; answer++) {
-                Endpoint target = SampleServices.endpoint(0, answer % TARGETS_PER_SERVICE);
-                String kind = SampleServices.KINDS.get(answer % SampleServices.KINDS.size());
+            for (int response = 0; response < responses; response++) {
+                Endpoint target = SampleServices.endpoint(0, response % TARGETS_PER_SERVICE);
+                String kind = SampleServices.KINDS.get(response % SampleServices.KINDS.size());
                 health.onOutcome(target, kind, Outcome.SUCCESS, LATENCY_MILLIS, now[0]);
             }
         };
@@ -131,21 +138,22 @@
                 PeerReply.newBuilder().setEvidenceReport(EvidenceReportReply.getDefaultInstance()));
     }
 
-    /** One report is written as the sender does, and taken as the recipient does. */
+    /** Encodes a report like its sender, and decodes and applies it like its recipient. */
     private static Runnable exchange(int entries) {
-        TargetHealth taker = health(0, TARGETS_PER_SERVICE);
-        long[] sequence = {STEPS_KEPT * PERIOD_MILLIS};
+        TargetHealth recipient = health(0, TARGETS_PER_SERVICE);
+        long[] sequence = {RETAINED_STEPS * PERIOD_MILLIS};
         return () -> {
             sequence[0]++;
             EvidenceReport report = report(1, 0, sequence[0], entries);
             byte[] sent = EvidenceMessages.encode(report, IN_FLIGHT).toByteArray();
             try {
-                taker.onPeerEvidence(
+                recipient.onPeerEvidence(
                         EvidenceMessages.decode(
                                 org.dahliapass.wire.message.EvidenceReport.parseFrom(sent)),
                         sequence[0]);
             } catch (InvalidProtocolBufferException failure) {
-                throw new OperationException("decode evidence", "lab", "It's broken.", failure);
+                throw new OperationException(
+                        "decode evidence", "lab", "The encoded sample can't be decoded.", failure);
             }
         };
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/LineFit.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/LineFit.java
@@ -1,24 +1,24 @@
 package org.dahliapass.lab.capacity;
 
 /**
- * A straight line through measured points, by least squares.
+ * A least-squares straight line through measured points.
  *
  * @param base the value at size 0
- * @param slope the value that each unit of size adds
+ * @param slope the increase per unit of size
  */
 record LineFit(double base, double slope) {
-    private static final int LEAST_POINTS = 2;
+    private static final int MIN_POINTS = 2;
 
     /**
      * Fits the line.
      *
-     * @throws IllegalArgumentException unless there are as many values as sizes, and two different
-     *     sizes at least
+     * @throws IllegalArgumentException unless there are as many values as sizes, and at least two
+     *     different sizes
      */
     static LineFit of(double[] sizes, double[] values) {
-        if (sizes.length != values.length || sizes.length < LEAST_POINTS) {
+        if (sizes.length != values.length || sizes.length < MIN_POINTS) {
             throw new IllegalArgumentException(
-                    "A line needs two points at least, and a value for each size.");
+                    "A line fit needs at least two points and one value for each size.");
         }
         double meanSize = mean(sizes);
         double meanValue = mean(values);
@@ -29,7 +29,7 @@
             squares += (sizes[i] - meanSize) * (sizes[i] - meanSize);
         }
         if (squares <= 0) {
-            throw new IllegalArgumentException("A line needs two different sizes at least.");
+            throw new IllegalArgumentException("A line fit needs at least two different sizes.");
         }
         double slope = products / squares;
         return new LineFit(meanValue - slope * meanSize, slope);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/MembershipMeasures.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/MembershipBenchmark.java
@@ -28,48 +28,58 @@
 import org.dahliapass.wire.message.Gossip;
 import org.dahliapass.wire.message.JoinReply;
 
-/** Measures the member list, gossip, cells and asks. */
-final class MembershipMeasures implements Measures {
+/** Measures the member list, gossip, cell planning and discovery. */
+final class MembershipBenchmark implements Benchmark {
     private static final int[] MEMBERS = {500, 1_500, 3_700};
-    private static final int[] NEWS = {1, 4, 8};
+    private static final int[] UPDATES = {1, 4, 8};
     private static final int CELL = 6;
     private static final int ADDRESSES = 4;
     private static final long SEED = 7;
     private static final ServiceId SERVICE = new ServiceId("provider-7", "service-7");
 
-    /** What a VM holds of the fleet: the list, and the snapshot that its other parts read. */
-    private record Held(
+    /** A VM's state of the fleet: the membership and the published snapshot. */
+    private record FleetState(
             Membership membership,
             List<MemberUpdate> members,
             FleetView view,
             Set<VmIdentity> identities) {}
 
     @Override
-    public List<Slope> take(Probe probe) {
-        List<Slope> slopes = new ArrayList<>();
-        slopes.add(probe.heap(Quantity.MEMBER_HEAP, MEMBERS, size -> held(list(size))));
-        slopes.add(probe.time(Quantity.GOSSIP_SECOND, MEMBERS, 1, GossipSecond::new));
-        slopes.add(Probe.exact(Quantity.DATAGRAM_BYTES, NEWS, MembershipMeasures::datagram));
-        slopes.add(probe.time(Quantity.MEMBER_CHANGE, MEMBERS, 1, MembershipMeasures::change));
-        slopes.add(Probe.exact(Quantity.LIST_BYTES, MEMBERS, MembershipMeasures::listBytes));
-        slopes.add(probe.time(Quantity.LIST_TIME, MEMBERS, 1, MembershipMeasures::exchange));
-        slopes.add(probe.time(Quantity.CELL_PLAN, MEMBERS, 1, MembershipMeasures::plan));
-        slopes.add(probe.time(Quantity.ASK, MEMBERS, 1, MembershipMeasures::ask));
-        return slopes;
+    public List<Measurement> run(ResourceMeter meter) {
+        List<Measurement> measurements = new ArrayList<>();
+        measurements.add(
+                meter.measureHeap(Quantity.MEMBER_HEAP, MEMBERS, size -> fleetState(list(size))));
+        measurements.add(
+                meter.measureTime(Quantity.GOSSIP_SECOND, MEMBERS, 1, GossipWorkload::new));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.DATAGRAM_BYTES, UPDATES, MembershipBenchmark::datagram));
+        measurements.add(
+                meter.measureTime(Quantity.MEMBER_CHANGE, MEMBERS, 1, MembershipBenchmark::change));
+        measurements.add(
+                ResourceMeter.measureExact(
+                        Quantity.LIST_BYTES, MEMBERS, MembershipBenchmark::listBytes));
+        measurements.add(
+                meter.measureTime(Quantity.LIST_TIME, MEMBERS, 1, MembershipBenchmark::exchange));
+        measurements.add(
+                meter.measureTime(Quantity.CELL_PLAN, MEMBERS, 1, MembershipBenchmark::plan));
+        measurements.add(
+                meter.measureTime(Quantity.ASK, MEMBERS, 1, MembershipBenchmark::discover));
+        return measurements;
     }
 
-    /** Returns the others' news as they come off the wire, so that nothing is shared by chance. */
+    /** Returns decoded updates of the other members, which share no objects with each other. */
     private static List<MemberUpdate> list(int members) {
         try {
             byte[] bytes = GossipCodec.encode(SampleFleet.members(1, members)).toByteArray();
             return GossipCodec.decode(JoinReply.parseFrom(bytes));
         } catch (InvalidProtocolBufferException failure) {
             throw new OperationException(
-                    "decode member list", "lab", "What was encoded can't be decoded.", failure);
+                    "decode member list", "lab", "The encoded sample can't be decoded.", failure);
         }
     }
 
-    /** Returns a membership that has taken a list. */
+    /** Returns a membership that knows the given members. */
     static Membership membership(List<MemberUpdate> others, long seed) {
         Membership membership =
                 new Membership(
@@ -81,12 +91,12 @@
         return membership;
     }
 
-    private static Held held(List<MemberUpdate> others) {
+    private static FleetState fleetState(List<MemberUpdate> others) {
         return publish(membership(others, SEED));
     }
 
-    /** Does what the fleet service does after each change. */
-    private static Held publish(Membership membership) {
+    /** Builds the snapshot that the fleet service publishes after each change. */
+    private static FleetState publish(Membership membership) {
         List<MemberUpdate> members = membership.members();
         List<Vm> usable = new ArrayList<>();
         List<FleetMember> all = new ArrayList<>();
@@ -99,10 +109,10 @@
         Set<VmIdentity> identities =
                 members.stream().map(MemberUpdate::identity).collect(Collectors.toSet());
         FleetView view = new FleetView(membership.self().vm(), usable, all);
-        return new Held(membership, List.copyOf(members), view, identities);
+        return new FleetState(membership, List.copyOf(members), view, identities);
     }
 
-    private static double datagram(double news) {
+    private static double datagram(double updates) {
         MemberUpdate sender = SampleFleet.member(1);
         GossipMessage message =
                 new GossipMessage(
@@ -112,7 +122,7 @@
                         100_000,
                         Optional.empty(),
                         1_000_000,
-                        SampleFleet.members(1, 1 + (int) news));
+                        SampleFleet.members(1, 1 + (int) updates));
         Gossip sent = Envelope.datagram(new SendGossip(sender.vm().peerEndpoint(), message));
         return sent.getSerializedSize();
     }
@@ -128,12 +138,13 @@
                 byte[] sent = GossipCodec.encode(membership.members()).toByteArray();
                 membership.onJoinReply(GossipCodec.decode(JoinReply.parseFrom(sent)), 0);
             } catch (InvalidProtocolBufferException failure) {
-                throw new OperationException("decode list", "lab", "It can't be decoded.", failure);
+                throw new OperationException(
+                        "decode list", "lab", "The encoded sample can't be decoded.", failure);
             }
         };
     }
 
-    /** A member's state changes with each run, and the snapshot is published. */
+    /** Changes the state of one member in each run and publishes the snapshot. */
     private static Runnable change(int members) {
         Membership membership = membership(list(members), SEED);
         Random random = new Random(SEED);
@@ -142,7 +153,7 @@
             int subject = 2 + random.nextInt(members - 2);
             refutation[0]++;
             MemberState state = random.nextBoolean() ? MemberState.ALIVE : MemberState.LEAVING;
-            MemberUpdate news = SampleFleet.member(subject, state, refutation[0]);
+            MemberUpdate update = SampleFleet.member(subject, state, refutation[0]);
             GossipMessage rumor =
                     new GossipMessage(
                             SampleFleet.identity(1),
@@ -151,7 +162,7 @@
                             0,
                             Optional.empty(),
                             0,
-                            List.of(news));
+                            List.of(update));
             membership.onGossip(rumor, 0);
             publish(membership);
         };
@@ -162,12 +173,12 @@
         return () -> CellPlanner.plan(SERVICE, CELL, list);
     }
 
-    private static Runnable ask(int members) {
+    private static Runnable discover(int members) {
         List<MemberUpdate> list = list(members);
-        AddressSelector policy =
+        AddressSelector selector =
                 new AddressSelector(ADDRESSES, Duration.ofSeconds(30), new SplittableRandom(SEED));
         return () ->
-                policy.select(
+                selector.select(
                         CellPlanner.plan(SERVICE, CELL, list), Optional.of(SampleFleet.zone(0)));
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/StormFleet.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/MembershipSimulation.java
@@ -20,22 +20,21 @@
 import org.dahliapass.model.VmIdentity;
 
 /**
- * Some VMs' memberships, joined in memory without delay or loss; counts what they send. Time goes
- * in ticks of 100 ms.
+ * Simulates the memberships of a fleet over an in-memory network without delay or loss, and counts
+ * their traffic. Time advances in ticks of 100 ms.
  */
-final class StormFleet {
+final class MembershipSimulation {
     private static final long TICK_MILLIS = 100;
     private static final int TICKS_PER_SECOND = 10;
     private static final long SEED = 3;
 
     private final List<Node> mNodes = new ArrayList<>();
-    private final Map<Endpoint, Node> mByPeers = new HashMap<>();
+    private final Map<Endpoint, Node> mByEndpoint = new HashMap<>();
     private final Deque<Runnable> mInFlight = new ArrayDeque<>();
     private final SplittableRandom mRandom = new SplittableRandom(SEED);
     private long mNowMillis;
-    private boolean mSplit;
+    private boolean mPartitioned;
 
-    /** One VM. */
     private static final class Node {
         private final int mNumber;
         private Membership mMembership;
@@ -46,21 +45,21 @@
             mNumber = number;
         }
 
-        /** Regions are the two halves of the zones. */
+        /** Returns whether the VM is in the first region, which has the first half of the zones. */
         boolean inFirstRegion() {
             return mNumber % SampleFleet.ZONES < SampleFleet.ZONES / 2;
         }
     }
 
-    /** Starts VMs that all know each other. */
-    StormFleet(int vms) {
+    /** Creates a fleet in which all VMs know each other. */
+    MembershipSimulation(int vms) {
         List<MemberUpdate> all = SampleFleet.members(0, vms);
         for (int number = 0; number < vms; number++) {
             Node node = new Node(number);
             node.mMembership = start(all.get(number));
             node.mMembership.onJoinReply(all, 0);
             mNodes.add(node);
-            mByPeers.put(all.get(number).vm().peerEndpoint(), node);
+            mByEndpoint.put(all.get(number).vm().peerEndpoint(), node);
         }
     }
 
@@ -68,44 +67,49 @@
         return new Membership(MembershipSettings.defaults(), self, mRandom.split(), mNowMillis);
     }
 
-    /** Lets VMs fail at once, without a word. */
+    /** Crashes the VMs with these numbers. */
     void fail(IntPredicate numbers) {
         mNodes.stream()
                 .filter(node -> numbers.test(node.mNumber))
                 .forEach(node -> node.mUp = false);
     }
 
-    /** Replaces VMs at once: each leaves, and its successor has the name and address. */
+    /**
+     * Replaces the VMs with these numbers: each leaves, and its successor reuses the name and
+     * address.
+     */
     void replace(IntPredicate numbers) {
         for (Node node : mNodes) {
             if (numbers.test(node.mNumber)) {
-                carryOut(node, node.mMembership.leave(mNowMillis));
+                execute(node, node.mMembership.leave(mNowMillis));
             }
         }
         deliver();
-        List<Endpoint> hints =
+        List<Endpoint> seeds =
                 mNodes.stream().map(node -> node.mMembership.self().vm().peerEndpoint()).toList();
         for (Node node : mNodes) {
             if (numbers.test(node.mNumber)) {
                 node.mMembership = start(SampleFleet.successor(node.mNumber, mNodes.size()));
-                node.mMembership.setSeeds(hints);
+                node.mMembership.setSeeds(seeds);
             }
         }
     }
 
-    /** Cuts all links between the regions, or heals them. */
-    void setSplit(boolean split) {
-        mSplit = split;
+    /** Sets whether all links between the regions are cut. */
+    void setPartitioned(boolean partitioned) {
+        mPartitioned = partitioned;
     }
 
-    /** Goes on by one second and returns the bytes that each running VM sent and received. */
-    long[] second() {
+    /**
+     * Advances by one second and returns the bytes that each running VM sent and received in it.
+     */
+    long[] advanceSecond() {
         mNodes.forEach(node -> node.mBytes = 0);
         for (int tick = 0; tick < TICKS_PER_SECOND; tick++) {
             mNowMillis += TICK_MILLIS;
             for (Node node : mNodes) {
                 if (node.mUp) {
-                    carryOut(node, node.mMembership.onTick(mNowMillis));
+                    execute(node, node.mMembership.onTick(mNowMillis));
                     deliver();
                 }
             }
@@ -113,8 +117,8 @@
         return mNodes.stream().filter(node -> node.mUp).mapToLong(node -> node.mBytes).toArray();
     }
 
-    /** Returns whether each running VM holds exactly the running lives alive. */
-    boolean agrees() {
+    /** Returns whether every running VM regards exactly the running incarnations as alive. */
+    boolean isConverged() {
         Set<VmIdentity> up = new HashSet<>();
         for (Node node : mNodes) {
             if (node.mUp) {
@@ -142,7 +146,7 @@
         }
     }
 
-    private void carryOut(Node from, List<MembershipAction> actions) {
+    private void execute(Node from, List<MembershipAction> actions) {
         for (MembershipAction action : actions) {
             if (action instanceof MembershipAction.SendGossip gossip) {
                 send(from, gossip);
@@ -153,7 +157,7 @@
     }
 
     private void send(Node from, MembershipAction.SendGossip gossip) {
-        Node to = mByPeers.get(gossip.to());
+        Node to = mByEndpoint.get(gossip.to());
         long bytes =
                 (long) Envelope.datagram(gossip).getSerializedSize() + Envelope.DATAGRAM_HEADERS;
         from.mBytes += bytes;
@@ -161,33 +165,33 @@
             mInFlight.add(
                     () -> {
                         to.mBytes += bytes;
-                        carryOut(to, to.mMembership.onGossip(gossip.message(), mNowMillis));
+                        execute(to, to.mMembership.onGossip(gossip.message(), mNowMillis));
                     });
         }
     }
 
     private void exchange(Node from, MembershipAction.ExchangeMembers exchange) {
-        Node to = mByPeers.get(exchange.peer());
+        Node to = mByEndpoint.get(exchange.peer());
         long incarnation = exchange.recipientIncarnation();
-        boolean meant =
+        boolean isRecipient =
                 incarnation == 0 || incarnation == to.mMembership.self().identity().incarnation();
-        if (!isLinked(from, to) || !meant) {
+        if (!isLinked(from, to) || !isRecipient) {
             return;
         }
         mInFlight.add(
                 () -> {
-                    JoinResponse answer =
+                    JoinResponse response =
                             to.mMembership.onJoinRequest(exchange.request(), mNowMillis);
                     long bytes =
-                            (long) Envelope.listBytes(answer.members()) + Envelope.STREAM_HEADERS;
+                            (long) Envelope.listBytes(response.members()) + Envelope.STREAM_HEADERS;
                     to.mBytes += bytes;
                     from.mBytes += bytes;
-                    carryOut(to, answer.actions());
-                    carryOut(from, from.mMembership.onJoinReply(answer.members(), mNowMillis));
+                    execute(to, response.actions());
+                    execute(from, from.mMembership.onJoinReply(response.members(), mNowMillis));
                 });
     }
 
     private boolean isLinked(Node from, Node to) {
-        return to.mUp && (!mSplit || from.inFirstRegion() == to.inFirstRegion());
+        return to.mUp && (!mPartitioned || from.inFirstRegion() == to.inFirstRegion());
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Projection.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Projection.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Works out from the measured lines what each role costs one VM in a fleet of some size. */
+/** Projects the cost of each role on one VM in a fleet of a given size from the measurements. */
 final class Projection {
     private static final double MICROS = 1e6;
     private static final double TICKS_PER_SECOND = 4;
 
-    /** Between 5 and 10 minutes, spread evenly. */
+    /** The mean of a random period between 5 and 10 minutes. */
     private static final double LIST_READ_SECONDS = 450;
 
-    private static final double ADDRESS_REFERENCE = 8;
-    private static final double ASK_TIME_TO_LIVE_SECONDS = 30;
+    private static final double BYTES_PER_ADDRESS = 8;
+    private static final double DISCOVERY_TTL_SECONDS = 30;
     private static final double OPERATION_WINDOW_SECONDS = 3_600;
     private static final double EXCHANGE_SECONDS = 15;
     private static final double MEMBERS_PER_EXCHANGE = 256;
@@ -22,68 +22,68 @@
     private static final int CHANGE_FANOUT = 4;
     private static final int GOSSIP_MESSAGES = 4;
     private static final int GUARDED_MESSAGES = 4;
-    private static final int BURN_SERIES = 1_000;
-    private static final int RING = 256;
+    private static final int MAX_SERIES = 1_000;
+    private static final int HEAD_RECORDS = 256;
     private static final double WATCH_SECONDS = 55;
     private static final double BASE64 = 4.0 / 3;
 
-    private final Slopes mSlopes;
+    private final Measurements mMeasurements;
     private final FleetSize mSize;
     private final Assumptions mAssumptions;
 
-    Projection(Slopes slopes, FleetSize size, Assumptions assumptions) {
-        mSlopes = slopes;
+    Projection(Measurements measurements, FleetSize size, Assumptions assumptions) {
+        mMeasurements = measurements;
         mSize = size;
         mAssumptions = assumptions;
     }
 
-    /** Returns the rows of all parts that every VM carries. */
-    List<RoleRow> everyVm() {
+    /** Returns the rows of all components that every VM runs. */
+    List<RoleRow> vmRows() {
         List<RoleRow> rows = new ArrayList<>();
         rows.add(gossip());
-        rows.add(news());
+        rows.add(memberUpdates());
         rows.add(listExchange());
         rows.add(cellsOnChange());
         rows.add(vmList());
         rows.add(targets());
-        rows.add(answers());
-        rows.add(evidence());
+        rows.add(responses());
+        rows.add(evidenceRow());
         rows.add(polls());
         rows.add(configuration());
-        rows.add(guarded());
-        rows.add(asks());
-        rows.add(burn());
+        rows.add(guardedRow());
+        rows.add(discovery());
+        rows.add(outcomeHistory());
         return rows;
     }
 
-    /** Returns the sum of rows. */
+    /** Returns the total cost of the rows. */
     static Cost sum(List<RoleRow> rows) {
-        return rows.stream().map(RoleRow::cost).reduce(Cost.NONE, Cost::plus);
+        return rows.stream().map(RoleRow::cost).reduce(Cost.ZERO, Cost::plus);
     }
 
-    /** Returns what a watcher carries besides. */
-    RoleRow watcher() {
+    /** Returns the additional cost of a watcher. */
+    RoleRow watcherRow() {
         double reads = mSize.changesPerSecond() + 1 / WATCH_SECONDS;
-        double head = headAnswer();
-        double text = mSlopes.perUnit(Quantity.TEXT_HEAP) * BASE64;
+        double head = headResponseBytes();
+        double text = mMeasurements.perUnit(Quantity.TEXT_HEAP) * BASE64;
         Cost cost =
                 new Cost(
                         2 * (reads + mSize.changesPerSecond()),
                         reads * head + mSize.changesPerSecond() * text,
-                        reads * at(Quantity.HEAD_DECODE, RING) / MICROS,
+                        reads * at(Quantity.HEAD_DECODE, HEAD_RECORDS) / MICROS,
                         head);
         return new RoleRow(
                 "watcher",
-                "head read at each change and each 55 s; each change's text",
-                "the head value, " + RING + " records",
+                "head read at each change and every 55 s; text of each change",
+                "the head value, " + HEAD_RECORDS + " records",
                 cost,
-                "Watchers: two VMs a zone hold one blocking read each",
-                "a head of fewer records");
+                "Watchers: two VMs per zone, with one blocking read each",
+                "keep fewer records in the head");
     }
 
-    /** Returns the bytes of the head as the store's answer carries it. */
-    double headAnswer() {
-        return at(Quantity.HEAD_BYTES, RING) * BASE64 + Envelope.STREAM_HEADERS;
+    /** Returns the size of the store's response to a read of the head, in bytes. */
+    double headResponseBytes() {
+        return at(Quantity.HEAD_BYTES, HEAD_RECORDS) * BASE64 + Envelope.STREAM_HEADERS;
     }
 
     private RoleRow gossip() {
@@ -99,32 +99,32 @@
                 "pings and the member list",
                 count(mSize.vms()) + " members",
                 cost,
-                "SWIM: one ping a second, whatever the size",
+                "SWIM: one ping per second at any fleet size",
                 "");
     }
 
-    /** Returns how often a VM repeats one piece of news. */
+    /** Returns how many times a VM retransmits one member update. */
     double transmissions() {
         return RETRANSMISSIONS * Math.log(mSize.vms() + 1.0) / Math.log(2);
     }
 
-    private RoleRow news() {
-        double news = mSize.newsPerSecond();
+    private RoleRow memberUpdates() {
+        double updates = mSize.memberUpdatesPerSecond();
         double rumor = at(Quantity.DATAGRAM_BYTES, 1) + Envelope.DATAGRAM_HEADERS;
-        double repeated = 2 * transmissions() * mSlopes.perUnit(Quantity.DATAGRAM_BYTES);
+        double repeated = 2 * transmissions() * mMeasurements.perUnit(Quantity.DATAGRAM_BYTES);
         double rumors = 2 * RUMOR_FANOUT;
         Cost cost =
                 new Cost(
-                        news * rumors,
-                        news * (repeated + rumors * rumor),
-                        news * at(Quantity.MEMBER_CHANGE, mSize.vms()) / MICROS,
+                        updates * rumors,
+                        updates * (repeated + rumors * rumor),
+                        updates * at(Quantity.MEMBER_CHANGE, mSize.vms()) / MICROS,
                         0);
         return new RoleRow(
                 "gossip member",
-                "news of members, " + decimal(news) + "/s",
-                "news still to repeat",
+                "member updates, " + decimal(updates) + "/s",
+                "updates to retransmit",
                 cost,
-                "news ride on pings; rumors to three VMs at once",
+                "updates are piggybacked on pings; rumors are sent to three VMs",
                 "");
     }
 
@@ -139,15 +139,15 @@
                         0);
         return new RoleRow(
                 "gossip member",
-                "whole lists, every " + count(seconds) + " s, never equal",
+                "full member lists, every " + count(seconds) + " s, always different",
                 "none",
                 cost,
-                "lists are sent only if the digests differ; rarer in larger fleets",
-                "send the differences only: digests by range of names");
+                "lists are sent only if the digests differ; less often in larger fleets",
+                "send differences only, found by digests of name ranges");
     }
 
     private RoleRow cellsOnChange() {
-        double news = mSize.newsPerSecond();
+        double updates = mSize.memberUpdatesPerSecond();
         double own = mSize.servicesPerVm() * at(Quantity.CELL_PLAN, mSize.vms());
         double micros =
                 at(Quantity.CELLS_CHECK, mSize.services())
@@ -155,15 +155,15 @@
                         + own;
         return new RoleRow(
                 "entry VM",
-                "cells checked, own ones planned, at each member change",
-                count(mSize.services()) + " places in cells",
+                "cells checked and own cells planned at each member change",
+                count(mSize.services()) + " cell ranks",
                 new Cost(
                         0,
                         0,
-                        news * micros / MICROS,
+                        updates * micros / MICROS,
                         at(Quantity.DIRECTORY_HEAP, mSize.services())),
-                "CellMembership: one score a service; plans kept until the next change",
-                "check only the services for which the changed VM's rank matters");
+                "CellMembership: one score per service; plans cached until the next change",
+                "check only the services whose cells the changed VM can affect");
     }
 
     private RoleRow vmList() {
@@ -171,14 +171,14 @@
         double reads = 1 / LIST_READ_SECONDS;
         return new RoleRow(
                 "entry VM",
-                "platform's VM list, whole each 5 to 10 minutes",
+                "platform's VM list, read in full every 5 to 10 minutes",
                 count(mSize.vms()) + " addresses",
                 new Cost(
                         2 * reads,
                         reads * list,
                         reads * at(Quantity.VM_LIST_PARSE, mSize.vms()) / MICROS,
-                        mSize.vms() * ADDRESS_REFERENCE),
-                "plain reads, spread; often only while alone or young",
+                        mSize.vms() * BYTES_PER_ADDRESS),
+                "jittered reads; frequent only while the VM is new or isolated",
                 "");
     }
 
@@ -187,87 +187,89 @@
         double tick = at(Quantity.CONTROL_TICK, mSize.targetsPerService());
         return new RoleRow(
                 "entry VM",
-                "health of " + decimal(services) + " services' targets, four ticks a second",
+                "health of " + decimal(services) + " services' targets, four ticks per second",
                 count(services * mSize.targetsPerService()) + " targets with evidence",
                 new Cost(
                         0,
                         0,
                         services * TICKS_PER_SECOND * tick / MICROS,
-                        services * mSlopes.perUnit(Quantity.SERVICE_HEAP)),
-                "TargetHealth: sums by target, zone and kind",
-                "weigh only targets with news since the last tick; sum windows as they come");
+                        services * mMeasurements.perUnit(Quantity.SERVICE_HEAP)),
+                "TargetHealth: counts by target, zone and kind",
+                "assess only targets with new evidence; keep running sums of the windows");
     }
 
-    private RoleRow answers() {
-        double micros = mSlopes.perUnit(Quantity.OUTCOME) + mSlopes.perUnit(Quantity.BURN_TIME);
+    private RoleRow responses() {
+        double micros =
+                mMeasurements.perUnit(Quantity.OUTCOME) + mMeasurements.perUnit(Quantity.BURN_TIME);
         return new RoleRow(
                 "entry VM",
-                "answers noted, " + decimal(mSize.requestsPerVm()) + "/s",
+                "responses recorded, " + decimal(mSize.requestsPerVm()) + "/s",
                 "none",
                 new Cost(0, 0, mSize.requestsPerVm() * micros / MICROS, 0),
-                "OwnWork and BurnLedger",
+                "UnreportedEvidence and OutcomeHistory",
                 "");
     }
 
-    /** Returns the row of the evidence that the members of a cell exchange. */
-    RoleRow evidence() {
-        EvidencePace pace = new EvidencePace(mSlopes, mSize, mAssumptions);
+    /** Returns the row of the evidence exchange within cells. */
+    RoleRow evidenceRow() {
+        EvidenceReportPacing pacing = new EvidenceReportPacing(mMeasurements, mSize, mAssumptions);
         return new RoleRow(
                 "entry VM",
                 "evidence to "
-                        + (mSize.cell() - 1)
+                        + (mSize.cellSize() - 1)
                         + " VMs of each cell, every "
-                        + decimal(pace.seconds())
+                        + decimal(pacing.periodSeconds())
                         + " s",
-                decimal(pace.entries()) + " targets and kinds a report",
-                pace.cost(),
+                decimal(pacing.entriesPerReport()) + " target and kind pairs per report",
+                pacing.cost(),
                 "ReportPacer within evidence-budget, "
-                        + count(mAssumptions.evidenceBytes())
-                        + " B/s; signs of life each 1.5 s",
-                "no sign of life while gossip shows it; no replies;"
-                        + " targets by number instead of address");
+                        + count(mAssumptions.evidenceBytesPerSecond())
+                        + " B/s; heartbeats every 1.5 s",
+                "no heartbeats to VMs that gossip shows alive; no replies;"
+                        + " target numbers instead of addresses");
     }
 
     private RoleRow polls() {
-        double calls = mSize.servicesPerVm() * mSize.targetsPerService() / mSize.cell() * 2;
+        double calls = mSize.servicesPerVm() * mSize.targetsPerService() / mSize.cellSize() * 2;
         return new RoleRow(
                 "entry VM",
-                "targets' health and load read, " + decimal(calls) + " calls/s",
+                "polls of targets' health and load, " + decimal(calls) + " calls/s",
                 "none",
                 new Cost(2 * calls, 0, 0, 0),
-                "HealthPoller: each target once a second by one VM of the cell",
-                "bytes and time of the HTTP calls aren't measured");
+                "HealthPoller: one VM of the cell polls each target once per second",
+                "bytes and processor time of the HTTP calls aren't measured");
     }
 
     private RoleRow configuration() {
         double customers = mSize.customersPerVm();
         double changes = mSize.changesPerSecond();
-        double record = mSlopes.perUnit(Quantity.HEAD_BYTES) + Envelope.STREAM_HEADERS;
-        double passed = 2 * CHANGE_FANOUT * changes;
+        double record = mMeasurements.perUnit(Quantity.HEAD_BYTES) + Envelope.STREAM_HEADERS;
+        double forwarded = 2 * CHANGE_FANOUT * changes;
         double own = changes * customers / mSize.customers();
         Cost cost =
                 new Cost(
-                        passed,
-                        passed * record,
+                        forwarded,
+                        forwarded * record,
                         own
-                                * (mSlopes.perUnit(Quantity.TEMPLATE_PARSE)
+                                * (mMeasurements.perUnit(Quantity.TEMPLATE_PARSE)
                                         + at(Quantity.ROUTING_CHANGE, customers))
                                 / MICROS,
                         customers
-                                        * (mSlopes.perUnit(Quantity.TEMPLATE_HEAP)
-                                                + mSlopes.perUnit(Quantity.TEXT_HEAP))
-                                + (customers + RING) * mSlopes.perUnit(Quantity.RECORD_HEAP));
+                                        * (mMeasurements.perUnit(Quantity.TEMPLATE_HEAP)
+                                                + mMeasurements.perUnit(Quantity.TEXT_HEAP))
+                                + (customers + HEAD_RECORDS)
+                                        * mMeasurements.perUnit(Quantity.RECORD_HEAP));
         return new RoleRow(
                 "entry VM",
-                "templates of the customers of its services; changes passed on",
-                count(customers) + " templates with records, " + RING + " newest changes",
+                "templates of the customers of its services; changes forwarded",
+                count(customers) + " templates with records, " + HEAD_RECORDS + " newest changes",
                 cost,
-                "ConfigurationFollower: each passes a change on once, to four",
+                "ConfigurationFollower: each VM forwards a change once, to four VMs",
                 "");
     }
 
     /** Returns the row of guarded operations. */
-    RoleRow guarded() {
+    RoleRow guardedRow() {
         double operations = mSize.requestsPerVm() * mAssumptions.guardedShare();
         double keys = operations * OPERATION_WINDOW_SECONDS;
         double message =
@@ -277,63 +279,66 @@
                 new Cost(
                         2 * GUARDED_MESSAGES * operations,
                         2 * operations * message,
-                        operations * mSlopes.perUnit(Quantity.GUARDED_TIME) / MICROS,
+                        operations * mMeasurements.perUnit(Quantity.GUARDED_TIME) / MICROS,
                         keys
-                                * (mSlopes.perUnit(Quantity.HOME_HEAP)
-                                        + mSlopes.perUnit(Quantity.WITNESS_HEAP)));
+                                * (mMeasurements.perUnit(Quantity.HOME_HEAP)
+                                        + mMeasurements.perUnit(Quantity.WITNESS_HEAP)));
         return new RoleRow(
                 "home and witness",
-                "guarded operations, " + decimal(operations) + "/s, kept an hour",
+                "guarded operations, " + decimal(operations) + "/s, retained for an hour",
                 count(keys) + " keys as home and as witness",
                 cost,
-                "HomeLedger and WitnessRegister; no store call",
-                "keep digests in place of bodies at the witness; a shorter operation-window");
+                "HomeLedger and WitnessRegister; no store calls",
+                "store digests instead of bodies at the witness; shorten operation-window");
     }
 
-    private RoleRow asks() {
-        double asks =
+    private RoleRow discovery() {
+        double requests =
                 mSize.customers()
                         * mAssumptions.callersPerCustomer()
-                        / ASK_TIME_TO_LIVE_SECONDS
+                        / DISCOVERY_TTL_SECONDS
                         / mSize.vms();
-        double planned = plannedShare(asks);
-        double kept =
+        double planned = plannedShare(requests);
+        double selection =
                 Math.max(0, at(Quantity.ASK, mSize.vms()) - at(Quantity.CELL_PLAN, mSize.vms()));
-        double micros = kept + planned * at(Quantity.CELL_PLAN, mSize.vms());
+        double micros = selection + planned * at(Quantity.CELL_PLAN, mSize.vms());
         return new RoleRow(
-                "answerer of asks",
-                "asks, "
-                        + decimal(asks)
+                "discovery server",
+                "discovery requests, "
+                        + decimal(requests)
                         + "/s, "
                         + percent(planned)
-                        + " for a cell not yet planned",
-                "plans since the last member change",
-                new Cost(2 * asks, 0, asks * micros / MICROS, 0),
-                "any VM answers from its member list and directory",
-                "bytes and time of the HTTP call aren't measured");
+                        + " for a cell that isn't planned yet",
+                "cell plans since the last member change",
+                new Cost(2 * requests, 0, requests * micros / MICROS, 0),
+                "any VM responds from its member list and directory",
+                "bytes and processor time of the HTTP call aren't measured");
     }
 
-    /** Returns the share of asks for services that nobody asked for since the last change. */
-    private double plannedShare(double asksPerSecond) {
-        double asks = asksPerSecond / mSize.newsPerSecond();
+    /**
+     * Returns the share of discovery requests that are the first for their service since the last
+     * member change.
+     */
+    private double plannedShare(double requestsPerSecond) {
+        double requests = requestsPerSecond / mSize.memberUpdatesPerSecond();
         double services = mSize.services();
-        double distinct = services * (1 - Math.pow(1 - 1 / services, asks));
-        return Math.min(1, distinct / asks);
+        double distinct = services * (1 - Math.pow(1 - 1 / services, requests));
+        return Math.min(1, distinct / requests);
     }
 
-    private RoleRow burn() {
-        double series = Math.min(BURN_SERIES, mSize.customersPerVm() * mAssumptions.kinds());
+    private RoleRow outcomeHistory() {
+        double series = Math.min(MAX_SERIES, mSize.customersPerVm() * mAssumptions.kinds());
         return new RoleRow(
                 "entry VM",
-                "burn counts",
-                count(series) + " series of " + BURN_SERIES + " at most",
-                new Cost(0, 0, 0, series * mSlopes.perUnit(Quantity.BURN_HEAP)),
-                "BurnLedger, bounded",
+                "outcome counts",
+                count(series) + " series, at most " + MAX_SERIES,
+                new Cost(0, 0, 0, series * mMeasurements.perUnit(Quantity.BURN_HEAP)),
+                "OutcomeHistory, bounded",
                 "");
     }
 
     private double at(Quantity quantity, double size) {
-        return mSlopes.at(quantity, size);
+        return mMeasurements.estimate(quantity, size);
     }
 
     private static String count(double number) {
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Quantity.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Quantity.java
@@ -1,97 +1,60 @@
 package org.dahliapass.lab.capacity;
 
-/** What is measured, at several sizes each. */
+/** A measured quantity, with its unit and the unit of the size that it grows with. */
 enum Quantity {
-    /** Retained heap of the membership and its published snapshot. */
-    MEMBER_HEAP("member list and its snapshot", Unit.HEAP_BYTES, "member"),
-    /** Processor time of a second of gossip without news. */
-    GOSSIP_SECOND("a second of gossip, without news", Unit.MICROSECONDS, "member"),
-    /** Bytes of a datagram by the pieces of news in it. */
-    DATAGRAM_BYTES("datagram", Unit.WIRE_BYTES, "piece of news"),
-    /** Processor time to take one piece of news and publish the list. */
-    MEMBER_CHANGE("member change: taken and published", Unit.MICROSECONDS, "member"),
-    /** Bytes of a whole list. */
-    LIST_BYTES("whole list exchanged", Unit.WIRE_BYTES, "member"),
-    /** Processor time of a whole list, both sides. */
-    LIST_TIME("whole list exchanged, both sides", Unit.MICROSECONDS, "member"),
-    /** Processor time to plan one cell. */
-    CELL_PLAN("cell plan", Unit.MICROSECONDS, "member"),
-    /** Processor time of an ask: cell plan and choice. */
-    ASK("ask: cell plan and choice", Unit.MICROSECONDS, "member"),
-    /** Retained heap of a service with 23 targets. */
-    SERVICE_HEAP("service of 23 targets with evidence", Unit.HEAP_BYTES, "service"),
-    /** Retained heap of one target with evidence of all zones. */
-    TARGET_HEAP("target with evidence", Unit.HEAP_BYTES, "target"),
-    /** Processor time of a control tick of one service. */
-    CONTROL_TICK("control tick of a service", Unit.MICROSECONDS, "target"),
-    /** Processor time to note one answer of a target, and take it again. */
-    OUTCOME("answer noted as evidence", Unit.MICROSECONDS, "answer"),
-    /** Bytes of an evidence report. */
+    MEMBER_HEAP("member list and snapshot, retained", Unit.HEAP_BYTES, "member"),
+    GOSSIP_SECOND("one second of gossip without updates", Unit.MICROSECONDS, "member"),
+    DATAGRAM_BYTES("datagram", Unit.WIRE_BYTES, "member update"),
+    MEMBER_CHANGE("member change, applied and published", Unit.MICROSECONDS, "member"),
+    LIST_BYTES("full member list", Unit.WIRE_BYTES, "member"),
+    LIST_TIME("exchange of the full member list, both sides", Unit.MICROSECONDS, "member"),
+    CELL_PLAN("planning of one cell", Unit.MICROSECONDS, "member"),
+    ASK("discovery: cell planning and selection", Unit.MICROSECONDS, "member"),
+    SERVICE_HEAP("service with 23 targets and evidence from all zones", Unit.HEAP_BYTES, "service"),
+    TARGET_HEAP("target with evidence from all zones", Unit.HEAP_BYTES, "target"),
+    CONTROL_TICK("control tick of one service", Unit.MICROSECONDS, "target"),
+    OUTCOME("response recorded as evidence", Unit.MICROSECONDS, "response"),
     EVIDENCE_BYTES("evidence report", Unit.WIRE_BYTES, "target and kind"),
-    /** Processor time of an evidence report, written and taken. */
-    EVIDENCE_TIME("evidence report, written and taken", Unit.MICROSECONDS, "target and kind"),
-    /** Bytes of the reply to a report. */
-    REPLY_BYTES("reply without content", Unit.WIRE_BYTES, "reply"),
-    /** Retained heap of a parsed customer template in the routing table. */
-    TEMPLATE_HEAP("customer template, parsed", Unit.HEAP_BYTES, "template"),
-    /** Retained heap of a template as text. */
-    TEXT_HEAP("customer template, as text", Unit.HEAP_BYTES, "template"),
-    /** Retained heap of a change record. */
-    RECORD_HEAP("change record kept", Unit.HEAP_BYTES, "record"),
-    /** Retained heap of the directory of services and this VM's place in their cells. */
-    DIRECTORY_HEAP("directory of services", Unit.HEAP_BYTES, "service"),
-    /** Processor time of a member's change in the own zone: all services' cells checked. */
-    CELLS_CHECK("member change: all cells checked", Unit.MICROSECONDS, "service"),
-    /** Processor time to take the whole directory from a peer. */
-    DIRECTORY_FILL("directory taken whole, by a VM that starts", Unit.MICROSECONDS, "service"),
-    /** Bytes of the platform's VM list. */
+    EVIDENCE_TIME(
+            "evidence report, encoded, decoded and applied", Unit.MICROSECONDS, "target and kind"),
+    REPLY_BYTES("empty reply", Unit.WIRE_BYTES, "reply"),
+    TEMPLATE_HEAP("parsed customer template", Unit.HEAP_BYTES, "template"),
+    TEXT_HEAP("text of a customer template", Unit.HEAP_BYTES, "template"),
+    RECORD_HEAP("change record", Unit.HEAP_BYTES, "record"),
+    DIRECTORY_HEAP("directory of services and own cells", Unit.HEAP_BYTES, "service"),
+    CELLS_CHECK("check of all cells at a member change", Unit.MICROSECONDS, "service"),
+    DIRECTORY_FILL("load of the full directory by a starting VM", Unit.MICROSECONDS, "service"),
     VM_LIST_BYTES("platform's VM list", Unit.WIRE_BYTES, "VM"),
-    /** Processor time to read the platform's VM list as JSON. */
-    VM_LIST_PARSE("platform's VM list read as JSON", Unit.MICROSECONDS, "VM"),
-    /** Processor time to choose the watchers of a zone. */
-    WATCHER_CHOICE("watchers chosen", Unit.MICROSECONDS, "member"),
-    /** Processor time to parse templates. */
-    TEMPLATE_PARSE("customer templates parsed", Unit.MICROSECONDS, "template"),
-    /** Processor time to put one template into the routing table. */
-    ROUTING_CHANGE("template put into the routing table", Unit.MICROSECONDS, "customer held"),
-    /** Bytes of the head value. */
+    VM_LIST_PARSE("platform's VM list, parsed as JSON", Unit.MICROSECONDS, "VM"),
+    WATCHER_CHOICE("selection of the watchers of a zone", Unit.MICROSECONDS, "member"),
+    TEMPLATE_PARSE("parsing of customer templates", Unit.MICROSECONDS, "template"),
+    ROUTING_CHANGE("replacement of a template in the routing table", Unit.MICROSECONDS, "customer"),
     HEAD_BYTES("head value", Unit.WIRE_BYTES, "change record"),
-    /** Processor time to decode the head value. */
-    HEAD_DECODE("head value decoded", Unit.MICROSECONDS, "change record"),
-    /** Store calls of an accept, by the services in the template. */
-    ACCEPT_CALLS("accept, store calls", Unit.CALLS, "service in the template"),
-    /** Store writes of an accept, by the services in the template. */
-    ACCEPT_WRITES("accept, writes among them", Unit.CALLS, "service in the template"),
-    /** Bytes of an accept's store calls. */
-    ACCEPT_BYTES("accept, bytes to and from the store", Unit.WIRE_BYTES, "record in the head"),
-    /** Processor time of an accept. */
-    ACCEPT_TIME("accept, decisions and codec", Unit.MICROSECONDS, "record in the head"),
-    /** Retained heap of a key at its home. */
-    HOME_HEAP("key kept by its home", Unit.HEAP_BYTES, "key"),
-    /** Retained heap of a key at its witness. */
-    WITNESS_HEAP("key kept by its witness", Unit.HEAP_BYTES, "key"),
-    /** Processor time of guarded operations, home and witness together. */
+    HEAD_DECODE("decoding of the head value", Unit.MICROSECONDS, "change record"),
+    ACCEPT_CALLS("accepted change, store calls", Unit.CALLS, "service in the template"),
+    ACCEPT_WRITES("accepted change, store writes", Unit.CALLS, "service in the template"),
+    ACCEPT_BYTES(
+            "accepted change, store bytes read and written", Unit.WIRE_BYTES, "record in the head"),
+    ACCEPT_TIME("accepted change, decisions and codec", Unit.MICROSECONDS, "record in the head"),
+    HOME_HEAP("operation key at its home", Unit.HEAP_BYTES, "key"),
+    WITNESS_HEAP("operation key at its witness", Unit.HEAP_BYTES, "key"),
     GUARDED_TIME("guarded operations, home and witness", Unit.MICROSECONDS, "operation"),
-    /** Bytes of the four messages of guarded operations. */
-    GUARDED_BYTES("guarded operation's four messages", Unit.WIRE_BYTES, "body byte"),
-    /** Retained heap of a burn series. */
-    BURN_HEAP("burn series", Unit.HEAP_BYTES, "series"),
-    /** Processor time to count answers for the burn report. */
-    BURN_TIME("answers counted for the burn report", Unit.MICROSECONDS, "answer"),
-    /** Bytes of what a VM gives the burn report. */
-    BURN_BYTES("burn buckets of a VM", Unit.WIRE_BYTES, "series");
+    GUARDED_BYTES("four messages of a guarded operation", Unit.WIRE_BYTES, "body byte"),
+    BURN_HEAP("outcome history series", Unit.HEAP_BYTES, "series"),
+    BURN_TIME("outcomes recorded for the error budget report", Unit.MICROSECONDS, "response"),
+    BURN_BYTES("outcome buckets of a VM", Unit.WIRE_BYTES, "series");
 
     private final String mLabel;
     private final Unit mUnit;
-    private final String mPer;
+    private final String mSizeUnit;
 
-    Quantity(String label, Unit unit, String per) {
+    Quantity(String label, Unit unit, String sizeUnit) {
         mLabel = label;
         mUnit = unit;
-        mPer = per;
+        mSizeUnit = sizeUnit;
     }
 
-    /** Returns what is measured, in words. */
+    /** Returns the description for the report. */
     String label() {
         return mLabel;
     }
@@ -101,8 +64,8 @@
         return mUnit;
     }
 
-    /** Returns what the sizes count. */
-    String per() {
-        return mPer;
+    /** Returns the unit of the sizes. */
+    String sizeUnit() {
+        return mSizeUnit;
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Budget.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/ResourceBudget.java
@@ -4,23 +4,23 @@
 import java.util.List;
 
 /**
- * What control may cost a VM.
+ * An upper bound on what the control plane may cost one VM.
  *
  * @param processor share of one core
  * @param memory bytes of heap
- * @param bytes bytes a second
+ * @param bytesPerSecond network bytes per second
  */
-record Budget(double processor, double memory, double bytes) {
-    /** The letter's: 1.5% of a core, 32 MB and 8 KB a second. */
-    static final Budget LETTER = new Budget(0.015, 32e6, 8e3);
+record ResourceBudget(double processor, double memory, double bytesPerSecond) {
+    /** The budget of one VM: 1.5% of a core, 32 MB and 8 KB per second. */
+    static final ResourceBudget PER_VM = new ResourceBudget(0.015, 32e6, 8e3);
 
-    /** Returns what a cost exceeds; empty if it fits. */
+    /** Returns the names of the exceeded resources; empty if the cost is within budget. */
     List<String> exceededBy(Cost cost) {
         List<String> exceeded = new ArrayList<>();
         if (cost.processor() > processor) {
             exceeded.add("processor");
         }
-        if (cost.bytes() > bytes) {
+        if (cost.bytes() > bytesPerSecond) {
             exceeded.add("bytes");
         }
         if (cost.memory() > memory) {
@@ -29,7 +29,7 @@
         return exceeded;
     }
 
-    /** Returns the verdict on a cost, in words. */
+    /** Returns the text for the report: "fits", or the exceeded resources. */
     String verdict(Cost cost) {
         List<String> exceeded = exceededBy(cost);
         return exceeded.isEmpty() ? "fits" : "does not fit: " + String.join(", ", exceeded);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Probe.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/ResourceMeter.java
@@ -10,8 +10,8 @@
 import java.util.function.IntFunction;
 import java.util.function.Supplier;
 
-/** Measures heap and processor time of the calling thread. */
-final class Probe {
+/** Measures retained heap and the processor time of the calling thread. */
+final class ResourceMeter {
     private static final int REPETITIONS = 5;
     private static final int HEAP_REPETITIONS = 3;
     private static final int COLLECTIONS = 2;
@@ -22,27 +22,28 @@
     private final MemoryMXBean mMemory = ManagementFactory.getMemoryMXBean();
     private final ThreadMXBean mThreads = ManagementFactory.getThreadMXBean();
 
-    /** Measures the retained heap of what the function builds at each size. */
-    Slope heap(Quantity quantity, int[] sizes, IntFunction<Object> build) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Measures the retained heap of the object that the function builds for each size. */
+    Measurement measureHeap(Quantity quantity, int[] sizes, IntFunction<Object> build) {
+        List<Measurement.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            retained(() -> build.apply(size));
+            retainedBytes(() -> build.apply(size));
             double[] results = new double[HEAP_REPETITIONS];
             for (int i = 0; i < HEAP_REPETITIONS; i++) {
-                results[i] = retained(() -> build.apply(size));
+                results[i] = retainedBytes(() -> build.apply(size));
             }
-            points.add(new Slope.Point(size, Spread.of(results)));
+            points.add(new Measurement.Point(size, Spread.of(results)));
         }
-        return Slope.of(quantity, points);
+        return Measurement.of(quantity, points);
     }
 
     /**
      * Measures the processor time of the work that the function prepares for each size.
      *
-     * @param perRun how often one run of the work does what the quantity names
+     * @param perRun how many times one run performs the measured step
      */
-    Slope time(Quantity quantity, int[] sizes, double perRun, IntFunction<Runnable> prepare) {
-        List<Slope.Point> points = new ArrayList<>();
+    Measurement measureTime(
+            Quantity quantity, int[] sizes, double perRun, IntFunction<Runnable> prepare) {
+        List<Measurement.Point> points = new ArrayList<>();
         for (int size : sizes) {
             Runnable work = prepare.apply(size);
             runFor(WARM_UP_NANOS, work);
@@ -50,38 +51,41 @@
             for (int i = 0; i < REPETITIONS; i++) {
                 results[i] = runFor(REPETITION_NANOS, work) / perRun;
             }
-            points.add(new Slope.Point(size, Spread.of(results)));
+            points.add(new Measurement.Point(size, Spread.of(results)));
         }
-        return Slope.of(quantity, points);
+        return Measurement.of(quantity, points);
     }
 
-    /** Takes values that are the same each time, such as the bytes of a message. */
-    static Slope exact(Quantity quantity, int[] sizes, DoubleUnaryOperator value) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Records deterministic values, such as the bytes of a message, without repetition. */
+    static Measurement measureExact(Quantity quantity, int[] sizes, DoubleUnaryOperator value) {
+        List<Measurement.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            points.add(new Slope.Point(size, Spread.of(value.applyAsDouble(size))));
+            points.add(new Measurement.Point(size, Spread.of(value.applyAsDouble(size))));
         }
-        return Slope.of(quantity, points);
+        return Measurement.of(quantity, points);
     }
 
-    private long retained(Supplier<Object> build) {
-        long before = settledBytes();
+    private long retainedBytes(Supplier<Object> build) {
+        long before = usedBytesAfterCollection();
         Object kept = build.get();
         try {
-            return settledBytes() - before;
+            return usedBytesAfterCollection() - before;
         } finally {
             Reference.reachabilityFence(kept);
         }
     }
 
-    private long settledBytes() {
+    private long usedBytesAfterCollection() {
         for (int i = 0; i < COLLECTIONS; i++) {
             mMemory.gc();
         }
         return mMemory.getHeapMemoryUsage().getUsed();
     }
 
-    /** Runs the work for some processor time and returns the microseconds of one run. */
+    /**
+     * Runs the work for at least the given processor time and returns the mean microseconds per
+     * run.
+     */
     private double runFor(long nanos, Runnable work) {
         long start = mThreads.getCurrentThreadCpuTime();
         long used = 0;
--- a/lab/src/main/java/org/dahliapass/lab/capacity/RumorRun.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/RumorSimulation.java
@@ -19,16 +19,19 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 
-/** Spreads one change from the watchers over the followers of all VMs by rumor alone. */
-final class RumorRun {
+/**
+ * Simulates the spread of one change from the watchers to the followers of all VMs by rumor alone.
+ */
+final class RumorSimulation {
     private static final long SEED = 9;
 
     /**
-     * What the spread took.
+     * The result of a simulation.
      *
-     * @param hops until the last VM that the rumor reached had it; watchers have it at 0
-     * @param messages rumors sent by all VMs
-     * @param reached share of the VMs that the rumor reached; the rest learns by pings
+     * @param hops hops to the last VM that the rumor reached; 0 is a watcher
+     * @param messages rumors that all VMs sent
+     * @param reached share of the VMs that the rumor reached; the others learn of the change by
+     *     pings
      */
     record Result(int hops, long messages, double reached) {}
 
@@ -40,7 +43,7 @@
     private final Deque<Rumor> mInFlight = new ArrayDeque<>();
     private long mMessages;
 
-    /** Knows all members and serves nothing. */
+    /** Peers that know all members and serve no service. */
     private final class Peers implements FollowerPeers {
         @Override
         public boolean serves(ServiceId service) {
@@ -68,7 +71,7 @@
         }
     }
 
-    private RumorRun(int vms) {
+    private RumorSimulation(int vms) {
         SplittableRandom random = new SplittableRandom(SEED);
         for (int vm = 0; vm < vms; vm++) {
             mMembers.add(SampleFleet.identity(vm));
@@ -82,9 +85,9 @@
         }
     }
 
-    /** Spreads a change over so many VMs. */
-    static Result of(int vms) {
-        return new RumorRun(vms).run(vms);
+    /** Simulates a fleet of the given size. */
+    static Result simulate(int vms) {
+        return new RumorSimulation(vms).run(vms);
     }
 
     private Result run(int vms) {
@@ -102,16 +105,16 @@
             hops = follower.headNumber() == 0 ? rumor.hops() : hops;
             send(follower.onRumor(rumor.records(), 0), rumor.hops() + 1);
         }
-        long reached = mFollowers.stream().filter(one -> one.headNumber() == 1).count();
+        long reached = mFollowers.stream().filter(follower -> follower.headNumber() == 1).count();
         return new Result(hops, mMessages, (double) reached / vms);
     }
 
     private void send(List<FollowerAction> actions, int hops) {
         for (FollowerAction action : actions) {
-            if (action instanceof FollowerAction.SendRumor passOn) {
-                for (VmIdentity member : passOn.members()) {
+            if (action instanceof FollowerAction.SendRumor rumor) {
+                for (VmIdentity member : rumor.members()) {
                     mMessages++;
-                    mInFlight.add(new Rumor(mNumbers.get(member), hops, passOn.records()));
+                    mInFlight.add(new Rumor(mNumbers.get(member), hops, rumor.records()));
                 }
             }
         }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleDirectory.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleDirectory.java
@@ -18,7 +18,7 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 
-/** One VM's directory of services: the follower of changes and its place in the cells. */
+/** A VM's directory of services: its configuration follower and its cell membership. */
 final class SampleDirectory {
     private static final int CELL = 6;
     private static final long SEED = 5;
@@ -29,7 +29,7 @@
     private final ConfigurationFollower mFollower;
     private int mToggles;
 
-    /** Asks nobody and serves what the cells say. */
+    /** Peers without sources, which serve the services of the own cells. */
     private final class Peers implements FollowerPeers {
         @Override
         public boolean serves(ServiceId service) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Creates the directory of a VM that has just joined so many members. */
+    /** Creates an empty directory in a fleet of the given number of members. */
     SampleDirectory(int members) {
         for (int vm = 0; vm < members; vm++) {
             mZones.put(SampleFleet.identity(vm).name(), SampleFleet.zone(vm));
@@ -71,7 +71,7 @@
                         new SplittableRandom(SEED));
     }
 
-    /** Returns the changes of so many providers, with strings of their own. */
+    /** Returns one change record for each of the given number of providers. */
     static List<ChangeRecord> providers(int services) {
         List<ChangeRecord> records = new ArrayList<>();
         for (int number = 1; number <= services; number++) {
@@ -90,18 +90,19 @@
         return records;
     }
 
-    /** Takes the whole directory from a peer, as a VM does when it starts. */
+    /** Loads the full directory from a peer, like a VM that starts. */
     SampleDirectory fill(List<ChangeRecord> providers) {
-        GroupSnapshot fill = new GroupSnapshot(CustomerGroup.PROVIDERS, providers);
-        mFollower.onAnswer(new RecordsResponse(1, providers.size(), List.of(), List.of(fill)), 0);
+        GroupSnapshot snapshot = new GroupSnapshot(CustomerGroup.PROVIDERS, providers);
+        mFollower.onAnswer(
+                new RecordsResponse(1, providers.size(), List.of(), List.of(snapshot)), 0);
         if (mFollower.cellSizes().size() != providers.size()) {
-            throw new IllegalStateException("The sample directory was not taken.");
+            throw new IllegalStateException("The follower didn't load all sample providers.");
         }
         return this;
     }
 
-    /** One member of this VM's zone goes, or comes back; everything is checked as the VM does. */
-    void memberChanged() {
+    /** Removes or restores a member of the VM's zone and checks all cells like the VM. */
+    void toggleMember() {
         int vm = SampleFleet.ZONES * (1 + mToggles / 2 % 10);
         mToggles++;
         String name = SampleFleet.identity(vm).name();
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleFleet.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleFleet.java
@@ -8,16 +8,16 @@
 import org.dahliapass.model.Vm;
 import org.dahliapass.model.VmIdentity;
 
-/** VMs with names and addresses as long as in a large fleet; the same in every run. */
+/** Deterministic sample VMs with the name and address lengths of a large fleet. */
 final class SampleFleet {
-    /** Availability zones of the sample fleet, all regions together. */
+    /** Availability zones of all regions of the sample fleet. */
     static final int ZONES = 8;
 
     private static final long FIRST_INCARNATION = 1_700_000_000_000L << 20;
     private static final int CALLERS_PORT = 8080;
     private static final int PEERS_PORT = 8700;
     private static final int OPERATORS_PORT = 8800;
-    private static final int BYTE = 256;
+    private static final int BYTE_VALUES = 256;
 
     private SampleFleet() {}
 
@@ -26,17 +26,17 @@
         return "kathmandu-" + (char) ('a' + number % ZONES);
     }
 
-    /** Returns the identity of a VM's first life. */
+    /** Returns the identity of a VM's first incarnation. */
     static VmIdentity identity(int number) {
         return new VmIdentity("entry-" + (10_000 + number), FIRST_INCARNATION + number);
     }
 
-    /** Returns the news of a VM that is alive. */
+    /** Returns the update of an alive VM. */
     static MemberUpdate member(int number) {
         return member(number, MemberState.ALIVE, 0);
     }
 
-    /** Returns the news of a VM's next life, in a fleet of so many VMs. */
+    /** Returns the update of a VM's successor in a fleet of the given size. */
     static MemberUpdate successor(int number, int vms) {
         MemberUpdate former = member(number);
         VmIdentity identity =
@@ -50,9 +50,9 @@
         return new MemberUpdate(vm, former.operators(), MemberState.ALIVE, 0);
     }
 
-    /** Returns the news of a VM. */
+    /** Returns the update of a VM. */
     static MemberUpdate member(int number, MemberState state, int refutation) {
-        String host = "10.20." + number / BYTE + "." + number % BYTE;
+        String host = "10.20." + number / BYTE_VALUES + "." + number % BYTE_VALUES;
         Vm vm =
                 new Vm(
                         identity(number),
@@ -62,7 +62,7 @@
         return new MemberUpdate(vm, new Endpoint(host, OPERATORS_PORT), state, refutation);
     }
 
-    /** Returns the news of the VMs from one number up to before another. */
+    /** Returns the updates of the VMs numbered {@code from} to {@code to}, exclusive. */
     static List<MemberUpdate> members(int from, int to) {
         List<MemberUpdate> members = new ArrayList<>(to - from);
         for (int number = from; number < to; number++) {
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleServices.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleServices.java
@@ -11,27 +11,28 @@
 import org.dahliapass.model.ServiceTemplate;
 import org.dahliapass.model.Target;
 
-/** Services and customer templates as at the two deployments; the same in every run. */
+/** Deterministic sample services and customer templates. */
 final class SampleServices {
     /** Names of the request kinds of a service. */
     static final List<String> KINDS = List.of("listing", "selection-record", "sign-off");
 
     private static final int PORT = 8080;
-    private static final int BYTE = 256;
+    private static final int BYTE_VALUES = 256;
     private static final int SLOTS = 3;
     private static final int CONNECTIONS = 350;
     private static final double FLOOR = 0.8;
-    private static final long MOST_BODY = 65_536;
+    private static final long MAX_BODY_BYTES = 65_536;
 
     private SampleServices() {}
 
     /** Returns a target's address. */
     static Endpoint endpoint(int service, int target) {
         return new Endpoint(
-                "10." + (100 + service / BYTE) + "." + service % BYTE + "." + target, PORT);
+                "10." + (100 + service / BYTE_VALUES) + "." + service % BYTE_VALUES + "." + target,
+                PORT);
     }
 
-    /** Returns a service with so many targets, spread over the zones. */
+    /** Returns a service whose targets are spread over the zones. */
     static ServiceTemplate service(int number, int targets, int cellSize) {
         List<Target> list = new ArrayList<>();
         for (int target = 0; target < targets; target++) {
@@ -63,7 +64,7 @@
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(10),
                 Duration.ofSeconds(5),
-                MOST_BODY,
+                MAX_BODY_BYTES,
                 0,
                 0.1,
                 Duration.ZERO,
@@ -71,7 +72,7 @@
                 0.999);
     }
 
-    /** Returns the text of a customer's template that uses one service. */
+    /** Returns the text of a customer's template with one service. */
     static String customerText(int customer, int service) {
         StringBuilder text = new StringBuilder();
         text.append("[template]\ncustomer = customer-").append(customer);
--- a/lab/src/main/java/org/dahliapass/lab/capacity/SampleStore.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/SampleStore.java
@@ -13,7 +13,7 @@
 import org.dahliapass.decisions.configuration.SwapOutcome;
 import org.dahliapass.registry.ConfigurationCodec;
 
-/** A key-value table that counts calls and the bytes of the values in them. */
+/** An in-memory store that counts calls and value bytes. */
 final class SampleStore {
     private record Entry(String text, long index) {}
 
@@ -27,34 +27,34 @@
         put(StoreKey.HEAD, head);
     }
 
-    /** Returns the calls so far. */
+    /** Returns the number of calls. */
     long calls() {
         return mCalls;
     }
 
-    /** Returns the writes among them. */
+    /** Returns the number of write calls. */
     long writes() {
         return mWrites;
     }
 
-    /** Returns the bytes of all values read and written so far. */
+    /** Returns the total bytes of the values read and written. */
     long bytes() {
         return mBytes;
     }
 
     /**
-     * Carries out a machine's actions until it ends.
+     * Runs a protocol until it finishes.
      *
-     * @throws IllegalStateException unless it was accepted
+     * @throws IllegalStateException unless the change is accepted
      */
-    void run(StoreProtocol machine) {
-        StoreAction action = machine.start();
+    void run(StoreProtocol protocol) {
+        StoreAction action = protocol.start();
         while (!(action instanceof StoreAction.Finish)) {
             mCalls++;
             action =
                     action instanceof StoreAction.Read read
-                            ? read(machine, read.key())
-                            : machine.onSwap(swap((StoreAction.Swap) action));
+                            ? read(protocol, read.key())
+                            : protocol.onSwap(swap((StoreAction.Swap) action));
         }
         AcceptOutcome outcome = ((StoreAction.Finish) action).outcome();
         if (!(outcome instanceof AcceptOutcome.Accepted)) {
@@ -62,20 +62,20 @@
         }
     }
 
-    private StoreAction read(StoreProtocol machine, StoreKey key) {
+    private StoreAction read(StoreProtocol protocol, StoreKey key) {
         Entry entry = mEntries.get(key);
         if (entry == null) {
-            return machine.onRead(Optional.empty(), 0);
+            return protocol.onRead(Optional.empty(), 0);
         }
         mBytes += bytes(entry.text());
         StoreItem item = ConfigurationCodec.decode(key, entry.text());
-        return machine.onRead(Optional.of(item), entry.index());
+        return protocol.onRead(Optional.of(item), entry.index());
     }
 
     private SwapOutcome swap(StoreAction.Swap swap) {
         mWrites++;
-        Entry standing = mEntries.get(swap.key());
-        long index = standing == null ? 0 : standing.index();
+        Entry current = mEntries.get(swap.key());
+        long index = current == null ? 0 : current.index();
         if (index != swap.index()) {
             return SwapOutcome.CONFLICT;
         }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Spread.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Spread.java
@@ -3,29 +3,29 @@
 import java.util.Arrays;
 
 /**
- * What repetitions of one measurement gave.
+ * The spread of the repetitions of a measurement.
  *
  * @param least the smallest result
- * @param median the middle one
- * @param most the largest one
+ * @param median the median result
+ * @param most the largest result
  */
 record Spread(double least, double median, double most) {
     /**
-     * Sums up the repetitions.
+     * Returns the spread of the results.
      *
-     * @throws IllegalArgumentException if there are none
+     * @throws IllegalArgumentException if there are no results
      */
     static Spread of(double... results) {
         if (results.length == 0) {
-            throw new IllegalArgumentException("Repeat the measurement once at least.");
+            throw new IllegalArgumentException("A spread needs at least one result.");
         }
         double[] sorted = results.clone();
         Arrays.sort(sorted);
         return new Spread(sorted[0], sorted[sorted.length / 2], sorted[sorted.length - 1]);
     }
 
-    /** Returns the width of the results as a share of the median; 0 if the median is 0. */
-    double width() {
+    /** Returns the range of the results relative to the median; 0 if the median is 0. */
+    double relativeWidth() {
         return median == 0 ? 0 : (most - least) / Math.abs(median);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/Unit.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/Unit.java
@@ -2,13 +2,13 @@
 
 /** The unit of a measured value. */
 enum Unit {
-    /** Bytes of heap that stay in use. */
+    /** Bytes of retained heap. */
     HEAP_BYTES("B heap"),
-    /** Bytes of a message or value, without the headers of the transport. */
+    /** Bytes of a message or value, without transport headers. */
     WIRE_BYTES("B"),
     /** Microseconds of processor time. */
     MICROSECONDS("µs"),
-    /** Calls of the store. */
+    /** Store calls. */
     CALLS("calls");
 
     private final String mSymbol;
@@ -17,7 +17,7 @@
         mSymbol = symbol;
     }
 
-    /** Returns how the unit is printed. */
+    /** Returns the symbol for the report. */
     String symbol() {
         return mSymbol;
     }
--- a/lab/src/main/java/org/dahliapass/lab/capacity/package-info.java
+++ b/lab/src/main/java/org/dahliapass/lab/capacity/package-info.java
@@ -1,2 +1,4 @@
-/** Measures what one VM's control costs, and works out the cost in a fleet of the intended size. */
+/**
+ * Benchmarks of the control plane of one VM, and a projection of its cost to the design fleet size.
+ */
 package org.dahliapass.lab.capacity;
--- a/lab/src/main/java/org/dahliapass/lab/latency/Comparison.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/LatencyComparison.java
@@ -13,7 +13,7 @@
  * @param direct the target asked directly
  * @param viaVm the same request through the VM
  */
-record Comparison(String request, int rate, LoadTally direct, LoadTally viaVm) {
+record LatencyComparison(String request, int rate, LatencyRecorder direct, LatencyRecorder viaVm) {
     private static final double[] PERCENTILES = {50, 99, 99.9};
 
     /** Returns the table's head, in Markdown. */
@@ -35,8 +35,8 @@
                 values(this::addedMillis),
                 word(direct),
                 word(viaVm),
-                direct.wrongs(),
-                viaVm.wrongs());
+                direct.errors(),
+                viaVm.errors());
     }
 
     /** Returns by how much a percentile via the VM is higher than directly, in milliseconds. */
@@ -45,8 +45,8 @@
     }
 
     /** Returns whether no request of either side was answered wrongly. */
-    boolean isRight() {
-        return direct.wrongs() == 0 && viaVm.wrongs() == 0;
+    boolean isCorrect() {
+        return direct.errors() == 0 && viaVm.errors() == 0;
     }
 
     private static String values(DoubleUnaryOperator millisAt) {
@@ -55,9 +55,9 @@
                 .collect(Collectors.joining(", "));
     }
 
-    private static String word(LoadTally tally) {
+    private static String word(LatencyRecorder tally) {
         return tally.isSustained()
                 ? "yes"
-                : String.format(Locale.ROOT, "no (%.0f/s)", tally.answersPerSecond());
+                : String.format(Locale.ROOT, "no (%.0f/s)", tally.responsesPerSecond());
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/LatencyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/LatencyMain.java
@@ -89,8 +89,8 @@
                         .connectTimeout(CONNECT_TIMEOUT)
                         .useHttp1Pipelining(false)
                         .build()) {
-            Requests requests =
-                    new Requests(
+            RequestFactory requests =
+                    new RequestFactory(
                             factory,
                             options.valueOf(mVm),
                             options.valueOf(mTarget),
@@ -99,13 +99,13 @@
             System.out.println("Before: " + SystemLoad.line());
             ExitCode code =
                     options.has(mStream) ? stream(requests, options) : compare(requests, options);
-            requests.wrongs().forEach((what, count) -> System.out.println(count + " x " + what));
+            requests.errors().forEach((what, count) -> System.out.println(count + " x " + what));
             System.out.println("After: " + SystemLoad.line());
             return code;
         }
     }
 
-    private ExitCode stream(Requests requests, OptionSet options) {
+    private ExitCode stream(RequestFactory requests, OptionSet options) {
         String path = options.valueOf(mPath);
         long bytes = options.valueOf(mStream);
         ResidentMemory memory = new ResidentMemory(options.valueOf(mVmPid));
@@ -119,18 +119,18 @@
         return ExitCode.OK;
     }
 
-    private ExitCode compare(Requests requests, OptionSet options) {
+    private ExitCode compare(RequestFactory requests, OptionSet options) {
         String path = options.valueOf(mPath);
-        System.out.println(Comparison.header());
-        List<Comparison> rows = new ArrayList<>();
+        System.out.println(LatencyComparison.header());
+        List<LatencyComparison> rows = new ArrayList<>();
         rows.addAll(
                 compare(
                         "GET",
                         GET_WARM_UP_RATE,
                         options,
                         options.valuesOf(mRates),
-                        requests.readDirect(path),
-                        () -> requests.readViaVm(path)));
+                        requests.directReads(path),
+                        () -> requests.readsViaVm(path)));
         if (options.has(mPostPath)) {
             String postPath = options.valueOf(mPostPath);
             rows.addAll(
@@ -139,24 +139,25 @@
                             POST_WARM_UP_RATE,
                             options,
                             options.valuesOf(mPostRates),
-                            requests.operateDirect(postPath),
-                            () -> requests.operateViaVm(postPath)));
+                            requests.directOperations(postPath),
+                            () -> requests.operationsViaVm(postPath)));
         }
-        boolean right = rows.stream().allMatch(Comparison::isRight);
+        boolean right = rows.stream().allMatch(LatencyComparison::isCorrect);
         return right ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private List<Comparison> compare(
+    private List<LatencyComparison> compare(
             String request,
             int warmUpRate,
             OptionSet options,
             List<Integer> rates,
-            Sender direct,
-            Supplier<Sender> viaVm) {
+            RequestSender direct,
+            Supplier<RequestSender> viaVm) {
         alternate(request, warmUpRate, options.valueOf(mWarmUpSeconds), direct, viaVm);
-        List<Comparison> rows = new ArrayList<>();
+        List<LatencyComparison> rows = new ArrayList<>();
         for (int rate : rates) {
-            Comparison row = alternate(request, rate, options.valueOf(mSeconds), direct, viaVm);
+            LatencyComparison row =
+                    alternate(request, rate, options.valueOf(mSeconds), direct, viaVm);
             System.out.println(row.row());
             rows.add(row);
         }
@@ -164,10 +165,15 @@
     }
 
     /** Takes turns by the second, so that what else the machine does falls on both sides alike. */
-    private Comparison alternate(
-            String request, int rate, int seconds, Sender direct, Supplier<Sender> viaVm) {
-        OpenLoop loop = new OpenLoop(mPacer);
-        Comparison row = new Comparison(request, rate, new LoadTally(), new LoadTally());
+    private LatencyComparison alternate(
+            String request,
+            int rate,
+            int seconds,
+            RequestSender direct,
+            Supplier<RequestSender> viaVm) {
+        OpenLoopGenerator loop = new OpenLoopGenerator(mPacer);
+        LatencyComparison row =
+                new LatencyComparison(request, rate, new LatencyRecorder(), new LatencyRecorder());
         for (int second = 0; second < seconds; second++) {
             loop.run(direct, rate, rate, row.direct());
             loop.run(viaVm.get(), rate, rate, row.viaVm());
--- a/lab/src/main/java/org/dahliapass/lab/latency/LoadTally.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/LatencyRecorder.java
@@ -8,7 +8,7 @@
  * <p>Latency counts from the time at which the request should have been sent, so a generator or a
  * server that stalls is charged with every request that it held up (no coordinated omission).
  */
-final class LoadTally {
+final class LatencyRecorder {
     private static final long HIGHEST_MICROS = 600_000_000;
     private static final int DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1000;
@@ -27,7 +27,7 @@
      * @param latencyNanos from the intended sending to the whole answer
      * @param right whether it was the answer that was expected
      */
-    synchronized void onAnswer(long latencyNanos, boolean right) {
+    synchronized void recordResponse(long latencyNanos, boolean right) {
         if (!right) {
             mWrong++;
             return;
@@ -41,7 +41,7 @@
      * @param plannedNanos from the first to the last intended sending
      * @param takenNanos from the first intended sending to the last answer
      */
-    synchronized void onBlock(long plannedNanos, long takenNanos) {
+    synchronized void recordBatch(long plannedNanos, long takenNanos) {
         mPlannedNanos += plannedNanos;
         mTakenNanos += takenNanos;
     }
@@ -52,18 +52,18 @@
     }
 
     /** Returns how many answers were right. */
-    synchronized long rights() {
+    synchronized long successes() {
         return mMicros.getTotalCount();
     }
 
     /** Returns how many answers were wrong or missing. */
-    synchronized long wrongs() {
+    synchronized long errors() {
         return mWrong;
     }
 
     /** Returns the right answers a second, over the time that the answers took. */
-    synchronized double answersPerSecond() {
-        return mTakenNanos == 0 ? 0 : rights() * NANOS_PER_SECOND / mTakenNanos;
+    synchronized double responsesPerSecond() {
+        return mTakenNanos == 0 ? 0 : successes() * NANOS_PER_SECOND / mTakenNanos;
     }
 
     /** Returns whether all answers were right and came about as fast as they were asked for. */
--- a/lab/src/main/java/org/dahliapass/lab/latency/OpenLoop.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/OpenLoopGenerator.java
@@ -5,17 +5,17 @@
 import org.dahliapass.kernel.Futures;
 
 /** Sends requests at a fixed rate, whether or not the earlier ones have been answered. */
-final class OpenLoop {
+final class OpenLoopGenerator {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final Pacer mPacer;
 
-    OpenLoop(Pacer pacer) {
+    OpenLoopGenerator(Pacer pacer) {
         mPacer = pacer;
     }
 
     /** Sends a block of requests and returns when all have been answered or have failed. */
-    void run(Sender sender, int rate, int requests, LoadTally tally) {
+    void run(RequestSender sender, int rate, int requests, LatencyRecorder tally) {
         long start = mPacer.nowNanos();
         AtomicLong end = new AtomicLong(start);
         CompletableFuture<?>[] answers = new CompletableFuture<?>[requests];
@@ -28,7 +28,7 @@
                     answer,
                     (right, failure) -> {
                         long now = mPacer.nowNanos();
-                        tally.onAnswer(now - intended, failure == null && right);
+                        tally.recordResponse(now - intended, failure == null && right);
                         end.accumulateAndGet(now, Math::max);
                         recorded.complete(null);
                     });
@@ -36,6 +36,6 @@
         }
         CompletableFuture.allOf(answers).join();
         long planned = requests * NANOS_PER_SECOND / rate;
-        tally.onBlock(planned, Math.max(planned, end.get() - start));
+        tally.recordBatch(planned, Math.max(planned, end.get() - start));
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/PacedReader.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/RateLimitedReader.java
@@ -8,7 +8,7 @@
 import org.reactivestreams.Subscription;
 
 /** Reads a body no faster than at a given rate and counts its bytes. */
-final class PacedReader implements Subscriber<HttpData> {
+final class RateLimitedReader implements Subscriber<HttpData> {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Pacer mPacer;
@@ -24,7 +24,7 @@
      *
      * @param bytesPerSecond the highest rate
      */
-    PacedReader(Pacer pacer, ScheduledExecutorService executor, long bytesPerSecond) {
+    RateLimitedReader(Pacer pacer, ScheduledExecutorService executor, long bytesPerSecond) {
         mPacer = pacer;
         mExecutor = executor;
         mBytesPerSecond = bytesPerSecond;
@@ -32,7 +32,7 @@
     }
 
     /** Returns how many bytes the body had, once it has ended; fails if it broke off. */
-    CompletableFuture<Long> read() {
+    CompletableFuture<Long> bodyLength() {
         return mRead;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/latency/Requests.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/RequestFactory.java
@@ -21,7 +21,7 @@
 import org.dahliapass.kernel.OperationException;
 
 /** Makes the requests of a load, for a VM and for the target behind it. */
-final class Requests {
+final class RequestFactory {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int OK = 200;
     private static final Duration MOST_WAITED = Duration.ofSeconds(30);
@@ -35,7 +35,8 @@
     private final Map<String, Long> mWrongs = new ConcurrentHashMap<>();
     private final AtomicLong mNextKey = new AtomicLong();
 
-    Requests(ClientFactory factory, String vm, String target, String customer, String service) {
+    RequestFactory(
+            ClientFactory factory, String vm, String target, String customer, String service) {
         mVm = vm;
         mCustomer = customer;
         mService = service;
@@ -52,22 +53,22 @@
     }
 
     /** Returns what sends idempotent GET requests to the target. */
-    Sender readDirect(String path) {
+    RequestSender directReads(String path) {
         return () -> judged(mTargetClient.get(path));
     }
 
     /** Returns what sends the same GET requests to the VM. */
-    Sender readViaVm(String path) {
+    RequestSender readsViaVm(String path) {
         return () -> judged(mVmClient.get(prefix() + path));
     }
 
     /** Returns what sends POST requests to the target, each under a key of its own. */
-    Sender operateDirect(String path) {
+    RequestSender directOperations(String path) {
         return () -> judged(mTargetClient.execute(operation(path, "direct")));
     }
 
     /** Returns what sends guarded POST requests to the VM, with a token asked for now. */
-    Sender operateViaVm(String path) {
+    RequestSender operationsViaVm(String path) {
         String token = token();
         return () -> judged(mVmClient.execute(operation(prefix() + path, token)));
     }
@@ -110,7 +111,7 @@
     }
 
     /** Returns the wrong answers so far, by what they were, with their counts. */
-    Map<String, Long> wrongs() {
+    Map<String, Long> errors() {
         return new TreeMap<>(mWrongs);
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/latency/Sender.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/RequestSender.java
@@ -4,7 +4,7 @@
 
 /** Sends one request of a load. */
 @FunctionalInterface
-interface Sender {
+interface RequestSender {
     /** Sends a request; the future tells, once the whole answer is there, whether it is right. */
     CompletableFuture<Boolean> send();
 }
--- a/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
+++ b/lab/src/main/java/org/dahliapass/lab/latency/StreamMeasurement.java
@@ -13,12 +13,12 @@
     private static final long SAMPLE_MILLIS = 50;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final Requests mRequests;
+    private final RequestFactory mRequests;
     private final ResidentMemory mMemory;
     private final Pacer mPacer;
     private final ScheduledExecutorService mExecutor = Executors.newScheduledThreadPool(2);
 
-    StreamMeasurement(Requests requests, ResidentMemory memory, Pacer pacer) {
+    StreamMeasurement(RequestFactory requests, ResidentMemory memory, Pacer pacer) {
         mRequests = requests;
         mMemory = memory;
         mPacer = pacer;
@@ -52,9 +52,9 @@
 
     private long read(String path, long bytesPerSecond) {
         SplitHttpResponse answer = mRequests.streamViaVm(path).split();
-        PacedReader reader = new PacedReader(mPacer, mExecutor, bytesPerSecond);
+        RateLimitedReader reader = new RateLimitedReader(mPacer, mExecutor, bytesPerSecond);
         answer.body().subscribe(reader);
-        return reader.read().join();
+        return reader.bodyLength().join();
     }
 
     @Override
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/Caller.java
@@ -38,7 +38,7 @@
     record Address(String address, String token) {}
 
     /** Asks which addresses to use. */
-    List<Address> ask(String customer, String service) {
+    List<Address> discover(String customer, String service) {
         String path = "/ask?customer=" + customer + "&service=" + service;
         AggregatedHttpResponse answer = client(mAsked).get(path).aggregate().join();
         if (answer.status().code() != OK) {
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/Tally.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/ResultCounter.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What became of the requests of one kind. */
-final class Tally {
+final class ResultCounter {
     private static final long MOST_MICROS = 600_000_000L;
     private static final double MICROS_PER_MILLI = 1000.0;
 
@@ -17,20 +17,20 @@
     private int mWrong;
     private String mFirstWrong = "";
 
-    Tally(String name) {
+    ResultCounter(String name) {
         mName = name;
     }
 
-    synchronized void good(long micros) {
+    synchronized void recordSuccess(long micros) {
         mGood++;
         mMicros.recordValue(Math.min(micros, MOST_MICROS));
     }
 
-    synchronized void refused() {
+    synchronized void recordRejection() {
         mRefused++;
     }
 
-    synchronized void failed() {
+    synchronized void recordFailure() {
         mFailed++;
     }
 
@@ -38,18 +38,18 @@
         return mFailed;
     }
 
-    synchronized void wrong(String what) {
+    synchronized void recordIncorrect(String what) {
         mWrong++;
         if (mFirstWrong.isEmpty()) {
             mFirstWrong = what;
         }
     }
 
-    synchronized int wrongs() {
+    synchronized int incorrect() {
         return mWrong;
     }
 
-    synchronized int goods() {
+    synchronized int successes() {
         return mGood;
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/quickstart/TrafficMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/quickstart/TrafficMain.java
@@ -31,7 +31,7 @@
     private static final long LIMIT_SECONDS = 300;
 
     private final Clock mClock = new MonotonicClock();
-    private final List<Tally> mTallies = new ArrayList<>();
+    private final List<ResultCounter> mTallies = new ArrayList<>();
     private OptionSpec<String> mVm;
     private OptionSpec<Integer> mRequests;
     private OptionSpec<Long> mExtractBytes;
@@ -77,15 +77,15 @@
                 extract(caller, "vatulele", "archive", "/exports/season", bytes);
             }
         }
-        System.out.println(Tally.header());
+        System.out.println(ResultCounter.header());
         mTallies.forEach(tally -> System.out.println(tally.row()));
         boolean gray = options.has(mGray);
         boolean allRight =
                 mTallies.stream()
                         .allMatch(
                                 tally ->
-                                        tally.wrongs() == 0
-                                                && tally.goods() > 0
+                                        tally.incorrect() == 0
+                                                && tally.successes() > 0
                                                 && (gray || tally.failures() == 0));
         return allRight ? ExitCode.OK : ExitCode.FAILED;
     }
@@ -94,16 +94,16 @@
         return ChronoUnit.MICROS.between(start, mClock.instant());
     }
 
-    private Tally tally(String name) {
-        Tally tally = new Tally(name);
+    private ResultCounter tally(String name) {
+        ResultCounter tally = new ResultCounter(name);
         mTallies.add(tally);
         return tally;
     }
 
     private void listings(Caller caller, String customer, String service, String path, int requests)
             throws InterruptedException {
-        Tally tally = tally(customer + path);
-        List<Caller.Address> addresses = caller.ask(customer, service);
+        ResultCounter tally = tally(customer + path);
+        List<Caller.Address> addresses = caller.discover(customer, service);
         inParallel(
                 requests,
                 number -> {
@@ -120,8 +120,8 @@
 
     private void guarded(Caller caller, String customer, String service, String path, int requests)
             throws InterruptedException {
-        Tally tally = tally(customer + path);
-        List<Caller.Address> addresses = caller.ask(customer, service);
+        ResultCounter tally = tally(customer + path);
+        List<Caller.Address> addresses = caller.discover(customer, service);
         inParallel(
                 requests,
                 number -> {
@@ -147,29 +147,31 @@
         return answer;
     }
 
-    private void judge(Tally tally, AggregatedHttpResponse answer, String path, Instant start) {
+    private void judge(
+            ResultCounter tally, AggregatedHttpResponse answer, String path, Instant start) {
         boolean refused = answer.headers().contains("retry-after");
         if (refused) {
-            tally.refused();
+            tally.recordRejection();
         } else if (answer.status().isServerError()) {
-            tally.failed();
+            tally.recordFailure();
         } else if (answer.status().code() != OK || !answer.contentUtf8().contains(path)) {
-            tally.wrong(answer.status() + " " + answer.contentUtf8());
+            tally.recordIncorrect(answer.status() + " " + answer.contentUtf8());
         } else {
-            tally.good(microsSince(start));
+            tally.recordSuccess(microsSince(start));
         }
     }
 
     private static void judgeRepeat(
-            Tally tally, AggregatedHttpResponse first, AggregatedHttpResponse repeated) {
+            ResultCounter tally, AggregatedHttpResponse first, AggregatedHttpResponse repeated) {
         if (first.status().code() == OK && !first.contentUtf8().equals(repeated.contentUtf8())) {
-            tally.wrong("repeated key: " + repeated.headers() + " " + repeated.contentUtf8());
+            tally.recordIncorrect(
+                    "repeated key: " + repeated.headers() + " " + repeated.contentUtf8());
         }
     }
 
     private void extract(Caller caller, String customer, String service, String path, long bytes) {
-        Tally tally = tally(customer + path);
-        String address = caller.ask(customer, service).get(0).address();
+        ResultCounter tally = tally(customer + path);
+        String address = caller.discover(customer, service).get(0).address();
         Instant start = mClock.instant();
         SplitHttpResponse split =
                 caller.get(
@@ -179,10 +181,10 @@
         ResponseHeaders headers = split.headers().join();
         long received = length(split);
         if (headers.status().code() != OK || received != bytes) {
-            tally.wrong(headers.status() + ", " + received + " bytes");
+            tally.recordIncorrect(headers.status() + ", " + received + " bytes");
             return;
         }
-        tally.good(microsSince(start));
+        tally.recordSuccess(microsSince(start));
     }
 
     private static long length(SplitHttpResponse response) {
--- a/lab/src/test/java/org/dahliapass/lab/capacity/LineFitTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/capacity/LineFitTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests the line through measured points, and the spread of repetitions. */
+/** Tests for {@link LineFit}, {@link Measurement} and {@link Spread}. */
 public final class LineFitTest {
     private static final double EXACT = 1e-9;
 
     @Test
-    public void pointsOnALineGiveItsBaseAndSlope() {
+    public void fitsExactLine() {
         LineFit line = LineFit.of(new double[] {1, 4, 8}, new double[] {149, 419, 779});
 
         assertEquals(line.base(), 59, EXACT);
@@ -22,19 +22,19 @@
     }
 
     @Test
-    public void anOutlierBendsTheLineAndShowsAsAMiss() {
-        Slope straight = slope(10, 20, 30);
-        Slope bent = slope(10, 20, 60);
+    public void outlierChangesLineAndIncreasesError() {
+        Measurement straight = measurement(10, 20, 30);
+        Measurement bent = measurement(10, 20, 60);
 
-        assertEquals(straight.miss(), 0, EXACT);
-        // Least squares through (1,10), (2,20), (3,60): base -20, slope 25.
+        assertEquals(straight.maxRelativeError(), 0, EXACT);
+        // Least squares for (1,10), (2,20), (3,60): base -20, slope 25.
         assertEquals(bent.line().base(), -20, EXACT);
         assertEquals(bent.line().slope(), 25, EXACT);
-        assertEquals(bent.miss(), 0.5, EXACT);
+        assertEquals(bent.maxRelativeError(), 0.5, EXACT);
     }
 
     @Test
-    public void aSinglePointOrSizeIsNoLine() {
+    public void rejectsFewerThanTwoSizesOrMismatchedValues() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> LineFit.of(new double[] {5}, new double[] {5}));
@@ -47,22 +47,22 @@
     }
 
     @Test
-    public void theSpreadTellsHowFarRepetitionsDiffer() {
+    public void spreadReportsRelativeRangeOfRepetitions() {
         Spread wide = Spread.of(12, 8, 10);
         Spread narrow = Spread.of(10);
 
         assertEquals(wide, new Spread(8, 10, 12));
-        assertEquals(wide.width(), 0.4, EXACT);
-        assertEquals(narrow.width(), 0, EXACT);
+        assertEquals(wide.relativeWidth(), 0.4, EXACT);
+        assertEquals(narrow.relativeWidth(), 0, EXACT);
         assertThrows(IllegalArgumentException.class, Spread::of);
-        assertTrue(Spread.of(-1, 0, 1).width() == 0);
+        assertTrue(Spread.of(-1, 0, 1).relativeWidth() == 0);
     }
 
-    private static Slope slope(double... medians) {
-        List<Slope.Point> points = new ArrayList<>();
+    private static Measurement measurement(double... medians) {
+        List<Measurement.Point> points = new ArrayList<>();
         for (double median : medians) {
-            points.add(new Slope.Point(points.size() + 1.0, Spread.of(median)));
+            points.add(new Measurement.Point(points.size() + 1.0, Spread.of(median)));
         }
-        return Slope.of(Quantity.CELL_PLAN, points);
+        return Measurement.of(Quantity.CELL_PLAN, points);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/latency/OpenLoopTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/latency/OpenLoopGeneratorTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 
-/** Tests for {@link OpenLoop}. */
-public class OpenLoopTest {
+/** Tests for {@link OpenLoopGenerator}. */
+public class OpenLoopGeneratorTest {
     private static final long MILLI = 1_000_000;
 
     /** Time that passes only when it is awaited or a sender takes it. */
@@ -32,13 +32,13 @@
     public void sendsAtTheRateWhateverTheAnswersDo() {
         VirtualTime time = new VirtualTime();
         List<Long> sent = new ArrayList<>();
-        Sender sender =
+        RequestSender sender =
                 () -> {
                     sent.add((time.nowNanos() - 77 * MILLI) / MILLI);
                     return CompletableFuture.completedFuture(true);
                 };
-        LoadTally tally = new LoadTally();
-        new OpenLoop(time).run(sender, 100, 4, tally);
+        LatencyRecorder tally = new LatencyRecorder();
+        new OpenLoopGenerator(time).run(sender, 100, 4, tally);
         assertEquals(sent, List.of(0L, 10L, 20L, 30L));
         assertTrue(tally.isSustained());
         assertEquals(tally.percentileMillis(100), 0.0);
@@ -49,13 +49,13 @@
         // A generator that counts from the real sending sees one request of 95 ms and nine of 0 ms.
         // Their users waited 95, 85, 75, ... ms: the stall held all of them up.
         VirtualTime time = new VirtualTime();
-        Sender sender =
+        RequestSender sender =
                 () -> {
                     time.awaitNanos((77 + 95) * MILLI);
                     return CompletableFuture.completedFuture(true);
                 };
-        LoadTally tally = new LoadTally();
-        new OpenLoop(time).run(sender, 100, 10, tally);
+        LatencyRecorder tally = new LatencyRecorder();
+        new OpenLoopGenerator(time).run(sender, 100, 10, tally);
         assertEquals(tally.percentileMillis(100), 95.0, 0.1);
         assertEquals(tally.percentileMillis(50), 45.0, 0.1);
     }
@@ -69,24 +69,24 @@
                                 CompletableFuture.completedFuture(true),
                                 CompletableFuture.completedFuture(false),
                                 CompletableFuture.failedFuture(new IllegalStateException("cut"))));
-        LoadTally tally = new LoadTally();
-        new OpenLoop(time).run(() -> answers.remove(0), 100, 3, tally);
-        assertEquals(tally.rights(), 1);
-        assertEquals(tally.wrongs(), 2);
+        LatencyRecorder tally = new LatencyRecorder();
+        new OpenLoopGenerator(time).run(() -> answers.remove(0), 100, 3, tally);
+        assertEquals(tally.successes(), 1);
+        assertEquals(tally.errors(), 2);
         assertFalse(tally.isSustained());
     }
 
     @Test
     public void answersThatComeLongAfterTheLastSendingAreNotSustained() {
         VirtualTime time = new VirtualTime();
-        Sender sender =
+        RequestSender sender =
                 () -> {
                     time.awaitNanos(time.nowNanos() + 20 * MILLI);
                     return CompletableFuture.completedFuture(true);
                 };
-        LoadTally tally = new LoadTally();
-        new OpenLoop(time).run(sender, 100, 10, tally);
+        LatencyRecorder tally = new LatencyRecorder();
+        new OpenLoopGenerator(time).run(sender, 100, 10, tally);
         assertFalse(tally.isSustained());
-        assertEquals(tally.answersPerSecond(), 50.0, 0.1);
+        assertEquals(tally.responsesPerSecond(), 50.0, 0.1);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/latency/PacedReaderTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/latency/RateLimitedReaderTest.java
@@ -11,8 +11,8 @@
 import org.reactivestreams.Subscription;
 import org.testng.annotations.Test;
 
-/** Tests for {@link PacedReader}. */
-public class PacedReaderTest {
+/** Tests for {@link RateLimitedReader}. */
+public class RateLimitedReaderTest {
     /** A clock that stands still. */
     private static final class Still implements Pacer {
         @Override
@@ -40,13 +40,13 @@
     @Test
     public void countsTheBodyAndAsksForOnePieceAtATime() throws InterruptedException {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
-        PacedReader reader = new PacedReader(new Still(), executor, Long.MAX_VALUE);
+        RateLimitedReader reader = new RateLimitedReader(new Still(), executor, Long.MAX_VALUE);
         Source source = new Source();
         reader.onSubscribe(source);
         reader.onNext(HttpData.ofUtf8("seven.."));
         assertEquals(source.mRequested, 2);
         reader.onComplete();
-        assertEquals(reader.read().join(), Long.valueOf(7));
+        assertEquals(reader.bodyLength().join(), Long.valueOf(7));
         executor.shutdown();
         assertEquals(executor.awaitTermination(10, TimeUnit.SECONDS), true);
     }
@@ -54,7 +54,7 @@
     @Test
     public void aReaderThatIsAheadOfItsRateAsksForNothingYet() {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
-        PacedReader reader = new PacedReader(new Still(), executor, 1);
+        RateLimitedReader reader = new RateLimitedReader(new Still(), executor, 1);
         Source source = new Source();
         reader.onSubscribe(source);
         reader.onNext(HttpData.ofUtf8("an hour of bytes".repeat(225)));
@@ -65,9 +65,9 @@
     @Test
     public void aBodyThatBreaksOffFails() {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
-        PacedReader reader = new PacedReader(new Still(), executor, 1);
+        RateLimitedReader reader = new RateLimitedReader(new Still(), executor, 1);
         reader.onError(new IllegalStateException("cut"));
-        assertThrows(CompletionException.class, () -> reader.read().join());
+        assertThrows(CompletionException.class, () -> reader.bodyLength().join());
         executor.shutdownNow();
     }
 }
