--- a/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/BaselinePlacer.java
@@ -12,35 +12,35 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * What is compared with: the less loaded of two random targets by a VM's own count, or a choice by
- * the true state of all targets, which no VM can know.
+ * A baseline placer: either power of two choices by one VM's own in-flight counts, or an omniscient
+ * choice by the actual state of all targets.
  */
 final class BaselinePlacer implements Placer<FleetTarget> {
     private final List<FleetTarget> mTargets;
     private final Map<Endpoint, Integer> mInFlight;
     private final SplittableRandom mRandom;
-    private final boolean mAllKnowing;
+    private final boolean mOmniscient;
 
     private BaselinePlacer(
             List<FleetTarget> targets,
             Map<Endpoint, Integer> inFlight,
             SplittableRandom random,
-            boolean allKnowing) {
+            boolean omniscient) {
         mTargets = targets;
         mInFlight = inFlight;
         mRandom = random;
-        mAllKnowing = allKnowing;
+        mOmniscient = omniscient;
     }
 
-    /** Returns one VM's choice between two random targets. */
+    /** Returns a placer that picks the less loaded of two random targets. */
     static BaselinePlacer powerOfTwo(List<FleetTarget> targets, SplittableRandom random) {
         return new BaselinePlacer(targets, new HashMap<>(), random, false);
     }
 
     /**
-     * Returns a choice by the true state of all targets.
+     * Returns a placer that knows the load and the failures of all targets.
      *
-     * @param inFlight what all VMs have in flight, shared by them
+     * @param inFlight the requests in flight per target, shared by the placers of all VMs
      */
     static BaselinePlacer omniscient(
             List<FleetTarget> targets, Map<Endpoint, Integer> inFlight, SplittableRandom random) {
@@ -48,13 +48,13 @@
     }
 
     @Override
-    public CompletableFuture<FleetTarget> acquire(SimulatedRequest<FleetTarget> attempt) {
+    public CompletableFuture<FleetTarget> acquire(SimulatedRequest<FleetTarget> request) {
         return CompletableFuture.completedFuture(choose(Set.of()));
     }
 
     @Override
     public Optional<FleetTarget> retry(
-            SimulatedRequest<FleetTarget> attempt, FailedAttempt failed) {
+            SimulatedRequest<FleetTarget> request, FailedAttempt failed) {
         boolean allowed = failed.kind().idempotency().isRepeatable() || !failed.mayHaveRun();
         return allowed && failed.attempts() < 2
                 ? Optional.of(choose(failed.tried()))
@@ -67,24 +67,24 @@
     }
 
     @Override
-    public Optional<FleetTarget> hedge(SimulatedRequest<FleetTarget> attempt, Set<Endpoint> tried) {
+    public Optional<FleetTarget> hedge(SimulatedRequest<FleetTarget> request, Set<Endpoint> tried) {
         return Optional.empty();
     }
 
     @Override
-    public Endpoint target(FleetTarget place) {
-        return place.endpoint();
+    public Endpoint target(FleetTarget target) {
+        return target.endpoint();
     }
 
     @Override
-    public void release(FleetTarget place, Outcome outcome, long tookMillis) {
-        mInFlight.merge(place.endpoint(), -1, Integer::sum);
+    public void release(FleetTarget target, Outcome outcome, long latencyMillis) {
+        mInFlight.merge(target.endpoint(), -1, Integer::sum);
     }
 
     private FleetTarget choose(Set<Endpoint> tried) {
         FleetTarget best = draw();
-        int tries = mAllKnowing ? 4 * mTargets.size() : 1;
-        for (int number = 0; number < tries; number++) {
+        int candidates = mOmniscient ? 4 * mTargets.size() : 1;
+        for (int number = 0; number < candidates; number++) {
             FleetTarget next = draw();
             if (cost(next, tried) < cost(best, tried)) {
                 best = next;
@@ -100,7 +100,7 @@
 
     private int cost(FleetTarget target, Set<Endpoint> tried) {
         int inFlight = mInFlight.getOrDefault(target.endpoint(), 0);
-        boolean avoided = tried.contains(target.endpoint()) || (mAllKnowing && target.isFailing());
+        boolean avoided = tried.contains(target.endpoint()) || (mOmniscient && target.isFailing());
         return avoided ? inFlight + 1_000_000 : inFlight;
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/EventScheduler.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/EventScheduler.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import org.dahliapass.kernel.ManualClock;
 
-/** A virtual clock that runs what is due in the order of its time. */
+/** A discrete-event scheduler on a virtual clock. Not thread-safe. */
 final class EventScheduler {
     private static final Instant START = Instant.ofEpochSecond(1_000_000);
 
@@ -18,7 +18,7 @@
 
     private record Entry(long atMillis, long sequence, Runnable action) {}
 
-    /** Returns the clock, for the decisions under test. */
+    /** Returns the virtual clock. */
     ManualClock clock() {
         return mClock;
     }
@@ -27,7 +27,7 @@
         return mClock.millis();
     }
 
-    /** Returns the milliseconds since the start. */
+    /** Returns the milliseconds since the start of the simulation. */
     long elapsedMillis() {
         return nowMillis() - START.toEpochMilli();
     }
@@ -45,10 +45,10 @@
                 });
     }
 
-    /** Runs all that is due within a time from the start. */
+    /** Runs all actions that are due within the given time from the start. */
     void runFor(Duration length) {
-        long end = START.toEpochMilli() + length.toMillis();
-        while (!mEntries.isEmpty() && mEntries.peek().atMillis() <= end) {
+        long endMillis = START.toEpochMilli() + length.toMillis();
+        while (!mEntries.isEmpty() && mEntries.peek().atMillis() <= endMillis) {
             Entry entry = mEntries.remove();
             mClock.advance(Duration.ofMillis(entry.atMillis() - nowMillis()));
             entry.action().run();
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FailureMode.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FailureMode.java
@@ -1,13 +1,13 @@
 package org.dahliapass.lab.fleet;
 
-/** What a target does with the work that it fails while it is in a bout. */
+/** How a target fails requests during a failure period. */
 enum FailureMode {
-    /** It answers with an error of its own within a millisecond. */
+    /** Returns a server error after one millisecond. */
     ERROR,
-    /** It breaks the connection off within a millisecond. */
+    /** Resets the connection after one millisecond. */
     RESET,
-    /** It never answers. */
+    /** Never responds. */
     HANG,
-    /** It takes eight times as long. */
+    /** Takes eight times the usual service time. */
     SLOW
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetMain.java
@@ -9,9 +9,9 @@
 import org.dahliapass.kernel.ExitCode;
 import org.dahliapass.kernel.Program;
 
-/** Prints what the placement of work earns in scenarios, beside a plain way and a ceiling. */
+/** Compares production request placement with baselines in simulated scenarios. */
 public final class FleetMain extends Program {
-    /** The scenarios that come with the tool. */
+    /** The built-in scenarios. */
     static final List<String> SCENARIOS =
             List.of(
                     "locks-errors",
@@ -34,7 +34,7 @@
     private final PrintStream mOutput;
 
     private FleetMain(PrintStream output) {
-        super("measure fleet", "Measures the placement of work on a virtual clock.");
+        super("measure fleet", "Simulates request placement on a virtual clock.");
         mOutput = output;
     }
 
@@ -46,44 +46,43 @@
 
     @Override
     protected void declareOptions(OptionParser parser) {
-        parser.accepts("seed", "The first seed.")
+        parser.accepts("seed", "Seed of the first run.")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(1);
-        parser.accepts("runs", "Runs for each line, with different seeds.")
+        parser.accepts("runs", "Number of runs per line, each with its own seed.")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(DEFAULT_RUNS);
-        parser.accepts("scenario", "Only this scenario; may be given several times.")
-                .withRequiredArg();
-        parser.accepts("production-only", "Without the plain way and the ceiling.");
+        parser.accepts("scenario", "Runs only this scenario; may be repeated.").withRequiredArg();
+        parser.accepts("production-only", "Omits the baselines.");
     }
 
     @Override
     protected ExitCode run(OptionSet options) {
-        List<String> names = new ArrayList<>();
-        options.valuesOf("scenario").forEach(name -> names.add((String) name));
+        List<String> scenarios = new ArrayList<>();
+        options.valuesOf("scenario").forEach(name -> scenarios.add((String) name));
         mOutput.println(FleetResult.HEADER);
-        for (String name : names.isEmpty() ? SCENARIOS : names) {
+        for (String name : scenarios.isEmpty() ? SCENARIOS : scenarios) {
             Scenario scenario = Scenario.ofName(name);
-            for (PlacementStrategy choice : PlacementStrategy.values()) {
-                if (choice == PlacementStrategy.PRODUCTION || !options.has("production-only")) {
-                    mOutput.println(line(scenario, choice, options));
+            for (PlacementStrategy strategy : PlacementStrategy.values()) {
+                if (strategy == PlacementStrategy.PRODUCTION || !options.has("production-only")) {
+                    mOutput.println(line(scenario, strategy, options));
                 }
             }
         }
         return ExitCode.OK;
     }
 
-    private static String line(Scenario scenario, PlacementStrategy choice, OptionSet options) {
-        int first = (Integer) options.valueOf("seed");
+    private static String line(Scenario scenario, PlacementStrategy strategy, OptionSet options) {
+        int firstSeed = (Integer) options.valueOf("seed");
         int runs = (Integer) options.valueOf("runs");
         List<FleetResult> figures =
-                IntStream.range(first, first + runs)
+                IntStream.range(firstSeed, firstSeed + runs)
                         .parallel()
-                        .mapToObj(seed -> FleetSimulation.simulate(scenario, choice, seed))
+                        .mapToObj(seed -> FleetSimulation.simulate(scenario, strategy, seed))
                         .toList();
         return FleetResult.line(
-                scenario.name(), choice.name().toLowerCase(java.util.Locale.ROOT), figures);
+                scenario.name(), strategy.name().toLowerCase(java.util.Locale.ROOT), figures);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetResult.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetResult.java
@@ -5,22 +5,22 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What a run came to, all as shares.
+ * The results of one simulation run.
  *
- * @param payoffRatio payoff earned of payoff owed
- * @param served requests served
- * @param refused requests refused, which didn't run
- * @param failed requests that failed or may have run
- * @param worstWindowsPayoffRatio payoff earned in the two worst windows of 2 seconds
- * @param extraAttempts tries beyond the first of each request, of requests
- * @param failedAttempts tries that targets failed, of tries
- * @param minUsedShare the least share of sound targets in use in any window of 2 seconds
- * @param windowsBelowFloor the number of such windows, one each half second, in which requests were
- *     lost while less than the floor share of the sound targets was in use
- * @param poisonCrashes targets that ended under a request that ends its targets
- * @param latePoisonDeliveries how often such a request reached a target later than 3 s after the
- *     third end
- * @param quarantined other requests that were kept from all targets for what ended beside them
+ * @param payoffRatio payoff earned, as a share of the highest possible payoff
+ * @param served the share of requests that were served
+ * @param refused the share of requests that were refused and did not run
+ * @param failed the share of requests that may have run and got no response
+ * @param worstWindowsPayoffRatio the mean payoff ratio of the two worst windows of 2 seconds
+ * @param extraAttempts attempts beyond the first, per request
+ * @param failedAttempts the share of attempts that failed because of the target
+ * @param minUsedShare the lowest share of healthy targets in use in any window of 2 seconds
+ * @param windowsBelowFloor the number of these windows, one starting every 500 ms, in which
+ *     requests were lost while the share of healthy targets in use was below the floor share
+ * @param poisonCrashes the number of targets that poison requests crashed
+ * @param latePoisonDeliveries the number of poison requests that reached a target more than 3 s
+ *     after the third crash
+ * @param quarantined harmless requests that were quarantined, per harmless request
  */
 record FleetResult(
         double payoffRatio,
@@ -35,7 +35,7 @@
         double poisonCrashes,
         double latePoisonDeliveries,
         double quarantined) {
-    /** The heading of the lines that {@link #line} writes. */
+    /** The header of the lines that {@link #line} formats. */
     static final String HEADER =
             String.format(
                     Locale.ROOT,
@@ -55,14 +55,15 @@
                     "late",
                     "held");
 
-    private static final double DEVIATIONS_95 = 1.96;
+    private static final double Z_95 = 1.96;
 
-    /** Writes the means of several runs, the worth with its 95% interval. */
+    /** Returns the means over several runs, the payoff ratio with its 95% confidence interval. */
     static String line(String scenario, String placement, List<FleetResult> runs) {
         double mean = mean(runs, FleetResult::payoffRatio);
-        double squares =
+        double squaredDeviations =
                 runs.stream().mapToDouble(run -> Math.pow(run.payoffRatio() - mean, 2)).sum();
-        double error = Math.sqrt(squares / Math.max(1, runs.size() - 1) / runs.size());
+        double standardError =
+                Math.sqrt(squaredDeviations / Math.max(1, runs.size() - 1) / runs.size());
         return String.format(
                 Locale.ROOT,
                 "%-18s %-10s %.4f ± %.4f %7.4f %7.4f %7.4f %7.4f %7.4f %7.4f %7.4f %7.2f"
@@ -70,7 +71,7 @@
                 scenario,
                 placement,
                 mean,
-                DEVIATIONS_95 * error,
+                Z_95 * standardError,
                 mean(runs, FleetResult::served),
                 mean(runs, FleetResult::refused),
                 mean(runs, FleetResult::failed),
@@ -84,7 +85,7 @@
                 mean(runs, FleetResult::quarantined));
     }
 
-    private static double mean(List<FleetResult> runs, ToDoubleFunction<FleetResult> figure) {
-        return runs.stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(List<FleetResult> runs, ToDoubleFunction<FleetResult> metric) {
+        return runs.stream().mapToDouble(metric).average().orElse(0);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetSimulation.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetSimulation.java
@@ -22,68 +22,69 @@
 import org.dahliapass.traffic.EntryMetrics;
 import org.dahliapass.traffic.ServiceRuntime;
 
-/** One run of a scenario with one seed and one way to place work. */
+/** A simulation of one scenario with one seed and one placement strategy. */
 final class FleetSimulation {
     private static final long REPORT_MILLIS = 100;
-    private static final long UPKEEP_MILLIS = 250;
+    private static final long MAINTENANCE_MILLIS = 250;
     private static final int FIRST_PORT = 10_000;
     private static final String ZONE = "a";
 
     private final Scenario mScenario;
     private final SplittableRandom mRandom;
-    private final EventScheduler mTimeline = new EventScheduler();
-    private final FleetStatistics mTally = new FleetStatistics();
+    private final EventScheduler mScheduler = new EventScheduler();
+    private final FleetStatistics mStatistics = new FleetStatistics();
     private final List<FleetTarget> mTargets = new ArrayList<>();
-    private final Map<Endpoint, FleetTarget> mByEndpoint = new HashMap<>();
-    private final Set<String> mCutPaths = new HashSet<>();
+    private final Map<Endpoint, FleetTarget> mTargetsByEndpoint = new HashMap<>();
+    private final Set<String> mLossyPaths = new HashSet<>();
     private final EntryMetrics mMetrics = new EntryMetrics();
 
-    /** Of their own, so that scenarios without such requests are the same with and without them. */
+    /** Separate, so that drawing digests does not change the other random draws. */
     private final SplittableRandom mDigestRandom;
 
-    private final SplittableRandom mNewsRandom;
+    private final SplittableRandom mReportRandom;
     private long mRequestNumber;
 
     private FleetSimulation(Scenario scenario, long seed) {
         mScenario = scenario;
         mRandom = new SplittableRandom(seed);
         mDigestRandom = new SplittableRandom(~seed);
-        mNewsRandom = mDigestRandom.split();
+        mReportRandom = mDigestRandom.split();
         for (int number = 0; number < scenario.targets(); number++) {
             Endpoint endpoint = new Endpoint("10.0.0.1", FIRST_PORT + number);
             FleetTarget target =
-                    new FleetTarget(scenario, mTimeline, mRandom.split(), endpoint, mTally);
+                    new FleetTarget(scenario, mScheduler, mRandom.split(), endpoint, mStatistics);
             mTargets.add(target);
-            mByEndpoint.put(endpoint, target);
+            mTargetsByEndpoint.put(endpoint, target);
         }
     }
 
-    /** Plays a scenario. */
-    static FleetResult simulate(Scenario scenario, PlacementStrategy choice, long seed) {
-        FleetSimulation run = new FleetSimulation(scenario, seed);
-        switch (choice) {
-            case PRODUCTION -> run.startProduction();
-            case POWER_OF_TWO -> run.startBaselines(false);
-            case ALL_KNOWING -> run.startBaselines(true);
+    /** Runs a scenario and returns its results. */
+    static FleetResult simulate(Scenario scenario, PlacementStrategy strategy, long seed) {
+        FleetSimulation simulation = new FleetSimulation(scenario, seed);
+        switch (strategy) {
+            case PRODUCTION -> simulation.startProduction();
+            case POWER_OF_TWO -> simulation.startBaselines(false);
+            case ALL_KNOWING -> simulation.startBaselines(true);
         }
-        run.mTimeline.runFor(scenario.duration());
-        Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts = new HashMap<>();
-        run.mTargets.forEach(target -> bouts.put(target.endpoint(), target.failurePeriods()));
-        return run.mTally.result(bouts, scenario.duration().toMillis());
+        simulation.mScheduler.runFor(scenario.duration());
+        Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> failurePeriods = new HashMap<>();
+        simulation.mTargets.forEach(
+                target -> failurePeriods.put(target.endpoint(), target.failurePeriods()));
+        return simulation.mStatistics.result(failurePeriods, scenario.duration().toMillis());
     }
 
-    private void startBaselines(boolean allKnowing) {
+    private void startBaselines(boolean omniscient) {
         Map<Endpoint, Integer> inFlight = new HashMap<>();
         List<Placer<FleetTarget>> placers = new ArrayList<>();
         for (int number = 0; number < mScenario.vms(); number++) {
             placers.add(
-                    allKnowing
+                    omniscient
                             ? BaselinePlacer.omniscient(mTargets, inFlight, mRandom.split())
                             : BaselinePlacer.powerOfTwo(mTargets, mRandom.split()));
         }
-        List<PoisonPolicy> guards = new ArrayList<>();
-        placers.forEach(placer -> guards.add(new PoisonPolicy()));
-        startLoads(placers, guards);
+        List<PoisonPolicy> poisonPolicies = new ArrayList<>();
+        placers.forEach(placer -> poisonPolicies.add(new PoisonPolicy()));
+        startLoads(placers, poisonPolicies);
     }
 
     private void startProduction() {
@@ -95,16 +96,17 @@
         for (int number = 0; number < runtimes.size(); number++) {
             int self = number;
             ServiceRuntime runtime = runtimes.get(number);
-            runtime.setObservationListener((service, news) -> tell(runtimes, self, news));
-            mTimeline.schedule(
+            runtime.setObservationListener(
+                    (service, observation) -> broadcastObservation(runtimes, self, observation));
+            mScheduler.schedule(
                     mRandom.nextLong(REPORT_MILLIS),
                     () ->
-                            mTimeline.schedulePeriodically(
-                                    REPORT_MILLIS, () -> report(runtimes, self)));
-            mTimeline.schedulePeriodically(UPKEEP_MILLIS, runtime::runMaintenance);
+                            mScheduler.schedulePeriodically(
+                                    REPORT_MILLIS, () -> broadcastReports(runtimes, self)));
+            mScheduler.schedulePeriodically(MAINTENANCE_MILLIS, runtime::runMaintenance);
             placers.add(new RuntimePlacer(runtime));
         }
-        startLoads(placers, productionGuards());
+        startLoads(placers, productionPolicies());
     }
 
     private ServiceRuntime newRuntime() {
@@ -135,7 +137,7 @@
                 new ServiceRuntime(
                         ZONE,
                         template,
-                        mTimeline.clock(),
+                        mScheduler.clock(),
                         mRandom.split(),
                         new NoOpTargetEventListener(),
                         mMetrics);
@@ -153,15 +155,16 @@
         return runtime;
     }
 
-    private void tell(List<ServiceRuntime> runtimes, int self, TargetObservation news) {
-        sendToOthers(runtimes, self, other -> other.onPeerObservation(news));
+    private void broadcastObservation(
+            List<ServiceRuntime> runtimes, int self, TargetObservation observation) {
+        sendToOthers(runtimes, self, other -> other.onPeerObservation(observation));
     }
 
-    private void report(List<ServiceRuntime> runtimes, int self) {
-        List<TargetReport> work = runtimes.get(self).drainReport();
-        if (!work.isEmpty()) {
+    private void broadcastReports(List<ServiceRuntime> runtimes, int self) {
+        List<TargetReport> reports = runtimes.get(self).drainReport();
+        if (!reports.isEmpty()) {
             VmIdentity vm = new VmIdentity("vm-" + self, 0);
-            sendToOthers(runtimes, self, other -> other.onPeerReport(vm, work));
+            sendToOthers(runtimes, self, other -> other.onPeerReport(vm, reports));
         }
     }
 
@@ -170,78 +173,79 @@
         for (int other = 0; other < runtimes.size(); other++) {
             ServiceRuntime receiver = runtimes.get(other);
             if (other != self && mRandom.nextDouble() >= mScenario.messageLossRate()) {
-                mTimeline.schedule(mScenario.messageDelayMillis(), () -> message.accept(receiver));
+                mScheduler.schedule(mScenario.messageDelayMillis(), () -> message.accept(receiver));
             }
         }
     }
 
-    /** Lets the VMs tell each other of requests that end their targets. */
-    private List<PoisonPolicy> productionGuards() {
-        List<PoisonPolicy.Production> guards = new ArrayList<>();
+    /** Returns one policy per VM, connected to those of the other VMs. */
+    private List<PoisonPolicy> productionPolicies() {
+        List<PoisonPolicy.Production> poisonPolicies = new ArrayList<>();
         for (int number = 0; number < mScenario.vms(); number++) {
-            guards.add(new PoisonPolicy.Production(mTimeline));
+            poisonPolicies.add(new PoisonPolicy.Production(mScheduler));
         }
-        for (PoisonPolicy.Production guard : guards) {
-            guard.setReportSender(news -> tellOthers(guards, guard, news));
+        for (PoisonPolicy.Production policy : poisonPolicies) {
+            policy.setReportSender(report -> broadcastReport(poisonPolicies, policy, report));
         }
-        return List.copyOf(guards);
+        return List.copyOf(poisonPolicies);
     }
 
-    private void tellOthers(
-            List<PoisonPolicy.Production> guards,
+    private void broadcastReport(
+            List<PoisonPolicy.Production> poisonPolicies,
             PoisonPolicy.Production self,
-            SuspectReport news) {
-        for (PoisonPolicy.Production other : guards) {
-            if (other != self && mNewsRandom.nextDouble() >= mScenario.messageLossRate()) {
-                mTimeline.schedule(mScenario.messageDelayMillis(), () -> other.onPeerReport(news));
+            SuspectReport report) {
+        for (PoisonPolicy.Production other : poisonPolicies) {
+            if (other != self && mReportRandom.nextDouble() >= mScenario.messageLossRate()) {
+                mScheduler.schedule(
+                        mScenario.messageDelayMillis(), () -> other.onPeerReport(report));
             }
         }
     }
 
-    private void endRack() {
+    private void crashRack() {
         mTargets.stream()
                 .limit(Math.round(mScenario.rackShare() * mTargets.size()))
                 .forEach(FleetTarget::crash);
     }
 
-    private <S> void startLoads(List<Placer<S>> placers, List<PoisonPolicy> guards) {
+    private <S> void startLoads(List<Placer<S>> placers, List<PoisonPolicy> poisonPolicies) {
         if (mScenario.rackShare() > 0) {
-            mTimeline.schedule(mScenario.duration().toMillis() / 3, this::endRack);
+            mScheduler.schedule(mScenario.duration().toMillis() / 3, this::crashRack);
         }
         for (int vm = 0; vm < placers.size(); vm++) {
             for (FleetTarget target : mTargets) {
                 if (mRandom.nextDouble() < mScenario.lossyPathShare()) {
-                    mCutPaths.add(vm + "/" + target.endpoint());
+                    mLossyPaths.add(vm + "/" + target.endpoint());
                 }
             }
         }
         for (RequestLoad load : mScenario.loads()) {
-            arrive(load, placers, guards, mRandom.split());
+            scheduleArrival(load, placers, poisonPolicies, mRandom.split());
         }
     }
 
-    private <S> void arrive(
+    private <S> void scheduleArrival(
             RequestLoad load,
             List<Placer<S>> placers,
-            List<PoisonPolicy> guards,
+            List<PoisonPolicy> poisonPolicies,
             SplittableRandom random) {
         double factor =
-                mScenario.isMiddleThird(mTimeline.elapsedMillis()) ? mScenario.burstFactor() : 1;
+                mScenario.isMiddleThird(mScheduler.elapsedMillis()) ? mScenario.burstFactor() : 1;
         double meanMillis = 1_000 / (load.requestsPerSecond() * factor);
-        mTimeline.schedule(
+        mScheduler.schedule(
                 Math.round(-meanMillis * Math.log(1 - random.nextDouble())),
                 () -> {
                     int vm = random.nextInt(placers.size());
                     new SimulatedRequest<>(
                                     load,
                                     placers.get(vm),
-                                    new Paths(vm),
-                                    mTimeline,
-                                    mTally,
-                                    guards.get(vm),
+                                    new VmNetwork(vm),
+                                    mScheduler,
+                                    mStatistics,
+                                    poisonPolicies.get(vm),
                                     digest(load))
                             .start();
-                    arrive(load, placers, guards, random);
+                    scheduleArrival(load, placers, poisonPolicies, random);
                 });
     }
 
@@ -253,11 +257,11 @@
         return new RequestDigest(load.kind().name().hashCode(), number);
     }
 
-    /** The ways of one VM to all targets. */
-    private final class Paths implements SimulatedRequest.Network {
+    /** The network between one VM and all targets. */
+    private final class VmNetwork implements SimulatedRequest.Network {
         private final int mVm;
 
-        private Paths(int vm) {
+        private VmNetwork(int vm) {
             mVm = vm;
         }
 
@@ -266,23 +270,23 @@
                 Endpoint target,
                 RequestLoad load,
                 RequestDigest digest,
-                Consumer<FailureKind> end) {
-            if (mScenario.isMiddleThird(mTimeline.elapsedMillis())
-                    && mCutPaths.contains(mVm + "/" + target)) {
+                Consumer<FailureKind> callback) {
+            if (mScenario.isMiddleThird(mScheduler.elapsedMillis())
+                    && mLossyPaths.contains(mVm + "/" + target)) {
                 return;
             }
-            FleetTarget reached = target(target);
-            if (load.crashesTarget() && !reached.isDown()) {
-                mTally.onPoisonDelivered(mTimeline.elapsedMillis());
+            FleetTarget receiver = target(target);
+            if (load.crashesTarget() && !receiver.isDown()) {
+                mStatistics.onPoisonDelivered(mScheduler.elapsedMillis());
             } else {
-                mTally.onDelivered(target, mTimeline.elapsedMillis());
+                mStatistics.onDelivered(target, mScheduler.elapsedMillis());
             }
-            reached.accept(load, end);
+            receiver.accept(load, callback);
         }
 
         @Override
         public FleetTarget target(Endpoint target) {
-            return mByEndpoint.get(target);
+            return mTargetsByEndpoint.get(target);
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetStatistics.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetStatistics.java
@@ -5,108 +5,112 @@
 import java.util.Map;
 import org.dahliapass.model.Endpoint;
 
-/** Counts what a run earned. */
+/** Collects the counters of a simulation run. Not thread-safe. */
 final class FleetStatistics {
     private static final long WINDOW_MILLIS = 2_000;
 
-    /** The share of a service's sound targets that is to stay in use. */
+    /** The share of healthy targets that must stay in use. */
     static final double FLOOR_SHARE = 0.7;
 
-    /** Targets that a request may end before all VMs are to know it. */
-    private static final int ENDS_ALLOWED = 3;
+    /** Crashes after which a poison request must be quarantined. */
+    private static final int CRASHES_BEFORE_QUARANTINE = 3;
 
-    /** How long the VMs may take to know it. */
-    private static final long STABLE_MILLIS = 3_000;
+    /** Time allowed for the quarantine to take effect on all VMs. */
+    private static final long QUARANTINE_DELAY_MILLIS = 3_000;
 
-    private final TargetUsageTracker mSpread = new TargetUsageTracker(FLOOR_SHARE);
+    private final TargetUsageTracker mUsageTracker = new TargetUsageTracker(FLOOR_SHARE);
     private final List<double[]> mWindows = new ArrayList<>();
-    private double mOwed;
-    private double mEarned;
+    private double mMaxPayoff;
+    private double mEarnedPayoff;
     private int mRequests;
     private int mServed;
     private int mRefused;
     private int mFailed;
-    private int mTries;
-    private int mBadTries;
-    private int mHeldBack;
-    private int mPoisonEnds;
-    private int mPoisonLate;
-    private long mThirdEndMillis = Long.MAX_VALUE / 2;
-
-    /** Takes a request that arrived. */
+    private int mAttempts;
+    private int mFailedAttempts;
+    private int mQuarantined;
+    private int mPoisonCrashes;
+    private int mLatePoisonDeliveries;
+    private long mQuarantineCrashMillis = Long.MAX_VALUE / 2;
+
+    /** Records the arrival of a request. */
     void onArrival(RequestLoad load, long elapsedMillis) {
         if (load.crashesTarget()) {
             return;
         }
         mRequests++;
-        mOwed += load.payoff();
+        mMaxPayoff += load.payoff();
         window(elapsedMillis)[0] += load.payoff();
     }
 
-    /** Takes a whole answer. */
-    void onServed(RequestLoad load, long arrivalMillis, long tookMillis) {
+    /**
+     * Records a complete response.
+     *
+     * @param arrivalMillis when the request arrived, since the start of the run
+     */
+    void onServed(RequestLoad load, long arrivalMillis, long latencyMillis) {
         mServed++;
-        mSpread.onServed(arrivalMillis);
-        boolean late = tookMillis > load.kind().lateAfter().toMillis();
+        mUsageTracker.onServed(arrivalMillis);
+        boolean late = latencyMillis > load.kind().lateAfter().toMillis();
         double payoff = late ? load.latePayoff() : load.payoff();
-        mEarned += payoff;
+        mEarnedPayoff += payoff;
         window(arrivalMillis)[1] += payoff;
     }
 
-    /** Takes work that reached a target. */
+    /** Records the delivery of a request to a target. */
     void onDelivered(Endpoint target, long elapsedMillis) {
-        mSpread.onDelivered(target, elapsedMillis);
+        mUsageTracker.onDelivered(target, elapsedMillis);
     }
 
-    /** Takes a refusal of a request that arrived then. */
+    /** Records the refusal of a request that arrived at the given time. */
     void onRefused(RequestLoad load, long arrivalMillis) {
         if (load.crashesTarget()) {
             return;
         }
         mRefused++;
-        mSpread.onLost(arrivalMillis);
+        mUsageTracker.onLost(arrivalMillis);
     }
 
-    /** Takes the failure of a request that arrived then. */
+    /** Records the failure of a request that arrived at the given time. */
     void onFailed(RequestLoad load, long arrivalMillis) {
         if (load.crashesTarget()) {
             return;
         }
         mFailed++;
-        mSpread.onLost(arrivalMillis);
+        mUsageTracker.onLost(arrivalMillis);
     }
 
-    /** Takes a request that was kept from all targets, as targets ended under others like it. */
+    /** Records the quarantine of a request that arrived at the given time. */
     void onQuarantined(RequestLoad load, long arrivalMillis) {
         if (!load.crashesTarget()) {
-            mHeldBack++;
+            mQuarantined++;
         }
         onRefused(load, arrivalMillis);
     }
 
-    /** Takes that a request which ends its target reached one. */
+    /** Records the delivery of a poison request to a running target. */
     void onPoisonDelivered(long elapsedMillis) {
-        if (elapsedMillis > mThirdEndMillis + STABLE_MILLIS) {
-            mPoisonLate++;
+        if (elapsedMillis > mQuarantineCrashMillis + QUARANTINE_DELAY_MILLIS) {
+            mLatePoisonDeliveries++;
         }
     }
 
-    /** Takes the end of a target under a request. */
+    /** Records the crash of a target by a poison request. */
     void onPoisonCrash(long elapsedMillis) {
-        mPoisonEnds++;
-        if (mPoisonEnds == ENDS_ALLOWED) {
-            mThirdEndMillis = elapsedMillis;
+        mPoisonCrashes++;
+        if (mPoisonCrashes == CRASHES_BEFORE_QUARANTINE) {
+            mQuarantineCrashMillis = elapsedMillis;
         }
     }
 
     void onAttempt(RequestLoad load) {
         if (!load.crashesTarget()) {
-            mTries++;
+            mAttempts++;
         }
     }
 
     void onFailedAttempt() {
-        mBadTries++;
+        mFailedAttempts++;
     }
 
     private double[] window(long elapsedMillis) {
@@ -118,15 +122,16 @@
     }
 
     /**
-     * Returns what the run came to.
+     * Returns the results of the run.
      *
-     * @param bouts the bouts of each target
-     * @param lengthMillis how long the run was
+     * @param failurePeriods the failure periods of each target
+     * @param lengthMillis the length of the run
      */
     FleetResult result(
-            Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> bouts, long lengthMillis) {
-        TargetUsageTracker.TargetUsage spread = mSpread.usage(bouts, lengthMillis);
-        double worst =
+            Map<Endpoint, List<TargetUsageTracker.FailurePeriod>> failurePeriods,
+            long lengthMillis) {
+        TargetUsageTracker.TargetUsage usage = mUsageTracker.usage(failurePeriods, lengthMillis);
+        double worstWindows =
                 mWindows.stream()
                         .filter(window -> window[0] > 0)
                         .mapToDouble(window -> window[1] / window[0])
@@ -136,17 +141,17 @@
                         .orElse(0);
         double requests = Math.max(1, mRequests);
         return new FleetResult(
-                mEarned / Math.max(1, mOwed),
+                mEarnedPayoff / Math.max(1, mMaxPayoff),
                 mServed / requests,
                 mRefused / requests,
                 mFailed / requests,
-                worst,
-                (mTries - mRequests) / requests,
-                mBadTries / (double) Math.max(1, mTries),
-                spread.minUsedShare(),
-                spread.windowsBelowFloor(),
-                mPoisonEnds,
-                mPoisonLate,
-                mHeldBack / requests);
+                worstWindows,
+                (mAttempts - mRequests) / requests,
+                mFailedAttempts / (double) Math.max(1, mAttempts),
+                usage.minUsedShare(),
+                usage.windowsBelowFloor(),
+                mPoisonCrashes,
+                mLatePoisonDeliveries,
+                mQuarantined / requests);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/FleetTarget.java
@@ -9,38 +9,41 @@
 import org.dahliapass.decisions.traffic.FailureKind;
 import org.dahliapass.model.Endpoint;
 
-/** One fake target: slots, a short queue, and bouts in which it fails a share of its work. */
+/** A simulated target with slots, a bounded queue and periods in which it fails some requests. */
 final class FleetTarget {
     private static final int SLOW_FACTOR = 8;
 
     private final Scenario mScenario;
-    private final EventScheduler mTimeline;
+    private final EventScheduler mScheduler;
     private final SplittableRandom mRandom;
     private final Endpoint mEndpoint;
-    private final FleetStatistics mTally;
+    private final FleetStatistics mStatistics;
     private final Deque<Runnable> mQueue = new ArrayDeque<>();
-    private final List<TargetUsageTracker.FailurePeriod> mBouts = new ArrayList<>();
-    private boolean mInBout;
-    private long mBoutFromMillis;
-    private final List<Consumer<FailureKind>> mAtWork = new ArrayList<>();
+    private final List<TargetUsageTracker.FailurePeriod> mFailurePeriods = new ArrayList<>();
+    private boolean mFailing;
+    private long mFailingSinceMillis;
+    private final List<Consumer<FailureKind>> mPendingCallbacks = new ArrayList<>();
     private int mRunning;
     private int mStarts = 1;
     private boolean mDown;
 
     FleetTarget(
             Scenario scenario,
-            EventScheduler timeline,
+            EventScheduler scheduler,
             SplittableRandom random,
             Endpoint endpoint,
-            FleetStatistics tally) {
-        mTally = tally;
+            FleetStatistics statistics) {
+        mStatistics = statistics;
         mScenario = scenario;
-        mTimeline = timeline;
+        mScheduler = scheduler;
         mRandom = random;
         mEndpoint = endpoint;
-        double bout = scenario.meanFailurePeriod().toMillis();
-        mInBout = random.nextDouble() < bout / (bout + scenario.meanHealthyPeriod().toMillis());
-        mTimeline.schedule(untilTurn(), this::turn);
+        double meanFailingMillis = scenario.meanFailurePeriod().toMillis();
+        mFailing =
+                random.nextDouble()
+                        < meanFailingMillis
+                                / (meanFailingMillis + scenario.meanHealthyPeriod().toMillis());
+        mScheduler.schedule(millisUntilToggle(), this::toggleFailing);
     }
 
     Endpoint endpoint() {
@@ -48,69 +51,70 @@
     }
 
     boolean isFailing() {
-        return mInBout;
+        return mFailing;
     }
 
-    private long untilTurn() {
+    private long millisUntilToggle() {
         double mean =
-                (mInBout ? mScenario.meanFailurePeriod() : mScenario.meanHealthyPeriod())
+                (mFailing ? mScenario.meanFailurePeriod() : mScenario.meanHealthyPeriod())
                         .toMillis();
         return Math.max(1, Math.round(-mean * Math.log(1 - mRandom.nextDouble())));
     }
 
-    /** Returns the bouts up to now. */
+    /** Returns the failure periods so far; one that lasts ends at the present time. */
     List<TargetUsageTracker.FailurePeriod> failurePeriods() {
-        List<TargetUsageTracker.FailurePeriod> bouts = new ArrayList<>(mBouts);
-        if (mInBout) {
-            bouts.add(
+        List<TargetUsageTracker.FailurePeriod> failurePeriods = new ArrayList<>(mFailurePeriods);
+        if (mFailing) {
+            failurePeriods.add(
                     new TargetUsageTracker.FailurePeriod(
-                            mBoutFromMillis, mTimeline.elapsedMillis()));
+                            mFailingSinceMillis, mScheduler.elapsedMillis()));
         }
-        return bouts;
+        return failurePeriods;
     }
 
-    private void turn() {
-        if (mInBout) {
-            mBouts.add(
+    private void toggleFailing() {
+        if (mFailing) {
+            mFailurePeriods.add(
                     new TargetUsageTracker.FailurePeriod(
-                            mBoutFromMillis, mTimeline.elapsedMillis()));
+                            mFailingSinceMillis, mScheduler.elapsedMillis()));
         }
-        mInBout = !mInBout;
-        mBoutFromMillis = mTimeline.elapsedMillis();
-        mTimeline.schedule(untilTurn(), this::turn);
+        mFailing = !mFailing;
+        mFailingSinceMillis = mScheduler.elapsedMillis();
+        mScheduler.schedule(millisUntilToggle(), this::toggleFailing);
     }
 
     /**
-     * Takes a request.
+     * Accepts, queues or refuses a request.
      *
-     * @param end gets null for a whole answer, else how the work failed; never called if it hangs
+     * @param callback receives null on success, else the failure; never called if the target hangs
      */
-    void accept(RequestLoad load, Consumer<FailureKind> end) {
+    void accept(RequestLoad load, Consumer<FailureKind> callback) {
         if (mDown) {
-            mTimeline.schedule(1, () -> end.accept(FailureKind.CONNECT_FAILED));
+            mScheduler.schedule(1, () -> callback.accept(FailureKind.CONNECT_FAILED));
             return;
         }
-        if (mInBout
+        if (mFailing
                 && mScenario.failureMode() != FailureMode.SLOW
                 && fails(mScenario.failureShare())) {
-            failInBout(end);
+            failRequest(callback);
             return;
         }
         if (mRunning < mScenario.slots()) {
-            mAtWork.add(end);
-            run(load, end);
+            mPendingCallbacks.add(callback);
+            run(load, callback);
         } else if (mQueue.size() < mScenario.queue()) {
-            mAtWork.add(end);
-            mQueue.add(() -> run(load, end));
+            mPendingCallbacks.add(callback);
+            mQueue.add(() -> run(load, callback));
         } else {
-            mTimeline.schedule(1, () -> end.accept(FailureKind.REFUSED_NOT_PROCESSED));
+            mScheduler.schedule(1, () -> callback.accept(FailureKind.REFUSED_NOT_PROCESSED));
         }
     }
 
-    private void failInBout(Consumer<FailureKind> end) {
+    private void failRequest(Consumer<FailureKind> callback) {
         switch (mScenario.failureMode()) {
-            case ERROR -> mTimeline.schedule(1, () -> end.accept(FailureKind.SERVER_ERROR));
-            case RESET -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND));
+            case ERROR -> mScheduler.schedule(1, () -> callback.accept(FailureKind.SERVER_ERROR));
+            case RESET ->
+                    mScheduler.schedule(1, () -> callback.accept(FailureKind.RESET_AFTER_SEND));
             default -> {}
         }
     }
@@ -119,12 +123,12 @@
         return mDown;
     }
 
-    /** Returns a name of this start of the target. */
+    /** Returns the incarnation, which changes with each restart. */
     String incarnation() {
         return mEndpoint + "@" + mStarts;
     }
 
-    /** Ends the target's process with all that it has; it is back after a while. */
+    /** Crashes the target, resets its connections and schedules its restart. */
     void crash() {
         if (mDown) {
             return;
@@ -132,11 +136,13 @@
         mDown = true;
         mRunning = 0;
         mQueue.clear();
-        List<Consumer<FailureKind>> atWork = List.copyOf(mAtWork);
-        mAtWork.clear();
-        atWork.forEach(
-                end -> mTimeline.schedule(1, () -> end.accept(FailureKind.RESET_AFTER_SEND)));
-        mTimeline.schedule(
+        List<Consumer<FailureKind>> pendingCallbacks = List.copyOf(mPendingCallbacks);
+        mPendingCallbacks.clear();
+        pendingCallbacks.forEach(
+                callback ->
+                        mScheduler.schedule(
+                                1, () -> callback.accept(FailureKind.RESET_AFTER_SEND)));
+        mScheduler.schedule(
                 mScenario.restartDelay().toMillis(),
                 () -> {
                     mDown = false;
@@ -144,17 +150,17 @@
                 });
     }
 
-    private void run(RequestLoad load, Consumer<FailureKind> end) {
+    private void run(RequestLoad load, Consumer<FailureKind> callback) {
         mRunning++;
-        mTimeline.schedule(
-                workMillis(load),
+        mScheduler.schedule(
+                serviceMillis(load),
                 () -> {
-                    if (!mAtWork.remove(end)) {
+                    if (!mPendingCallbacks.remove(callback)) {
                         return;
                     }
                     if (load.crashesTarget()) {
-                        mTally.onPoisonCrash(mTimeline.elapsedMillis());
-                        mAtWork.add(end);
+                        mStatistics.onPoisonCrash(mScheduler.elapsedMillis());
+                        mPendingCallbacks.add(callback);
                         crash();
                         return;
                     }
@@ -163,7 +169,7 @@
                         mQueue.remove().run();
                     }
                     boolean failed = fails(mScenario.baseFailureRate());
-                    end.accept(failed ? FailureKind.SERVER_ERROR : null);
+                    callback.accept(failed ? FailureKind.SERVER_ERROR : null);
                 });
     }
 
@@ -171,11 +177,11 @@
         return mRandom.nextDouble() < share;
     }
 
-    private long workMillis(RequestLoad load) {
-        double spread = load.serviceTimeSigma();
-        double scale = Math.exp(spread * mRandom.nextGaussian() - spread * spread / 2);
+    private long serviceMillis(RequestLoad load) {
+        double sigma = load.serviceTimeSigma();
+        double scale = Math.exp(sigma * mRandom.nextGaussian() - sigma * sigma / 2);
         boolean slow =
-                mInBout
+                mFailing
                         && mScenario.failureMode() == FailureMode.SLOW
                         && fails(mScenario.failureShare());
         return Math.max(1, Math.round(load.meanServiceMillis() * scale * (slow ? SLOW_FACTOR : 1)));
--- a/lab/src/main/java/org/dahliapass/lab/fleet/NoOpTargetEventListener.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/NoOpTargetEventListener.java
@@ -5,7 +5,7 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.traffic.TargetEventListener;
 
-/** Takes outcomes that the health part would weigh, which these runs leave out. */
+/** A listener that ignores all events, for simulations without health detection. */
 final class NoOpTargetEventListener implements TargetEventListener {
     @Override
     public void onOutcome(
--- a/lab/src/main/java/org/dahliapass/lab/fleet/PlacementStrategy.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/PlacementStrategy.java
@@ -1,11 +1,11 @@
 package org.dahliapass.lab.fleet;
 
-/** The ways to place work that a run compares. */
+/** A strategy for choosing the targets of requests. */
 enum PlacementStrategy {
-    /** The decisions that VMs run in production. */
+    /** The algorithm that VMs run in production. */
     PRODUCTION,
-    /** The less loaded of two random targets, by each VM's own count. */
+    /** The less loaded of two random targets, by each VM's own in-flight counts. */
     POWER_OF_TWO,
-    /** A choice by the true state of all targets, as a ceiling. */
+    /** An omniscient choice by the actual state of all targets; an upper bound. */
     ALL_KNOWING
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Placer.java
@@ -8,26 +8,26 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Gives the tries of one VM their targets.
+ * Chooses the targets of one VM's attempts.
  *
- * @param <S> what a try holds while it runs
+ * @param <S> the slot that an attempt occupies while it runs
  */
 interface Placer<S> {
-    /** Gets a place for a first try; fails if the request is refused. */
-    CompletableFuture<S> acquire(SimulatedRequest<S> attempt);
+    /** Acquires a slot for a first attempt; completes exceptionally if the request is refused. */
+    CompletableFuture<S> acquire(SimulatedRequest<S> request);
 
-    /** Gets a place for a try after one that failed; empty for none. */
-    Optional<S> retry(SimulatedRequest<S> attempt, FailedAttempt failed);
+    /** Acquires a slot for a retry after a failed attempt; empty if it may not be retried. */
+    Optional<S> retry(SimulatedRequest<S> request, FailedAttempt failed);
 
-    /** Returns after which time a second try beside a slow one is asked for; negative for never. */
+    /** Returns the delay before a hedge, in milliseconds; negative for no hedge. */
     long hedgeDelayMillis(RequestLoad load);
 
-    /** Gets a place for a try beside one that is slow; empty for none. */
-    Optional<S> hedge(SimulatedRequest<S> attempt, Set<Endpoint> tried);
+    /** Acquires a slot for a hedge outside the targets already tried; empty if there is none. */
+    Optional<S> hedge(SimulatedRequest<S> request, Set<Endpoint> tried);
 
-    /** Returns the target of a place. */
-    Endpoint target(S place);
+    /** Returns the target of a slot. */
+    Endpoint target(S slot);
 
-    /** Gives a place back. */
-    void release(S place, Outcome outcome, long tookMillis);
+    /** Releases a slot and records the outcome of its attempt. */
+    void release(S slot, Outcome outcome, long latencyMillis);
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/PoisonPolicy.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/PoisonPolicy.java
@@ -8,67 +8,75 @@
 import org.dahliapass.decisions.poison.Treatment;
 import org.dahliapass.model.RequestDigest;
 
-/** What one VM does about requests that end their targets; by default it knows of none. */
+/** One VM's handling of poison requests; this base class suspects no request. */
 class PoisonPolicy {
-    /** A connection that breaks is followed by a check whether its target listens. */
-    private static final long CHECK_MILLIS = 2;
+    /** Delay between a broken connection and the check whether its target crashed. */
+    private static final long CRASH_CHECK_MILLIS = 2;
 
-    /** Returns what may be done with a request. */
+    /** Returns how a request may be run. */
     Treatment treatment(RequestDigest digest) {
         return Treatment.USUAL;
     }
 
-    /** Returns whose turn it is among suspected requests that are alike. */
+    /**
+     * Returns the locks that run suspected requests with equal digests one at a time.
+     *
+     * @throws IllegalStateException if this policy suspects no requests
+     */
     DigestLocks digestLocks() {
-        throw new IllegalStateException("No request is suspected.");
+        throw new IllegalStateException("A policy that suspects no requests has no digest locks.");
     }
 
-    /** Takes that the connection to a target broke while it had a request. */
+    /**
+     * Records that the connection to a target broke while a request was in flight.
+     *
+     * @param whenChecked runs once it is known whether the target crashed
+     */
     void onConnectionBroken(
-            FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
+            FleetTarget target, TargetCrash crash, RequestDigest digest, Runnable whenChecked) {
         whenChecked.run();
     }
 
-    /** Takes that a target answered a request. */
+    /** Records that a target responded to a request. */
     void onResponse(RequestDigest digest) {}
 
-    /** Decides as VMs do in production. */
+    /** The policy that VMs use in production. */
     static final class Production extends PoisonPolicy {
-        private static final int TIMES_TOLD = 3;
-        private static final long TOLD_AGAIN_MILLIS = 200;
+        private static final int BROADCASTS = 3;
+        private static final long REBROADCAST_MILLIS = 200;
 
-        private final PoisonDetector mRegister = new PoisonDetector();
-        private final DigestLocks mTurns = new DigestLocks();
-        private final EventScheduler mTimeline;
-        private Consumer<SuspectReport> mTeller;
+        private final PoisonDetector mDetector = new PoisonDetector();
+        private final DigestLocks mDigestLocks = new DigestLocks();
+        private final EventScheduler mScheduler;
+        private Consumer<SuspectReport> mReportSender;
 
-        Production(EventScheduler timeline) {
-            mTimeline = timeline;
+        Production(EventScheduler scheduler) {
+            mScheduler = scheduler;
         }
 
-        /** Sets who tells all other VMs. */
-        void setReportSender(Consumer<SuspectReport> teller) {
-            mTeller = teller;
+        /** Sets the callback that sends reports to all other VMs. */
+        void setReportSender(Consumer<SuspectReport> sender) {
+            mReportSender = sender;
         }
 
         @Override
         Treatment treatment(RequestDigest digest) {
-            return mRegister.treatment(digest, mTimeline.nowMillis());
+            return mDetector.treatment(digest, mScheduler.nowMillis());
         }
 
         @Override
         DigestLocks digestLocks() {
-            return mTurns;
+            return mDigestLocks;
         }
 
         @Override
         void onConnectionBroken(
-                FleetTarget target, TargetCrash end, RequestDigest digest, Runnable whenChecked) {
-            mTimeline.schedule(
-                    CHECK_MILLIS,
+                FleetTarget target, TargetCrash crash, RequestDigest digest, Runnable whenChecked) {
+            mScheduler.schedule(
+                    CRASH_CHECK_MILLIS,
                     () -> {
-                        if (target.isDown() && mRegister.onCrash(digest, end, now())) {
-                            tell(digest, TIMES_TOLD);
+                        if (target.isDown() && mDetector.onCrash(digest, crash, now())) {
+                            broadcast(digest, BROADCASTS);
                         }
                         whenChecked.run();
                     });
@@ -76,27 +84,27 @@
 
         @Override
         void onResponse(RequestDigest digest) {
-            if (!mRegister.isEmpty() && mRegister.onAnswered(digest, now())) {
-                tell(digest, TIMES_TOLD);
+            if (!mDetector.isEmpty() && mDetector.onAnswered(digest, now())) {
+                broadcast(digest, BROADCASTS);
             }
         }
 
-        /** Takes what another VM tells. */
-        void onPeerReport(SuspectReport news) {
-            if (mRegister.onPeerReport(news, now())) {
-                tell(news.digest(), 1);
+        /** Applies a report from another VM. */
+        void onPeerReport(SuspectReport report) {
+            if (mDetector.onPeerReport(report, now())) {
+                broadcast(report.digest(), 1);
             }
         }
 
-        private void tell(RequestDigest digest, int times) {
-            mTeller.accept(mRegister.report(digest, now()));
+        private void broadcast(RequestDigest digest, int times) {
+            mReportSender.accept(mDetector.report(digest, now()));
             if (times > 1) {
-                mTimeline.schedule(TOLD_AGAIN_MILLIS, () -> tell(digest, times - 1));
+                mScheduler.schedule(REBROADCAST_MILLIS, () -> broadcast(digest, times - 1));
             }
         }
 
         private long now() {
-            return mTimeline.nowMillis();
+            return mScheduler.nowMillis();
         }
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RequestLoad.java
@@ -6,16 +6,17 @@
 import org.dahliapass.model.RequestKind;
 
 /**
- * One kind of request of a scenario.
+ * The load of one request kind in a scenario.
  *
- * @param kind the kind as the decisions see it
- * @param requestsPerSecond requests a second of the whole fleet
- * @param meanServiceMillis the mean time of work, in milliseconds
- * @param serviceTimeSigma the logarithmic standard deviation of the time of work
- * @param payoff what an answer within the objective is worth
- * @param latePayoff what a later one is worth
- * @param distinctRequests how many different requests there are of this kind; 0 if no two are alike
- * @param crashesTarget whether the target ends that runs such a request
+ * @param kind the settings of the kind
+ * @param requestsPerSecond the arrival rate over the whole fleet
+ * @param meanServiceMillis the mean service time, in milliseconds
+ * @param serviceTimeSigma the standard deviation of the logarithm of the service time
+ * @param payoff the payoff of a response within the latency objective
+ * @param latePayoff the payoff of a later response
+ * @param distinctRequests the number of distinct requests of this kind; 0 if every request is
+ *     distinct
+ * @param crashesTarget whether a request of this kind crashes its target
  */
 record RequestLoad(
         RequestKind kind,
@@ -26,30 +27,30 @@
         double latePayoff,
         int distinctRequests,
         boolean crashesTarget) {
-    private static final Duration LONGEST = Duration.ofMinutes(1);
+    private static final Duration MAX_DURATION = Duration.ofMinutes(1);
     private static final double PATIENCE_SHARE = 0.6;
     private static final double HEDGE_AFTER_SHARE = 0.6;
     private static final long BODY_BYTES = 1 << 20;
 
-    /** Reads one kind; the section's name is {@code kind NAME}. */
+    /** Reads a kind from a section named {@code kind NAME}. */
     static RequestLoad read(IniSection section, double retryShare) {
-        boolean mayRepeat = section.yesNo("may-repeat");
-        Duration objective = section.duration("objective", Duration.ofMillis(1), LONGEST);
-        Duration timeout = section.duration("timeout", Duration.ofMillis(1), LONGEST);
+        boolean isIdempotent = section.yesNo("may-repeat");
+        Duration objective = section.duration("objective", Duration.ofMillis(1), MAX_DURATION);
+        Duration timeout = section.duration("timeout", Duration.ofMillis(1), MAX_DURATION);
         RequestKind kind =
                 new RequestKind(
                         section.name(),
                         "*",
                         "/",
                         true,
-                        mayRepeat ? Idempotency.IDEMPOTENT : Idempotency.AT_MOST_ONCE,
+                        isIdempotent ? Idempotency.IDEMPOTENT : Idempotency.AT_MOST_ONCE,
                         timeout,
                         scaled(timeout, PATIENCE_SHARE),
                         objective,
                         BODY_BYTES,
                         0,
                         retryShare,
-                        mayRepeat ? scaled(objective, HEDGE_AFTER_SHARE) : Duration.ZERO,
+                        isIdempotent ? scaled(objective, HEDGE_AFTER_SHARE) : Duration.ZERO,
                         false,
                         0.99);
         return new RequestLoad(
--- a/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/RuntimePlacer.java
@@ -10,16 +10,16 @@
 import org.dahliapass.traffic.ServiceRuntime;
 import org.dahliapass.traffic.Slot;
 
-/** The decisions that VMs run in production. */
+/** A placer that runs the production algorithm. */
 record RuntimePlacer(ServiceRuntime runtime) implements Placer<Slot> {
     @Override
-    public CompletableFuture<Slot> acquire(SimulatedRequest<Slot> attempt) {
-        return runtime.acquire(attempt, Set.of());
+    public CompletableFuture<Slot> acquire(SimulatedRequest<Slot> request) {
+        return runtime.acquire(request, Set.of());
     }
 
     @Override
-    public Optional<Slot> retry(SimulatedRequest<Slot> attempt, FailedAttempt failed) {
-        return runtime.retry(attempt, failed);
+    public Optional<Slot> retry(SimulatedRequest<Slot> request, FailedAttempt failed) {
+        return runtime.retry(request, failed);
     }
 
     @Override
@@ -29,17 +29,17 @@
     }
 
     @Override
-    public Optional<Slot> hedge(SimulatedRequest<Slot> attempt, Set<Endpoint> tried) {
-        return runtime.hedge(attempt, tried);
+    public Optional<Slot> hedge(SimulatedRequest<Slot> request, Set<Endpoint> tried) {
+        return runtime.hedge(request, tried);
     }
 
     @Override
-    public Endpoint target(Slot place) {
-        return place.target();
+    public Endpoint target(Slot slot) {
+        return slot.target();
     }
 
     @Override
-    public void release(Slot place, Outcome outcome, long tookMillis) {
-        runtime.release(place, outcome, tookMillis);
+    public void release(Slot slot, Outcome outcome, long latencyMillis) {
+        runtime.release(slot, outcome, latencyMillis);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/Scenario.java
@@ -10,27 +10,26 @@
 import org.dahliapass.kernel.OperationException;
 
 /**
- * A service under a load, and what goes wrong with its targets.
+ * A simulated service, its load and the faults of its targets.
  *
- * @param name its name
- * @param vms VMs that take callers
- * @param duration how long it is played
- * @param messageDelayMillis how long news takes between two VMs, in milliseconds
- * @param messageLossRate the share of news that is lost
- * @param targets how many targets there are
- * @param slots requests that a target works on at once
- * @param queue requests that wait at a target before it refuses more
- * @param baseFailureRate the share of work that sound targets fail
- * @param failureMode what a target does in a bout
- * @param failureShare the share of work that it fails then
- * @param meanFailurePeriod the mean length of a bout
- * @param meanHealthyPeriod the mean time between bouts
- * @param lossyPathShare the share of pairs of a VM and a target whose path loses all, for the
- *     middle third
- * @param restartDelay how long a target that ended takes to be back
- * @param rackShare the share of the targets that end at once at the begin of the middle third
- * @param burstFactor the load in the middle third, as a multiple
- * @param loads its kinds of request
+ * @param vms the number of VMs that accept requests
+ * @param duration the simulated time
+ * @param messageDelayMillis the delay of messages between VMs, in milliseconds
+ * @param messageLossRate the share of messages between VMs that is lost
+ * @param targets the number of targets
+ * @param slots the requests that a target runs concurrently
+ * @param queue the capacity of a target's queue
+ * @param baseFailureRate the share of requests that healthy targets fail
+ * @param failureMode how a target fails requests during a failure period
+ * @param failureShare the share of requests that fail during a failure period
+ * @param meanFailurePeriod the mean length of a failure period
+ * @param meanHealthyPeriod the mean time between failure periods
+ * @param lossyPathShare the share of paths between a VM and a target that drop all requests during
+ *     the middle third
+ * @param restartDelay the time that a crashed target takes to restart
+ * @param rackShare the share of targets that crash together at the start of the middle third
+ * @param burstFactor the factor by which the load changes in the middle third
+ * @param loads the load of each request kind
  */
 record Scenario(
         String name,
@@ -51,22 +50,26 @@
         double rackShare,
         double burstFactor,
         List<RequestLoad> loads) {
-    private static final Duration LONGEST = Duration.ofHours(1);
-    private static final Duration SHORTEST = Duration.ofMillis(1);
-    private static final Duration DEFAULT_RESTART = Duration.ofSeconds(4);
+    private static final Duration MAX_DURATION = Duration.ofHours(1);
+    private static final Duration MIN_DURATION = Duration.ofMillis(1);
+    private static final Duration DEFAULT_RESTART_DELAY = Duration.ofSeconds(4);
     private static final double RETRY_SHARE = 0.18;
 
     Scenario {
         loads = List.copyOf(loads);
     }
 
-    /** Reads a scenario that comes with the tool. */
+    /**
+     * Reads a built-in scenario.
+     *
+     * @throws OperationException if there is no such scenario
+     */
     static Scenario ofName(String name) {
         String path = "/scenarios/" + name + ".ini";
         try (InputStream file = Scenario.class.getResourceAsStream(path)) {
             if (file == null) {
                 throw new OperationException(
-                        "read the scenario", name, "There is none of this name.");
+                        "read the scenario", name, "there is no built-in scenario of this name");
             }
             return read(name, new String(file.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException failure) {
@@ -75,9 +78,10 @@
     }
 
     /**
-     * Reads a scenario from a text.
+     * Reads a scenario from INI text.
      *
-     * @throws org.dahliapass.kernel.SettingsException with all problems of the text
+     * @throws org.dahliapass.kernel.SettingsException if the text is not a valid scenario; lists
+     *     all problems
      */
     static Scenario read(String name, String text) {
         IniFile file = IniFile.parse(name, text);
@@ -91,7 +95,7 @@
                 new Scenario(
                         name,
                         (int) fleet.number("vms", 1, 1_000),
-                        fleet.duration("length", Duration.ofSeconds(1), LONGEST),
+                        fleet.duration("length", Duration.ofSeconds(1), MAX_DURATION),
                         fleet.number("news-delay-ms", 0, 10_000, 1),
                         fleet.fraction("news-loss", 0.01),
                         (int) targets.number("count", 1, 10_000),
@@ -100,10 +104,11 @@
                         targets.fraction("own-failures", 0.01),
                         targets.enumValue("bout", FailureMode.class),
                         targets.fraction("bout-share"),
-                        targets.duration("bout-length", SHORTEST, LONGEST),
-                        targets.duration("sound-length", SHORTEST, LONGEST),
+                        targets.duration("bout-length", MIN_DURATION, MAX_DURATION),
+                        targets.duration("sound-length", MIN_DURATION, MAX_DURATION),
                         targets.fraction("cut-share", 0),
-                        targets.duration("restart", SHORTEST, LONGEST, DEFAULT_RESTART),
+                        targets.duration(
+                                "restart", MIN_DURATION, MAX_DURATION, DEFAULT_RESTART_DELAY),
                         targets.fraction("rack-share", 0),
                         fleet.decimal("burst", 0.1, 100, 1),
                         loads);
@@ -111,7 +116,7 @@
         return scenario;
     }
 
-    /** Returns whether a time lies in the middle third, in which bursts and cuts happen. */
+    /** Returns whether a time lies in the middle third, when bursts and path faults apply. */
     boolean isMiddleThird(long elapsedMillis) {
         long third = duration.toMillis() / 3;
         return elapsedMillis >= third && elapsedMillis < 2 * third;
--- a/lab/src/main/java/org/dahliapass/lab/fleet/SimulatedRequest.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/SimulatedRequest.java
@@ -19,57 +19,65 @@
 import org.dahliapass.traffic.SlotRequest;
 
 /**
- * One request from its arrival to its one end, by the rules of the exchange of a gateway VM.
+ * A simulated request, including its retries and hedges as a gateway VM performs them.
  *
- * @param <S> what a try holds while it runs
+ * @param <S> the slot that an attempt occupies while it runs
  */
 final class SimulatedRequest<S> implements SlotRequest {
-    private static final long HEDGE_AGAIN_MILLIS = 100;
+    private static final long HEDGE_RETRY_MILLIS = 100;
 
     private final RequestLoad mLoad;
     private final Placer<S> mPlacer;
-    private final Network mPaths;
-    private final EventScheduler mTimeline;
-    private final FleetStatistics mTally;
-    private final PoisonPolicy mGuard;
+    private final Network mNetwork;
+    private final EventScheduler mScheduler;
+    private final FleetStatistics mStatistics;
+    private final PoisonPolicy mPoisonPolicy;
     private final RequestDigest mDigest;
     private final long mArrivalMillis;
     private final long mArrivalElapsedMillis;
     private final Map<S, Long> mRunning = new LinkedHashMap<>();
     private final Set<Endpoint> mTried = new HashSet<>();
-    private CompletableFuture<S> mWaiting;
+    private CompletableFuture<S> mPendingSlot;
     private boolean mMayHaveRun;
     private boolean mDone;
-    private int mTries;
-    private boolean mHasTurn;
+    private int mAttempts;
+    private boolean mHoldsLock;
 
-    /** Reaches a target from one VM. */
+    /** The network between one VM and the targets. */
     interface Network {
-        /** Sends work; the end never comes if the path or the target swallows it. */
+        /**
+         * Sends a request to a target.
+         *
+         * @param callback receives null on success, else the failure; never called if the path or
+         *     the target drops the request
+         */
         void send(
-                Endpoint target, RequestLoad load, RequestDigest digest, Consumer<FailureKind> end);
+                Endpoint target,
+                RequestLoad load,
+                RequestDigest digest,
+                Consumer<FailureKind> callback);
 
-        /** Returns the target at an address. */
+        /** Returns the target at an endpoint. */
         FleetTarget target(Endpoint target);
     }
 
     SimulatedRequest(
             RequestLoad load,
             Placer<S> placer,
-            Network paths,
-            EventScheduler timeline,
-            FleetStatistics tally,
-            PoisonPolicy guard,
+            Network network,
+            EventScheduler scheduler,
+            FleetStatistics statistics,
+            PoisonPolicy poisonPolicy,
             RequestDigest digest) {
-        mGuard = guard;
+        mPoisonPolicy = poisonPolicy;
         mDigest = digest;
         mLoad = load;
         mPlacer = placer;
-        mPaths = paths;
-        mTimeline = timeline;
-        mTally = tally;
-        mArrivalMillis = timeline.nowMillis();
-        mArrivalElapsedMillis = timeline.elapsedMillis();
+        mNetwork = network;
+        mScheduler = scheduler;
+        mStatistics = statistics;
+        mArrivalMillis = scheduler.nowMillis();
+        mArrivalElapsedMillis = scheduler.elapsedMillis();
     }
 
     @Override
@@ -93,151 +101,156 @@
     }
 
     void start() {
-        mTally.onArrival(mLoad, mArrivalElapsedMillis);
-        mTimeline.schedule(mLoad.kind().deadline().toMillis(), this::onDeadline);
+        mStatistics.onArrival(mLoad, mArrivalElapsedMillis);
+        mScheduler.schedule(mLoad.kind().deadline().toMillis(), this::onDeadline);
         admit();
     }
 
     private void admit() {
-        if (mDone || isHeldBack()) {
+        if (mDone || isBlocked()) {
             return;
         }
-        CompletableFuture<S> place = mPlacer.acquire(this);
-        mWaiting = place;
-        Futures.whenDone(place, this::onPlace);
+        CompletableFuture<S> slot = mPlacer.acquire(this);
+        mPendingSlot = slot;
+        Futures.whenDone(slot, this::onSlot);
     }
 
-    private boolean isHeldBack() {
-        Treatment treatment = mGuard.treatment(mDigest);
+    private boolean isBlocked() {
+        Treatment treatment = mPoisonPolicy.treatment(mDigest);
         if (!treatment.mayRun()) {
-            refuseQuarantined();
+            rejectQuarantined();
             return true;
         }
-        if (treatment == Treatment.USUAL || !mGuard.digestLocks().isHeld(mDigest)) {
+        if (treatment == Treatment.USUAL || !mPoisonPolicy.digestLocks().isHeld(mDigest)) {
             return false;
         }
-        if (!mGuard.digestLocks().addWaiter(mDigest, this::admit)) {
-            refuseQuarantined();
+        if (!mPoisonPolicy.digestLocks().addWaiter(mDigest, this::admit)) {
+            rejectQuarantined();
         }
         return true;
     }
 
-    private void refuseQuarantined() {
+    private void rejectQuarantined() {
         mDone = true;
         if (mMayHaveRun) {
-            mTally.onFailed(mLoad, mArrivalElapsedMillis);
+            mStatistics.onFailed(mLoad, mArrivalElapsedMillis);
         } else {
-            mTally.onQuarantined(mLoad, mArrivalElapsedMillis);
+            mStatistics.onQuarantined(mLoad, mArrivalElapsedMillis);
         }
     }
 
-    private void giveTurnBack() {
-        if (mHasTurn) {
-            mHasTurn = false;
-            mGuard.digestLocks().release(mDigest);
+    private void releaseLock() {
+        if (mHoldsLock) {
+            mHoldsLock = false;
+            mPoisonPolicy.digestLocks().release(mDigest);
         }
     }
 
-    private void onPlace(S place, Throwable failure) {
-        mWaiting = null;
+    private void onSlot(S slot, Throwable failure) {
+        mPendingSlot = null;
         if (failure != null) {
             if (!mDone) {
                 mDone = true;
-                mTally.onRefused(mLoad, mArrivalElapsedMillis);
+                mStatistics.onRefused(mLoad, mArrivalElapsedMillis);
             }
             return;
         }
-        if (!mDone && isHeldBack()) {
-            mPlacer.release(place, Outcome.CANCELLED, 0);
+        if (!mDone && isBlocked()) {
+            mPlacer.release(slot, Outcome.CANCELLED, 0);
             return;
         }
-        send(place);
+        send(slot);
     }
 
-    private void send(S place) {
-        Endpoint target = mPlacer.target(place);
-        mTries++;
-        if (mGuard.treatment(mDigest) == Treatment.ALONE) {
-            mGuard.digestLocks().acquire(mDigest);
-            mHasTurn = true;
+    private void send(S slot) {
+        Endpoint target = mPlacer.target(slot);
+        mAttempts++;
+        if (mPoisonPolicy.treatment(mDigest) == Treatment.ALONE) {
+            mPoisonPolicy.digestLocks().acquire(mDigest);
+            mHoldsLock = true;
         }
-        mTally.onAttempt(mLoad);
+        mStatistics.onAttempt(mLoad);
         mTried.add(target);
-        mRunning.put(place, mTimeline.nowMillis());
-        if (mTries == 1) {
+        mRunning.put(slot, mScheduler.nowMillis());
+        if (mAttempts == 1) {
             long delay = mPlacer.hedgeDelayMillis(mLoad);
             if (delay >= 0) {
-                mTimeline.schedule(delay, this::hedge);
+                mScheduler.schedule(delay, this::hedge);
             }
         }
-        mPaths.send(target, mLoad, mDigest, failure -> onEnd(place, failure));
+        mNetwork.send(target, mLoad, mDigest, failure -> onAttemptEnd(slot, failure));
     }
 
     private void hedge() {
-        if (mDone || mRunning.size() != 1 || mTries != 1) {
+        if (mDone || mRunning.size() != 1 || mAttempts != 1) {
             return;
         }
-        if (!mGuard.treatment(mDigest).mayRunAgain()) {
+        if (!mPoisonPolicy.treatment(mDigest).mayRunAgain()) {
             return;
         }
-        Optional<S> place = mPlacer.hedge(this, Set.copyOf(mTried));
-        place.ifPresent(this::send);
-        if (place.isEmpty()) {
-            mTimeline.schedule(HEDGE_AGAIN_MILLIS, this::hedge);
+        Optional<S> slot = mPlacer.hedge(this, Set.copyOf(mTried));
+        slot.ifPresent(this::send);
+        if (slot.isEmpty()) {
+            mScheduler.schedule(HEDGE_RETRY_MILLIS, this::hedge);
         }
     }
 
-    private void onEnd(S place, FailureKind failure) {
-        Long sent = mRunning.remove(place);
+    private void onAttemptEnd(S slot, FailureKind failure) {
+        Long sent = mRunning.remove(slot);
         if (sent == null) {
             return;
         }
         if (failure != null && failure.isTargetFault()) {
-            mTally.onFailedAttempt();
+            mStatistics.onFailedAttempt();
         }
         if (failure != null && failure.brokeConnection()) {
-            FleetTarget target = mPaths.target(mPlacer.target(place));
-            TargetCrash end = new TargetCrash(target.incarnation(), sent, mTimeline.nowMillis());
-            mGuard.onConnectionBroken(target, end, mDigest, this::giveTurnBack);
+            FleetTarget target = mNetwork.target(mPlacer.target(slot));
+            TargetCrash crash = new TargetCrash(target.incarnation(), sent, mScheduler.nowMillis());
+            mPoisonPolicy.onConnectionBroken(target, crash, mDigest, this::releaseLock);
         } else {
-            giveTurnBack();
+            releaseLock();
         }
         if (failure == null || failure == FailureKind.SERVER_ERROR) {
-            mGuard.onResponse(mDigest);
+            mPoisonPolicy.onResponse(mDigest);
         }
-        mPlacer.release(place, outcome(failure), mTimeline.nowMillis() - sent);
+        mPlacer.release(slot, outcome(failure), mScheduler.nowMillis() - sent);
         if (mDone) {
             return;
         }
         if (failure == null) {
-            finish();
-            mTally.onServed(
+            complete();
+            mStatistics.onServed(
                     mLoad,
                     mArrivalElapsedMillis,
-                    mTimeline.elapsedMillis() - mArrivalElapsedMillis);
+                    mScheduler.elapsedMillis() - mArrivalElapsedMillis);
             return;
         }
         mMayHaveRun |= failure.mayHaveRun();
         if (mRunning.isEmpty() && !retry(failure)) {
-            finish();
+            complete();
             if (mMayHaveRun) {
-                mTally.onFailed(mLoad, mArrivalElapsedMillis);
+                mStatistics.onFailed(mLoad, mArrivalElapsedMillis);
             } else {
-                mTally.onRefused(mLoad, mArrivalElapsedMillis);
+                mStatistics.onRefused(mLoad, mArrivalElapsedMillis);
             }
         }
     }
 
     private boolean retry(FailureKind failure) {
-        if (failure.brokeConnection() && !mGuard.treatment(mDigest).mayRunAgain()) {
+        if (failure.brokeConnection() && !mPoisonPolicy.treatment(mDigest).mayRunAgain()) {
             return false;
         }
         FailedAttempt failed =
                 new FailedAttempt(
-                        kind(), failure, mMayHaveRun, Set.copyOf(mTried), mTries, deadlineMillis());
-        Optional<S> place = mPlacer.retry(this, failed);
-        place.ifPresent(this::send);
-        return place.isPresent();
+                        kind(),
+                        failure,
+                        mMayHaveRun,
+                        Set.copyOf(mTried),
+                        mAttempts,
+                        deadlineMillis());
+        Optional<S> slot = mPlacer.retry(this, failed);
+        slot.ifPresent(this::send);
+        return slot.isPresent();
     }
 
     private void onDeadline() {
@@ -245,28 +258,28 @@
             return;
         }
         boolean mayHaveRun = mMayHaveRun || !mRunning.isEmpty();
-        stop(Outcome.TIMEOUT);
+        close(Outcome.TIMEOUT);
         if (mayHaveRun) {
-            mTally.onFailed(mLoad, mArrivalElapsedMillis);
+            mStatistics.onFailed(mLoad, mArrivalElapsedMillis);
         } else {
-            mTally.onRefused(mLoad, mArrivalElapsedMillis);
+            mStatistics.onRefused(mLoad, mArrivalElapsedMillis);
         }
     }
 
-    private void finish() {
-        stop(Outcome.CANCELLED);
+    private void complete() {
+        close(Outcome.CANCELLED);
     }
 
-    private void stop(Outcome outcome) {
+    private void close(Outcome outcome) {
         mDone = true;
-        if (mWaiting != null) {
-            mWaiting.cancel(false);
+        if (mPendingSlot != null) {
+            mPendingSlot.cancel(false);
         }
         Map<S, Long> running = Map.copyOf(mRunning);
         mRunning.clear();
-        giveTurnBack();
+        releaseLock();
         running.forEach(
-                (place, sent) -> mPlacer.release(place, outcome, mTimeline.nowMillis() - sent));
+                (slot, sent) -> mPlacer.release(slot, outcome, mScheduler.nowMillis() - sent));
     }
 
     private static Outcome outcome(FailureKind failure) {
--- a/lab/src/main/java/org/dahliapass/lab/fleet/TargetUsageTracker.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/TargetUsageTracker.java
@@ -9,28 +9,26 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * Counts over which share of the sound targets work was spread while requests failed.
- *
- * <p>Targets that get no work are lost capacity, whatever the reason. This counts the windows in
- * which callers missed answers although less than the floor share of the sound targets was used.
+ * Tracks the share of healthy targets in use and counts the windows in which requests were lost
+ * while this share was below the floor. Not thread-safe.
  */
 final class TargetUsageTracker {
     private static final long WINDOW_MILLIS = 2_000;
     private static final long STEP_MILLIS = 500;
 
-    /** A target that was in a bout counts as sound again after this time. */
-    private static final long SOUND_AFTER_MILLIS = 2_000;
+    /** A target counts as healthy again this long after a failure period. */
+    private static final long HEALTHY_AFTER_MILLIS = 2_000;
 
-    /** Up to this share of lost requests callers are served well, whatever is used. */
-    private static final double LOST_LEAST = 0.1;
+    /** Windows that lose no more than this share of requests are not counted. */
+    private static final double MIN_LOST_SHARE = 0.1;
 
-    /** From this share of lost requests on the service is down, which no choice of target mends. */
-    private static final double LOST_MOST = 0.5;
+    /** At this share of lost requests the service is down, whichever targets are used. */
+    private static final double MAX_LOST_SHARE = 0.5;
 
     private final double mFloorShare;
     private final NavigableMap<Long, Step> mSteps = new TreeMap<>();
 
-    /** What happened in one step of time. */
+    /** The events of one time step. */
     private static final class Step {
         private final Set<Endpoint> mUsed = new HashSet<>();
         private int mServed;
@@ -38,9 +36,9 @@
     }
 
     /**
-     * Starts empty.
+     * Creates a tracker.
      *
-     * @param floorShare the share of the sound targets that is to be in use
+     * @param floorShare the share of healthy targets that must be in use
      */
     TargetUsageTracker(double floorShare) {
         mFloorShare = floorShare;
@@ -50,57 +48,57 @@
         return mSteps.computeIfAbsent(elapsedMillis / STEP_MILLIS, unused -> new Step());
     }
 
-    /** Takes work that reached a target. */
+    /** Records the delivery of a request to a target. */
     void onDelivered(Endpoint target, long elapsedMillis) {
         step(elapsedMillis).mUsed.add(target);
     }
 
-    /** Takes a whole answer to a request that arrived then. */
+    /** Records a complete response to a request that arrived at the given time. */
     void onServed(long arrivalMillis) {
         step(arrivalMillis).mServed++;
     }
 
-    /** Takes the end of a request that arrived then and got no answer. */
+    /** Records that a request which arrived at the given time got no response. */
     void onLost(long arrivalMillis) {
         step(arrivalMillis).mLost++;
     }
 
     /**
-     * What the windows of a run show.
+     * The target usage of a run.
      *
-     * @param minUsedShare the least share of sound targets that was in use in any window
-     * @param windowsBelowFloor the windows in which requests were lost while less than the floor
-     *     was used
+     * @param minUsedShare the lowest share of healthy targets in use in any window
+     * @param windowsBelowFloor the number of windows in which requests were lost while the share in
+     *     use was below the floor
      */
     record TargetUsage(double minUsedShare, int windowsBelowFloor) {}
 
     /**
-     * Looks at all whole windows.
+     * Returns the usage over all complete windows.
      *
-     * @param boutEnds for each target the times in bouts, from their begin to their end
-     * @param lengthMillis how long the run was
+     * @param failurePeriods the failure periods of each target
+     * @param lengthMillis the length of the run
      */
-    TargetUsage usage(Map<Endpoint, List<FailurePeriod>> boutEnds, long lengthMillis) {
-        double least = 1;
+    TargetUsage usage(Map<Endpoint, List<FailurePeriod>> failurePeriods, long lengthMillis) {
+        double minUsedShare = 1;
         int windowsBelowFloor = 0;
         for (long from = 0; from + WINDOW_MILLIS <= lengthMillis; from += STEP_MILLIS) {
-            Window window = window(from, boutEnds);
-            least = Math.min(least, window.used());
+            Window window = window(from, failurePeriods);
+            minUsedShare = Math.min(minUsedShare, window.used());
             windowsBelowFloor += window.isBelow(mFloorShare) ? 1 : 0;
         }
-        return new TargetUsage(least, windowsBelowFloor);
+        return new TargetUsage(minUsedShare, windowsBelowFloor);
     }
 
-    /** A bout of a target, in milliseconds since the start. */
+    /** A failure period of a target, in milliseconds since the start of the run. */
     record FailurePeriod(long fromMillis, long untilMillis) {}
 
     private record Window(double used, double lost) {
         private boolean isBelow(double floorShare) {
-            return used > 0 && used < floorShare && lost > LOST_LEAST && lost < LOST_MOST;
+            return used > 0 && used < floorShare && lost > MIN_LOST_SHARE && lost < MAX_LOST_SHARE;
         }
     }
 
-    private Window window(long fromMillis, Map<Endpoint, List<FailurePeriod>> bouts) {
+    private Window window(long fromMillis, Map<Endpoint, List<FailurePeriod>> failurePeriods) {
         long untilMillis = fromMillis + WINDOW_MILLIS;
         Set<Endpoint> used = new HashSet<>();
         int served = 0;
@@ -111,21 +109,28 @@
             served += step.mServed;
             lost += step.mLost;
         }
-        List<Endpoint> sound =
-                bouts.keySet().stream()
-                        .filter(target -> isSound(bouts.get(target), fromMillis, untilMillis))
+        List<Endpoint> healthy =
+                failurePeriods.keySet().stream()
+                        .filter(
+                                target ->
+                                        isHealthy(
+                                                failurePeriods.get(target),
+                                                fromMillis,
+                                                untilMillis))
                         .toList();
-        long soundUsed = sound.stream().filter(used::contains).count();
+        long healthyUsed = healthy.stream().filter(used::contains).count();
         return new Window(
-                sound.isEmpty() ? 1 : soundUsed / (double) sound.size(),
+                healthy.isEmpty() ? 1 : healthyUsed / (double) healthy.size(),
                 lost / (double) Math.max(1, served + lost));
     }
 
-    private static boolean isSound(List<FailurePeriod> bouts, long fromMillis, long untilMillis) {
-        return bouts.stream()
+    private static boolean isHealthy(
+            List<FailurePeriod> failurePeriods, long fromMillis, long untilMillis) {
+        return failurePeriods.stream()
                 .noneMatch(
-                        bout ->
-                                bout.fromMillis() < untilMillis
-                                        && bout.untilMillis() + SOUND_AFTER_MILLIS > fromMillis);
+                        period ->
+                                period.fromMillis() < untilMillis
+                                        && period.untilMillis() + HEALTHY_AFTER_MILLIS
+                                                > fromMillis);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/fleet/package-info.java
+++ b/lab/src/main/java/org/dahliapass/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Plays the traffic decisions of several VMs against fake targets on a virtual clock, so that an
- * idea about placement costs seconds.
+ * Discrete-event simulation of request placement by several VMs, for the comparison of placement
+ * strategies.
  */
 package org.dahliapass.lab.fleet;
--- a/lab/src/main/java/org/dahliapass/lab/policy/BaselineSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/BaselineSelector.java
@@ -8,26 +8,26 @@
 import org.dahliapass.model.ServiceId;
 import org.dahliapass.model.VmIdentity;
 
-/** What the plain contenders share: a target is in or out, and nothing is told to the cell. */
+/** Base class of the baselines, which either use or eject a target and share no evidence. */
 abstract class BaselineSelector implements Selector {
-    /** The time from which a target gets work. */
-    protected final long[] mOutUntilMillis;
+    /** The times at which the ejections end, by target. */
+    protected final long[] mEjectedUntilMillis;
 
-    private final EvidenceReport mNothing;
+    private final EvidenceReport mEmptyReport;
     private long mNowMillis;
 
     BaselineSelector(Deployment deployment, int vm) {
-        mOutUntilMillis = new long[deployment.targets()];
-        Arrays.fill(mOutUntilMillis, Long.MIN_VALUE);
+        mEjectedUntilMillis = new long[deployment.targets()];
+        Arrays.fill(mEjectedUntilMillis, Long.MIN_VALUE);
         ServiceId service = new ServiceId(deployment.name(), deployment.name());
-        mNothing =
+        mEmptyReport =
                 new EvidenceReport(
                         new VmIdentity("vm" + vm, 1), Deployment.zone(vm), 1, service, List.of());
     }
 
     @Override
     public double weight(int target) {
-        return mNowMillis >= mOutUntilMillis[target] ? 1 : 0;
+        return mNowMillis >= mEjectedUntilMillis[target] ? 1 : 0;
     }
 
     @Override
@@ -47,7 +47,7 @@
 
     @Override
     public EvidenceReport drainReport(long nowMillis) {
-        return mNothing;
+        return mEmptyReport;
     }
 
     @Override
--- a/lab/src/main/java/org/dahliapass/lab/policy/Comparison.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Comparison.java
@@ -6,15 +6,17 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Sets the production decisions against the best of the others, row by row. */
+/** Compares the production policy with the fastest other variant, row by row. */
 final class Comparison {
     private Comparison() {}
 
-    /** Returns one line for each fault, and the rows in which the floor was crossed. */
+    /** Returns one line per row of the production policy, with any violation of the floor. */
     static List<String> lines(List<ResultRow> rows) {
         List<String> lines = new ArrayList<>();
         lines.add("");
-        lines.add("Detection (median) and wrong target-seconds against the fastest of the others:");
+        lines.add(
+                "Median detection time and healthy target-seconds ejected,"
+                        + " against the fastest other variant:");
         for (ResultRow row : rows) {
             if (row.contender().equals(PolicyVariant.CELL.title())) {
                 lines.add(line(row, fastestOther(row, rows)));
@@ -23,7 +25,7 @@
         return lines;
     }
 
-    /** Returns the row of the other contender that found the fault soonest, if any did. */
+    /** Returns the row of the other variant that detected the fault fastest, if any did. */
     static Optional<ResultRow> fastestOther(ResultRow row, List<ResultRow> rows) {
         return rows.stream()
                 .filter(other -> other.deployment().equals(row.deployment()))
@@ -35,7 +37,7 @@
     }
 
     private static String line(ResultRow row, Optional<ResultRow> other) {
-        String start =
+        String summary =
                 String.format(
                         Locale.ROOT,
                         "%-9s %3d%% %-42s wrong %.1f",
@@ -45,9 +47,9 @@
                         row.healthyEjectedSeconds());
         String floor = row.crossed() ? " FLOOR CROSSED" : "";
         if (other.isEmpty()) {
-            return start + floor;
+            return summary + floor;
         }
-        return start
+        return summary
                 + String.format(
                         Locale.ROOT,
                         ", found in %.0f ms; %s: wrong %.1f, found in %.0f ms",
--- a/lab/src/main/java/org/dahliapass/lab/policy/Condition.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Condition.java
@@ -3,13 +3,13 @@
 import org.dahliapass.decisions.health.HealthReport;
 
 /**
- * How a target does for one VM at one moment.
+ * A target's condition as one VM sees it.
  *
- * @param connectivity whether connections to it work
- * @param failureRate the share of its work that fails, beside the healthy rate
- * @param slowdown how many times longer than normal its work takes
- * @param stallMillis how long it does nothing before it goes on with its work
- * @param report what its health report says
+ * @param connectivity the result of a connection attempt
+ * @param failureRate the share of requests that fail in addition to the healthy rate
+ * @param slowdown the factor on the service time
+ * @param stallMillis the pause before a request starts, in milliseconds
+ * @param report the health report that it returns
  */
 record Condition(
         Connectivity connectivity,
@@ -40,13 +40,13 @@
         return new Condition(Connectivity.OPEN, 0, slowdown, 0, report);
     }
 
-    /** What becomes of an attempt to connect. */
+    /** The result of a connection attempt. */
     enum Connectivity {
-        /** It succeeds. */
+        /** Succeeds. */
         OPEN,
-        /** It is refused at once. */
+        /** Fails immediately. */
         REFUSED,
-        /** Nothing comes back. */
+        /** Times out. */
         SILENT
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/ConsecutiveFailuresSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ConsecutiveFailuresSelector.java
@@ -2,20 +2,20 @@
 
 import org.dahliapass.decisions.health.Outcome;
 
-/** Takes a target out for a fixed time after three failures in a row; targets take turns. */
+/** Ejects a target for a fixed time after three consecutive failures; round robin. */
 final class ConsecutiveFailuresSelector extends BaselineSelector {
-    private static final int FAILURES = 3;
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    /** Never probes: longer than any run. */
+    /** Longer than any run, so that no probe is sent. */
     private static final long NO_PROBES_MILLIS = 1_000_000_000;
 
-    private final int[] mInARow;
-    private final long mOutMillis;
+    private final int[] mConsecutiveFailures;
+    private final long mEjectionMillis;
 
     ConsecutiveFailuresSelector(Deployment deployment, int vm) {
         super(deployment, vm);
-        mInARow = new int[deployment.targets()];
-        mOutMillis = deployment.detection().returnAfter().toMillis();
+        mConsecutiveFailures = new int[deployment.targets()];
+        mEjectionMillis = deployment.detection().returnAfter().toMillis();
     }
 
     @Override
@@ -27,15 +27,15 @@
     public void onOutcome(int target, Outcome outcome, long latencyMillis, long nowMillis) {
         super.onOutcome(target, outcome, latencyMillis, nowMillis);
         if (outcome.isSuccess()) {
-            mInARow[target] = 0;
+            mConsecutiveFailures[target] = 0;
         }
         if (!outcome.isFailure()) {
             return;
         }
-        mInARow[target]++;
-        if (mInARow[target] >= FAILURES) {
-            mInARow[target] = 0;
-            mOutUntilMillis[target] = nowMillis + mOutMillis;
+        mConsecutiveFailures[target]++;
+        if (mConsecutiveFailures[target] >= MAX_CONSECUTIVE_FAILURES) {
+            mConsecutiveFailures[target] = 0;
+            mEjectedUntilMillis[target] = nowMillis + mEjectionMillis;
         }
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/CurvePlot.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/CurvePlot.java
@@ -7,7 +7,7 @@
 import org.dahliapass.lab.policy.SvgDrawing.Anchor;
 import org.dahliapass.lab.policy.SvgDrawing.Point;
 
-/** Draws detection time against healthy target-seconds ejected, a curve over the tolerance. */
+/** Plots detection time against healthy target-seconds ejected for a range of tolerances. */
 final class CurvePlot {
     private static final int PANEL_WIDTH = 500;
     private static final int LEFT = 75;
@@ -18,7 +18,7 @@
     private static final int BOTTOM = 440;
     private static final double LABEL_HEIGHT = 13;
 
-    /** Room beside the axis for the labels of the points at zero. */
+    /** Space beside the axis for the labels of the points at zero. */
     private static final double LABEL_WIDTH = 110;
 
     private final List<CurvePoint> mCurve;
@@ -27,8 +27,8 @@
 
     CurvePlot(List<CurvePoint> curve) {
         mCurve = curve;
-        double most = curve.stream().mapToDouble(CurvePoint::wrongSeconds).max().orElse(0);
-        mMaxSeconds = Math.pow(10, Math.ceil(Math.log10(Math.max(10, most))));
+        double maxSeconds = curve.stream().mapToDouble(CurvePoint::wrongSeconds).max().orElse(0);
+        mMaxSeconds = Math.pow(10, Math.ceil(Math.log10(Math.max(10, maxSeconds))));
     }
 
     String draw() {
@@ -39,7 +39,7 @@
                 Anchor.START,
                 SvgDrawing.TEXT,
                 "Median detection time against healthy target-seconds ejected at 80% load;"
-                        + " the tolerance stands at the points");
+                        + " points are labeled with the tolerance");
         for (int panel = 0; panel < deployments.size(); panel++) {
             drawPanel(drawing, deployments.get(panel), panel * PANEL_WIDTH + LEFT);
         }
@@ -72,7 +72,7 @@
                         new Point(left + 262, y),
                         Anchor.START,
                         SvgDrawing.TEXT,
-                        "its setting, " + number(point.tolerance()));
+                        "configured, " + number(point.tolerance()));
             }
         }
     }
@@ -99,7 +99,7 @@
                 new Point(middle, BOTTOM + 45),
                 Anchor.MIDDLE,
                 SvgDrawing.TEXT,
-                "healthy target-seconds ejected, nothing wrong and short pauses");
+                "healthy target-seconds ejected, without faults and with short pauses");
     }
 
     private static void drawSecond(SvgDrawing drawing, LogScale seconds, double tick) {
@@ -117,41 +117,44 @@
             LogScale seconds,
             List<CurvePoint> points,
             ToDoubleFunction<CurvePoint> millis,
-            String colour) {
-        List<Point> places = points.stream().map(point -> place(seconds, point, millis)).toList();
-        drawing.path(places, colour);
-        for (int index = 0; index < places.size(); index++) {
-            drawing.dot(places.get(index), colour);
+            String color) {
+        List<Point> positions =
+                points.stream().map(point -> position(seconds, point, millis)).toList();
+        drawing.path(positions, color);
+        for (int index = 0; index < positions.size(); index++) {
+            drawing.dot(positions.get(index), color);
             if (points.get(index).isSetting()) {
-                drawing.ring(places.get(index), 7, colour);
+                drawing.ring(positions.get(index), 7, color);
             }
         }
         int first = 0;
-        while (first < places.size()) {
-            int last = lastNear(places, first);
-            drawLabel(drawing, places, first, last, label(points, first, last), colour);
+        while (first < positions.size()) {
+            int last = lastWithinLabel(positions, first);
+            drawLabel(drawing, positions, first, last, label(points, first, last), color);
             first = last + 1;
         }
     }
 
-    private Point place(LogScale seconds, CurvePoint point, ToDoubleFunction<CurvePoint> millis) {
+    private Point position(
+            LogScale seconds, CurvePoint point, ToDoubleFunction<CurvePoint> millis) {
         double time = millis.applyAsDouble(point);
         double y = time < 0 ? NOT_FOUND_Y : mTimes.pixel(time);
         return new Point(seconds.pixel(point.wrongSeconds() + 1), y);
     }
 
-    /** Returns the last of the points from the first on that share its label. */
-    private static int lastNear(List<Point> places, int first) {
+    /** Returns the index of the last point that shares the label of the first. */
+    private static int lastWithinLabel(List<Point> positions, int first) {
         int last = first;
-        while (last + 1 < places.size() && isNear(places.get(first), places.get(last + 1))) {
+        while (last + 1 < positions.size()
+                && isNear(positions.get(first), positions.get(last + 1))) {
             last++;
         }
         return last;
     }
 
-    private static boolean isNear(Point one, Point other) {
-        return Math.abs(one.x() - other.x()) < LABEL_HEIGHT
-                && Math.abs(one.y() - other.y()) < LABEL_HEIGHT;
+    private static boolean isNear(Point first, Point other) {
+        return Math.abs(first.x() - other.x()) < LABEL_HEIGHT
+                && Math.abs(first.y() - other.y()) < LABEL_HEIGHT;
     }
 
     private static String label(List<CurvePoint> points, int first, int last) {
@@ -165,21 +168,21 @@
                 : BigDecimal.valueOf(tolerance).stripTrailingZeros().toPlainString();
     }
 
-    /** Draws the label left of the points; above them if a line comes in from the left. */
+    /** Draws the label left of the points, or above them if a line enters from the left. */
     private static void drawLabel(
             SvgDrawing drawing,
-            List<Point> places,
+            List<Point> positions,
             int first,
             int last,
             String label,
-            String colour) {
-        double x = places.get(first).x();
-        double y = (places.get(first).y() + places.get(last).y()) / 2;
-        boolean isAbove = x > places.get(0).x();
+            String color) {
+        double x = positions.get(first).x();
+        double y = (positions.get(first).y() + positions.get(last).y()) / 2;
+        boolean isAbove = x > positions.get(0).x();
         drawing.text(
                 isAbove ? new Point(x, y - 11) : new Point(x - 11, y + 4),
                 isAbove ? Anchor.MIDDLE : Anchor.END,
-                colour,
+                color,
                 label);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/CurvePoint.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/CurvePoint.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /**
- * One point of the curve: detection time against false ejections at a tolerance.
+ * The detection time and the false ejections at one tolerance.
  *
  * @param deployment the deployment's name
  * @param tolerance the false ejection tolerance
- * @param isSetting whether this is the deployment's own setting
- * @param failsAllMillis the median detection time of a target that fails all work
- * @param failsTenthMillis the median detection time of a target that fails a tenth of its work
- * @param wrongSeconds healthy target-seconds out, with nothing wrong, and with short pauses
+ * @param isSetting whether this is the tolerance that the deployment configures
+ * @param failsAllMillis the median detection time of a target that fails all requests
+ * @param failsTenthMillis the median detection time of a target that fails a tenth of its requests
+ * @param wrongSeconds healthy target-seconds ejected, without faults plus with short pauses
  */
 record CurvePoint(
         String deployment,
--- a/lab/src/main/java/org/dahliapass/lab/policy/Deployment.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Deployment.java
@@ -9,21 +9,18 @@
 import org.dahliapass.model.Target;
 
 /**
- * A service in the size of one of the users, with the work that it does.
+ * A simulated service and its load.
  *
- * <p>Targets, slots and zones are the users' figures. How long work takes is an assumption, as is
- * the share of work that fails on a healthy target.
- *
- * @param name what the table calls it
- * @param targets the number of targets, spread over the zones
- * @param slots requests that a target works on at once
- * @param vms the cell's size
- * @param medianMillis the median time in a slot
+ * @param name the name in the results
+ * @param targets the number of targets, distributed over the zones
+ * @param slots the requests that a target runs concurrently
+ * @param vms the number of VMs in the cell
+ * @param medianMillis the median service time, in milliseconds
  * @param guardedShare the share of requests that must run at most once
- * @param deadlineMillis after this time the caller gives up
- * @param lateMillis an answer after this time counts as late
+ * @param deadlineMillis the time after which callers cancel, in milliseconds
+ * @param lateMillis the time after which a response counts as late, in milliseconds
  * @param floorShare the share of targets that must stay in service
- * @param detection the template's setting
+ * @param detection the detection settings of the template
  */
 record Deployment(
         String name,
@@ -38,10 +35,10 @@
         DetectionPolicy detection) {
     static final int ZONES = 3;
 
-    /** The standard deviation of the logarithm of the time in a slot. */
-    static final double DEVIATION = 0.5;
+    /** The standard deviation of the logarithm of the service time. */
+    static final double SLOT_TIME_SIGMA = 0.5;
 
-    /** The share of work that fails on a healthy target. */
+    /** The share of requests that fail on a healthy target. */
     static final double BASE_FAILURE_RATE = 0.005;
 
     static final Deployment HIMAL_DESK =
@@ -62,7 +59,7 @@
     }
 
     Deployment withTolerance(double tolerance) {
-        DetectionPolicy changed =
+        DetectionPolicy policy =
                 new DetectionPolicy(
                         tolerance,
                         detection.failureShare(),
@@ -79,12 +76,12 @@
                 deadlineMillis,
                 lateMillis,
                 floorShare,
-                changed);
+                policy);
     }
 
-    /** Returns the requests a second that fill all slots. */
+    /** Returns the requests per second that fill all slots. */
     double capacityPerSecond() {
-        double meanMillis = medianMillis * Math.exp(DEVIATION * DEVIATION / 2);
+        double meanMillis = medianMillis * Math.exp(SLOT_TIME_SIGMA * SLOT_TIME_SIGMA / 2);
         return targets * slots * 1_000 / meanMillis;
     }
 
@@ -101,14 +98,14 @@
     }
 
     ServiceTemplate template() {
-        List<Target> list = new ArrayList<>();
+        List<Target> templateTargets = new ArrayList<>();
         for (int target = 0; target < targets; target++) {
-            list.add(new Target(endpoint(target), zone(target)));
+            templateTargets.add(new Target(endpoint(target), zone(target)));
         }
         return new ServiceTemplate(
                 name,
                 name,
-                list,
+                templateTargets,
                 slots,
                 350,
                 floorShare,
--- a/lab/src/main/java/org/dahliapass/lab/policy/DetectionPlot.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/DetectionPlot.java
@@ -5,7 +5,7 @@
 import org.dahliapass.lab.policy.SvgDrawing.Anchor;
 import org.dahliapass.lab.policy.SvgDrawing.Point;
 
-/** Draws the median detection time of each fault, ours and that of the fastest of the others. */
+/** Plots the median detection time per fault of the production policy and the fastest other. */
 final class DetectionPlot {
     private static final int LOAD_PERCENT = 80;
     private static final int WIDTH = 900;
@@ -24,31 +24,35 @@
         mRows = rows;
     }
 
-    /** Returns the picture, or nothing if no row has something to find at the plot's load. */
+    /** Returns the SVG text, or empty if no row has a fault to detect at the plotted load. */
     Optional<String> draw() {
-        List<ResultRow> own = mRows.stream().filter(this::isShown).toList();
-        if (own.isEmpty()) {
+        List<ResultRow> production = mRows.stream().filter(this::isPlotted).toList();
+        if (production.isEmpty()) {
             return Optional.empty();
         }
-        List<String> deployments = own.stream().map(ResultRow::deployment).distinct().toList();
-        int height = TOP + own.size() * ROW_HEIGHT + deployments.size() * (PANEL_GAP + ROW_HEIGHT);
+        List<String> deployments =
+                production.stream().map(ResultRow::deployment).distinct().toList();
+        int height =
+                TOP
+                        + production.size() * ROW_HEIGHT
+                        + deployments.size() * (PANEL_GAP + ROW_HEIGHT);
         SvgDrawing drawing = new SvgDrawing(WIDTH, height);
         drawKey(drawing);
         double y = TOP + ROW_HEIGHT;
         for (String deployment : deployments) {
             List<ResultRow> panel =
-                    own.stream().filter(row -> row.deployment().equals(deployment)).toList();
+                    production.stream().filter(row -> row.deployment().equals(deployment)).toList();
             drawPanel(drawing, panel, y);
             y += panel.size() * ROW_HEIGHT + PANEL_GAP + ROW_HEIGHT;
         }
         return Optional.of(drawing.toString());
     }
 
-    private boolean isShown(ResultRow row) {
-        boolean isFound = row.detectionMedianMillis() >= 0;
+    private boolean isPlotted(ResultRow row) {
+        boolean isDetected = row.detectionMedianMillis() >= 0;
         return row.loadPercent() == LOAD_PERCENT
                 && row.contender().equals(PolicyVariant.CELL.title())
-                && (isFound || row.missedPercent() > 0);
+                && (isDetected || row.missedPercent() > 0);
     }
 
     private static void drawKey(SvgDrawing drawing) {
@@ -86,12 +90,12 @@
 
     private void drawRow(SvgDrawing drawing, ResultRow row, double y) {
         Optional<ResultRow> other = Comparison.fastestOther(row, mRows);
-        Point own = new Point(x(row.detectionMedianMillis()), y);
+        Point production = new Point(x(row.detectionMedianMillis()), y);
         Point baseline = new Point(x(other.map(ResultRow::detectionMedianMillis).orElse(-1.0)), y);
         drawing.text(new Point(LEFT - 10, y + 4), Anchor.END, SvgDrawing.TEXT, row.fault());
-        drawing.line(own, baseline, SvgDrawing.GRID, 3);
+        drawing.line(production, baseline, SvgDrawing.GRID, 3);
         drawing.ring(baseline, 6, SvgDrawing.ORANGE);
-        drawing.dot(own, SvgDrawing.BLUE);
+        drawing.dot(production, SvgDrawing.BLUE);
         drawing.text(
                 new Point(LABEL_X, y + 4),
                 Anchor.START,
--- a/lab/src/main/java/org/dahliapass/lab/policy/EventQueue.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A virtual clock that runs what is due in the order of its time. */
+/** A discrete-event queue with a virtual clock. Not thread-safe. */
 final class EventQueue {
     private final PriorityQueue<Entry> mEntries =
             new PriorityQueue<>(
--- a/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Experiment.java
@@ -8,46 +8,45 @@
 import org.dahliapass.decisions.health.Outcome;
 
 /**
- * One run: a cell of VMs sends work to fake targets, a fault begins, and what follows is counted.
+ * A simulated run in which a cell of VMs sends requests to targets and a fault starts.
  *
- * <p>Arrivals and slot times are drawn from the seed alone, so that all contenders get the same.
+ * <p>Arrivals and service times depend on the seed only, so all variants get the same load.
  */
 final class Experiment {
     static final long WARM_UP_MILLIS = 15_000;
     static final long FAULT_MILLIS = 30_000;
     static final long TICK_MILLIS = 250;
 
-    private static final long HOP_MICROS = 1_000;
+    private static final long NETWORK_DELAY_MICROS = 1_000;
     private static final long CONNECT_TIMEOUT_MICROS = 500_000;
-    private static final long PROBE_MICROS = 25_000;
+    private static final long PROBE_LATENCY_MICROS = 25_000;
     private static final int MICROS = 1_000;
 
     private final Deployment mDeployment;
     private final Fault mFault;
     private final EventQueue mEvents = new EventQueue();
-    private final RandomGenerator mArrivals;
-    private final RandomGenerator mChoices;
+    private final RandomGenerator mArrivalRandom;
+    private final RandomGenerator mSelectionRandom;
     private final long mFaultMillis;
-    private final double mMeanGapMicros;
+    private final double mMeanInterarrivalMicros;
     private final List<FakeVm> mVms = new ArrayList<>();
     private final List<FakeTarget> mTargets = new ArrayList<>();
     private final Measurement mMeasurement;
 
     /**
-     * Prepares a run.
+     * Creates a run.
      *
-     * @param load the requests that arrive, as a share of what all slots can do
+     * @param load the arrival rate, as a share of the capacity of all slots
      */
-    Experiment(
-            Deployment deployment, Fault fault, PolicyVariant contender, double load, long seed) {
+    Experiment(Deployment deployment, Fault fault, PolicyVariant variant, double load, long seed) {
         mDeployment = deployment;
         mFault = fault;
-        mArrivals = new Random(seed);
-        mChoices = new Random(seed + 1);
-        mFaultMillis = WARM_UP_MILLIS + mArrivals.nextInt((int) TICK_MILLIS);
-        mMeanGapMicros = 1e6 / (load * deployment.capacityPerSecond());
+        mArrivalRandom = new Random(seed);
+        mSelectionRandom = new Random(seed + 1);
+        mFaultMillis = WARM_UP_MILLIS + mArrivalRandom.nextInt((int) TICK_MILLIS);
+        mMeanInterarrivalMicros = 1e6 / (load * deployment.capacityPerSecond());
         for (int vm = 0; vm < deployment.vms(); vm++) {
-            mVms.add(new FakeVm(contender.create(deployment, vm), deployment.targets()));
+            mVms.add(new FakeVm(variant.create(deployment, vm), deployment.targets()));
         }
         for (int target = 0; target < deployment.targets(); target++) {
             mTargets.add(new FakeTarget(mEvents, deployment.slots()));
@@ -59,11 +58,13 @@
         scheduleArrival();
         for (int vm = 0; vm < mVms.size(); vm++) {
             int number = vm;
-            // The VMs' ticks are spread over the interval, as they are not in step.
+            // VMs are not synchronized, so their ticks are distributed over the interval.
             mEvents.schedule((number + 1) * TICK_MILLIS * MICROS / mVms.size(), () -> tick(number));
             for (int target = 0; target < mTargets.size(); target++) {
-                int probed = target;
-                mEvents.schedule(mChoices.nextLong(probeMicros(vm)), () -> probe(number, probed));
+                int probedTarget = target;
+                mEvents.schedule(
+                        mSelectionRandom.nextLong(probeMicros(vm)),
+                        () -> probe(number, probedTarget));
             }
         }
         mEvents.runUntil((mFaultMillis + FAULT_MILLIS) * MICROS);
@@ -74,39 +75,41 @@
         return mVms.get(vm).mSelector.probeIntervalMillis() * MICROS;
     }
 
-    private boolean isFaulty() {
+    private boolean isFaultActive() {
         return mEvents.nowMillis() >= mFaultMillis;
     }
 
     private boolean isLost(int vm) {
-        return isFaulty() && mFault.isVmLost(vm);
+        return isFaultActive() && mFault.isVmLost(vm);
     }
 
     private Condition condition(int vm, int target) {
-        return isFaulty()
+        return isFaultActive()
                 ? mFault.condition(mDeployment, vm, target, mEvents.nowMillis() - mFaultMillis)
                 : Condition.HEALTHY;
     }
 
     private void scheduleArrival() {
-        long gap = (long) (-mMeanGapMicros * Math.log(1 - mArrivals.nextDouble()));
-        mEvents.schedule(gap, this::arrive);
+        long interarrivalMicros =
+                (long) (-mMeanInterarrivalMicros * Math.log(1 - mArrivalRandom.nextDouble()));
+        mEvents.schedule(interarrivalMicros, this::arrive);
     }
 
     private void arrive() {
         scheduleArrival();
         double slotMillis =
                 mDeployment.medianMillis()
-                        * Math.exp(Deployment.DEVIATION * mArrivals.nextGaussian());
-        boolean guarded = mArrivals.nextDouble() < mDeployment.guardedShare();
-        double luck = mArrivals.nextDouble();
-        int vm = mArrivals.nextInt(mVms.size());
+                        * Math.exp(Deployment.SLOT_TIME_SIGMA * mArrivalRandom.nextGaussian());
+        boolean atMostOnce = mArrivalRandom.nextDouble() < mDeployment.guardedShare();
+        double failureDraw = mArrivalRandom.nextDouble();
+        int vm = mArrivalRandom.nextInt(mVms.size());
         while (isLost(vm)) {
-            // Callers hold several addresses, and go to the next one.
+            // Callers know several VM addresses and fail over to the next.
             vm = (vm + 1) % mVms.size();
         }
-        Request request = new Request(vm, mEvents.nowMicros(), (long) (slotMillis * MICROS), luck);
-        int target = mVms.get(vm).selectTarget(guarded, mChoices);
+        Request request =
+                new Request(vm, mEvents.nowMicros(), (long) (slotMillis * MICROS), failureDraw);
+        int target = mVms.get(vm).selectTarget(atMostOnce, mSelectionRandom);
         if (target < 0) {
             mMeasurement.onEnd(request.startMicros(), mEvents.nowMicros(), Outcome.REFUSED_SHED);
             return;
@@ -119,34 +122,36 @@
         switch (condition(request.vm(), target).connectivity()) {
             case REFUSED ->
                     mEvents.schedule(
-                            HOP_MICROS, () -> end(request, target, Outcome.CONNECT_FAILED));
+                            NETWORK_DELAY_MICROS,
+                            () -> end(request, target, Outcome.CONNECT_FAILED));
             case SILENT ->
                     mEvents.schedule(
                             CONNECT_TIMEOUT_MICROS,
                             () -> end(request, target, Outcome.CONNECT_FAILED));
-            default -> mEvents.schedule(HOP_MICROS, () -> reach(request, target));
+            default -> mEvents.schedule(NETWORK_DELAY_MICROS, () -> deliver(request, target));
         }
     }
 
-    private void reach(Request request, int target) {
+    private void deliver(Request request, int target) {
         Condition condition = condition(request.vm(), target);
         double failureRate = Deployment.BASE_FAILURE_RATE + condition.failureRate();
-        Outcome outcome = request.luck() < failureRate ? Outcome.FAILURE : Outcome.SUCCESS;
-        FakeTarget.Work work =
-                new FakeTarget.Work(
+        Outcome outcome = request.failureDraw() < failureRate ? Outcome.FAILURE : Outcome.SUCCESS;
+        FakeTarget.Task task =
+                new FakeTarget.Task(
                         condition.stallMillis() * MICROS
                                 + (long) (request.slotMicros() * condition.slowdown()),
                         request.startMicros() + mDeployment.deadlineMillis() * MICROS,
                         inTime ->
                                 mEvents.schedule(
-                                        HOP_MICROS,
+                                        NETWORK_DELAY_MICROS,
                                         () ->
                                                 end(
                                                         request,
                                                         target,
                                                         inTime ? outcome : Outcome.TIMEOUT)));
-        if (!mTargets.get(target).offer(work)) {
-            mEvents.schedule(HOP_MICROS, () -> end(request, target, Outcome.REFUSED_SHED));
+        if (!mTargets.get(target).offer(task)) {
+            mEvents.schedule(
+                    NETWORK_DELAY_MICROS, () -> end(request, target, Outcome.REFUSED_SHED));
         }
     }
 
@@ -165,7 +170,8 @@
                     .ifPresent(
                             report ->
                                     mEvents.schedule(
-                                            HOP_MICROS, () -> deliver(request.vm(), report)));
+                                            NETWORK_DELAY_MICROS,
+                                            () -> broadcast(request.vm(), report)));
         }
         mMeasurement.onEnd(request.startMicros(), mEvents.nowMicros(), outcome);
         mMeasurement.recordWeight(request.vm(), target, mEvents.nowMillis());
@@ -179,7 +185,7 @@
         boolean answered = condition.connectivity() == Condition.Connectivity.OPEN;
         mMeasurement.onProbe(mEvents.nowMillis());
         mEvents.schedule(
-                answered ? PROBE_MICROS : CONNECT_TIMEOUT_MICROS,
+                answered ? PROBE_LATENCY_MICROS : CONNECT_TIMEOUT_MICROS,
                 () -> {
                     mVms.get(vm)
                             .mSelector
@@ -196,22 +202,22 @@
         long nowMillis = mEvents.nowMillis();
         Selector selector = mVms.get(vm).mSelector;
         EvidenceReport report = selector.drainReport(nowMillis);
-        mEvents.schedule(HOP_MICROS, () -> deliver(vm, report));
+        mEvents.schedule(NETWORK_DELAY_MICROS, () -> broadcast(vm, report));
         selector.onTick(nowMillis);
         mMeasurement.onTick(vm, nowMillis);
         mEvents.schedule(TICK_MILLIS * MICROS, () -> tick(vm));
     }
 
-    private void deliver(int sender, EvidenceReport report) {
+    private void broadcast(int sender, EvidenceReport report) {
         for (int vm = 0; vm < mVms.size(); vm++) {
             if (vm != sender && !isLost(vm)) {
                 mVms.get(vm).mSelector.onPeerEvidence(report, mEvents.nowMillis());
-                noteAll(vm, report);
+                recordWeights(vm, report);
             }
         }
     }
 
-    private void noteAll(int vm, EvidenceReport report) {
+    private void recordWeights(int vm, EvidenceReport report) {
         if (!report.evidence().isEmpty()) {
             for (int target = 0; target < mTargets.size(); target++) {
                 mMeasurement.recordWeight(vm, target, mEvents.nowMillis());
@@ -219,5 +225,5 @@
         }
     }
 
-    private record Request(int vm, long startMicros, long slotMicros, double luck) {}
+    private record Request(int vm, long startMicros, long slotMicros, double failureDraw) {}
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/FakeTarget.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/FakeTarget.java
@@ -2,51 +2,51 @@
 
 import java.util.ArrayDeque;
 
-/** A target's slots and its short queue. */
+/** A simulated target with slots and a bounded queue. */
 final class FakeTarget {
-    /** The queue is this many times the slots; beyond it the target refuses. */
+    /** The capacity of the queue, as a multiple of the slots. */
     private static final int QUEUE_FACTOR = 4;
 
     private final EventQueue mEvents;
     private final int mSlots;
-    private final ArrayDeque<Work> mWaiting = new ArrayDeque<>();
-    private int mBusy;
+    private final ArrayDeque<Task> mQueue = new ArrayDeque<>();
+    private int mUsedSlots;
 
     FakeTarget(EventQueue events, int slots) {
         mEvents = events;
         mSlots = slots;
     }
 
-    /** Takes the work in, or returns false if slots and queue are full. */
-    boolean offer(Work work) {
-        if (mBusy < mSlots) {
-            start(work);
+    /** Runs or queues a request; returns false if slots and queue are full. */
+    boolean offer(Task task) {
+        if (mUsedSlots < mSlots) {
+            start(task);
             return true;
         }
-        if (mWaiting.size() >= QUEUE_FACTOR * mSlots) {
+        if (mQueue.size() >= QUEUE_FACTOR * mSlots) {
             return false;
         }
-        mWaiting.add(work);
+        mQueue.add(task);
         return true;
     }
 
-    private void start(Work work) {
-        mBusy++;
-        long leftMicros = work.deadlineMicros() - mEvents.nowMicros();
-        boolean inTime = work.slotMicros() <= leftMicros;
-        // Cancellation is passed on: a caller that gave up frees the slot.
-        mEvents.schedule(inTime ? work.slotMicros() : leftMicros, () -> end(work, inTime));
+    private void start(Task task) {
+        mUsedSlots++;
+        long remainingMicros = task.deadlineMicros() - mEvents.nowMicros();
+        boolean inTime = task.slotMicros() <= remainingMicros;
+        // The cancellation of an expired request frees the slot.
+        mEvents.schedule(inTime ? task.slotMicros() : remainingMicros, () -> end(task, inTime));
     }
 
-    private void end(Work work, boolean inTime) {
-        mBusy--;
-        work.done().onCompleted(inTime);
-        while (mBusy < mSlots && !mWaiting.isEmpty()) {
-            startOrDrop(mWaiting.remove());
+    private void end(Task task, boolean inTime) {
+        mUsedSlots--;
+        task.done().onCompleted(inTime);
+        while (mUsedSlots < mSlots && !mQueue.isEmpty()) {
+            startOrExpire(mQueue.remove());
         }
     }
 
-    private void startOrDrop(Work next) {
+    private void startOrExpire(Task next) {
         if (next.deadlineMicros() <= mEvents.nowMicros()) {
             next.done().onCompleted(false);
             return;
@@ -55,17 +55,17 @@
     }
 
     /**
-     * A piece of work.
+     * A request at the target.
      *
-     * @param slotMicros how long it takes in a slot
-     * @param deadlineMicros when the caller gives up
-     * @param done is told whether the work ended in time
+     * @param slotMicros the service time
+     * @param deadlineMicros when the caller cancels
+     * @param done receives the completion
      */
-    record Work(long slotMicros, long deadlineMicros, CompletionListener done) {}
+    record Task(long slotMicros, long deadlineMicros, CompletionListener done) {}
 
-    /** Is told of the end of a piece of work. */
+    /** Receives the completion of a request. */
     interface CompletionListener {
-        /** Takes in whether the work ended before its deadline. */
+        /** Called when a request completes or reaches its deadline. */
         void onCompleted(boolean inTime);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/FakeVm.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/FakeVm.java
@@ -2,47 +2,47 @@
 
 import java.util.random.RandomGenerator;
 
-/** A VM that sends each request to the target that is least busy with its own work, by weight. */
+/** A VM that selects the target with the fewest of its own requests in flight, by weight. */
 final class FakeVm {
     final Selector mSelector;
     final int[] mInFlight;
-    private int mTurn;
+    private int mNextTarget;
 
     FakeVm(Selector selector, int targets) {
         mSelector = selector;
         mInFlight = new int[targets];
     }
 
-    /** Returns the target for a request, or -1 if none may get it. */
-    int selectTarget(boolean guarded, RandomGenerator random) {
+    /** Returns the target for a request, or -1 if no target may receive it. */
+    int selectTarget(boolean atMostOnce, RandomGenerator random) {
         if (mSelector.isRoundRobin()) {
-            return next();
+            return nextInRotation();
         }
-        int best = leastBusy(guarded, random);
-        return best < 0 && guarded ? leastBusy(false, random) : best;
+        int best = leastLoaded(atMostOnce, random);
+        return best < 0 && atMostOnce ? leastLoaded(false, random) : best;
     }
 
-    private int next() {
-        for (int tries = 0; tries < mInFlight.length; tries++) {
-            mTurn = (mTurn + 1) % mInFlight.length;
-            if (mSelector.weight(mTurn) > 0) {
-                return mTurn;
+    private int nextInRotation() {
+        for (int step = 0; step < mInFlight.length; step++) {
+            mNextTarget = (mNextTarget + 1) % mInFlight.length;
+            if (mSelector.weight(mNextTarget) > 0) {
+                return mNextTarget;
             }
         }
         return -1;
     }
 
-    private int leastBusy(boolean guarded, RandomGenerator random) {
+    private int leastLoaded(boolean atMostOnce, RandomGenerator random) {
         int best = -1;
-        double bestBusy = Double.MAX_VALUE;
+        double minLoad = Double.MAX_VALUE;
         int start = random.nextInt(mInFlight.length);
         for (int step = 0; step < mInFlight.length; step++) {
             int target = (start + step) % mInFlight.length;
             double weight = mSelector.weight(target);
-            if (weight > 0 && (!guarded || mSelector.acceptsAtMostOnce(target))) {
-                double busy = (mInFlight[target] + 1) / weight;
-                if (busy < bestBusy) {
-                    bestBusy = busy;
+            if (weight > 0 && (!atMostOnce || mSelector.acceptsAtMostOnce(target))) {
+                double load = (mInFlight[target] + 1) / weight;
+                if (load < minLoad) {
+                    minLoad = load;
                     best = target;
                 }
             }
--- a/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Fault.java
@@ -2,11 +2,11 @@
 
 import org.dahliapass.decisions.health.HealthReport;
 
-/** The faults that the table covers; each is in force from its start to the end of a run. */
+/** An injected fault, which lasts from its start to the end of the run. */
 enum Fault {
-    /** Nothing is wrong: whatever is taken out is taken out wrongly. */
+    /** No fault; every ejection is false. */
     NONE("none"),
-    /** All targets stop for a moment now and then, each at its own time. */
+    /** All targets pause briefly at intervals, each at its own time. */
     SHORT_PAUSES("pauses of 0.5 s, all targets") {
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
@@ -14,35 +14,35 @@
             return phase < 500 ? Condition.stalled(500 - phase) : Condition.HEALTHY;
         }
     },
-    /** One target's process is gone. */
+    /** One target's process has stopped. */
     HARD_STOP("hard stop", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return Condition.STOPPED;
         }
     },
-    /** One target fails a tenth of its work and answers probes. */
+    /** One target fails a tenth of its requests and answers probes. */
     FAILS_TENTH("fails 10%, probes answered", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return Condition.failing(0.1);
         }
     },
-    /** One target fails half of its work and answers probes. */
+    /** One target fails half of its requests and answers probes. */
     FAILS_HALF("fails 50%, probes answered", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return Condition.failing(0.5);
         }
     },
-    /** One target fails all of its work and answers probes. */
+    /** One target fails all of its requests and answers probes. */
     FAILS_ALL("fails 100%, probes answered", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return Condition.failing(1);
         }
     },
-    /** One target takes three times as long. */
+    /** One target is slower by a factor of three. */
     SLOW_THREEFOLD("slowed 3x", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
@@ -51,10 +51,10 @@
 
         @Override
         double detectedAtWeight() {
-            return STRAGGLER_WEIGHT;
+            return SLOW_TARGET_WEIGHT;
         }
     },
-    /** One target takes ten times as long. */
+    /** One target is slower by a factor of ten. */
     SLOW_TENFOLD("slowed 10x", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
@@ -63,24 +63,24 @@
 
         @Override
         double detectedAtWeight() {
-            return STRAGGLER_WEIGHT;
+            return SLOW_TARGET_WEIGHT;
         }
     },
-    /** One target fails all work for a second, is well for a second, and so on. */
+    /** One target alternates between failing all requests and being healthy every second. */
     FLAPS_FAST("flaps, 1 s each way", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return sinceMillis / 1_000 % 2 == 0 ? Condition.failing(1) : Condition.HEALTHY;
         }
     },
-    /** One target fails all work for five seconds, is well for five, and so on. */
+    /** One target alternates between failing all requests and being healthy every five seconds. */
     FLAPS_SLOWLY("flaps, 5 s each way", 1) {
         @Override
         Condition faultyCondition(long sinceMillis) {
             return sinceMillis / 5_000 % 2 == 0 ? Condition.failing(1) : Condition.HEALTHY;
         }
     },
-    /** One VM gets no answer from the targets of one zone. */
+    /** One VM gets no response from the targets of one zone. */
     VM_CUT_OFF("one VM cut off from a zone's targets") {
         @Override
         boolean isFaulty(Deployment deployment, int vm, int target) {
@@ -92,7 +92,7 @@
             return Condition.UNREACHABLE;
         }
     },
-    /** One VM gets no answer from one target. */
+    /** One VM gets no response from one target. */
     PATH_CUT("one VM cut off from one target") {
         @Override
         boolean isFaulty(Deployment deployment, int vm, int target) {
@@ -104,7 +104,7 @@
             return Condition.UNREACHABLE;
         }
     },
-    /** The VMs of one zone get no answer from the targets of another. */
+    /** The VMs of one zone get no response from the targets of another. */
     ZONE_CUT_OFF("a zone's VMs cut off from a zone's targets") {
         @Override
         boolean isFaulty(Deployment deployment, int vm, int target) {
@@ -116,7 +116,7 @@
             return Condition.UNREACHABLE;
         }
     },
-    /** A third of the targets say that they are sick while they work well. */
+    /** A third of the targets report that they are unhealthy while they serve normally. */
     FALSE_REPORTS("a third report sickness falsely") {
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
@@ -125,21 +125,21 @@
                     : Condition.HEALTHY;
         }
     },
-    /** Something behind all targets makes them slow. */
+    /** A shared dependency slows all targets. */
     ALL_SLOW("all slowed 3x at once") {
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             return Condition.slowed(3);
         }
     },
-    /** Something behind all targets makes part of the work fail. */
+    /** A shared dependency makes all targets fail some requests. */
     ALL_FAIL("all fail 30% at once") {
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
             return Condition.failing(0.3);
         }
     },
-    /** As many targets fail as the floor lets out, and two more. */
+    /** Two more targets fail than the floor allows to be ejected. */
     SEVERAL_FAIL("sick up to the floor and two more") {
         @Override
         boolean isFaulty(Deployment deployment, int vm, int target) {
@@ -151,7 +151,7 @@
             return Condition.failing(1);
         }
     },
-    /** All targets were restarted: they are slow at first and say so. */
+    /** All targets restart; they are slow at first and report that they are cold. */
     MASS_COLD_START("mass cold start") {
         @Override
         Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
@@ -160,14 +160,14 @@
                     : Condition.HEALTHY;
         }
     },
-    /** One VM of the cell is lost; its callers go to the others. */
+    /** One VM is lost; its callers fail over to the others. */
     VM_LOST("a VM lost") {
         @Override
         boolean isVmLost(int vm) {
             return vm == 0;
         }
     },
-    /** A zone is lost with its VMs and targets. */
+    /** All VMs and targets of one zone are lost. */
     ZONE_LOST("a zone lost") {
         @Override
         boolean isVmLost(int vm) {
@@ -185,33 +185,33 @@
         }
     };
 
-    /** A straggler counts as found once it gets at most half of its share. */
-    private static final double STRAGGLER_WEIGHT = 0.5;
+    /** The weight at or below which a slow target counts as detected. */
+    private static final double SLOW_TARGET_WEIGHT = 0.5;
 
     private final String mTitle;
-    private final int mSickTargets;
+    private final int mFaultyTargets;
 
     Fault(String title) {
         this(title, 0);
     }
 
-    Fault(String title, int sickTargets) {
+    Fault(String title, int faultyTargets) {
         mTitle = title;
-        mSickTargets = sickTargets;
+        mFaultyTargets = faultyTargets;
     }
 
     String title() {
         return mTitle;
     }
 
-    /** Returns whether one target alone is sick. */
+    /** Returns whether the fault affects exactly one target. */
     boolean affectsSingleTarget() {
-        return mSickTargets == 1;
+        return mFaultyTargets == 1;
     }
 
-    /** Returns whether the target should get nothing from this VM while the fault lasts. */
+    /** Returns whether the VM should send nothing to the target during the fault. */
     boolean isFaulty(Deployment deployment, int vm, int target) {
-        return target < mSickTargets;
+        return target < mFaultyTargets;
     }
 
     Condition condition(Deployment deployment, int vm, int target, long sinceMillis) {
@@ -226,7 +226,7 @@
         return false;
     }
 
-    /** Returns the weight from which down a sick target counts as found. */
+    /** Returns the weight at or below which a faulty target counts as detected. */
     double detectedAtWeight() {
         return 0;
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/HealthSelector.java
@@ -7,7 +7,7 @@
 import org.dahliapass.decisions.health.TargetHealth;
 import org.dahliapass.model.VmIdentity;
 
-/** The production decisions, with the cell's evidence or without it. */
+/** The production policy, with or without evidence from other VMs. */
 final class HealthSelector implements Selector {
     private static final String KIND = "work";
     private static final long PROBE_INTERVAL_MILLIS = 5_000;
--- a/lab/src/main/java/org/dahliapass/lab/policy/LogScale.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/LogScale.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 
 /**
- * Maps values to pixels by their logarithm; values beyond the ends are drawn at the ends.
+ * A logarithmic scale from values to pixels, which clamps values outside its range.
  *
- * @param low the value at the start
- * @param high the value at the end
+ * @param low the lowest value
+ * @param high the highest value
  * @param start the pixel of the lowest value
  * @param end the pixel of the highest value
  */
@@ -16,12 +16,12 @@
     private static final double BASE = 10;
 
     double pixel(double value) {
-        double inside = Math.max(low, Math.min(high, value));
-        double share = Math.log(inside / low) / Math.log(high / low);
-        return start + share * (end - start);
+        double clamped = Math.max(low, Math.min(high, value));
+        double fraction = Math.log(clamped / low) / Math.log(high / low);
+        return start + fraction * (end - start);
     }
 
-    /** Returns the powers of ten, as multiples of the lowest value, that lie on the scale. */
+    /** Returns the multiples of the lowest value by powers of ten that lie on the scale. */
     List<Double> ticks() {
         List<Double> ticks = new ArrayList<>();
         for (double tick = low; tick <= high; tick *= BASE) {
@@ -30,7 +30,7 @@
         return ticks;
     }
 
-    /** Returns a tick's label with its unit. */
+    /** Formats a duration in milliseconds or seconds. */
     static String duration(double millis) {
         return millis < 1_000
                 ? String.format(Locale.ROOT, "%.0f ms", millis)
--- a/lab/src/main/java/org/dahliapass/lab/policy/Measurement.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/Measurement.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import org.dahliapass.decisions.health.Outcome;
 
-/** What is counted in one run from the start of the fault on. */
+/** The counters of one run from the start of the fault. Not thread-safe. */
 final class Measurement {
-    private static final long NOT_FOUND = -1;
+    private static final long NOT_DETECTED = -1;
     private static final int MICROS = 1_000;
 
     private final Deployment mDeployment;
     private final Fault mFault;
     private final List<FakeVm> mVms;
     private final long mFaultMillis;
-    private final long[][] mFoundMillis;
+    private final long[][] mDetectionMillis;
     private double mHealthyEjectedSeconds;
-    private int mLowestHealthy = Integer.MAX_VALUE;
+    private int mMinHealthyTargets = Integer.MAX_VALUE;
     private int mRequests;
     private int mFailed;
     private int mLate;
@@ -28,9 +28,9 @@
         mFault = fault;
         mVms = vms;
         mFaultMillis = faultMillis;
-        mFoundMillis = new long[deployment.vms()][deployment.targets()];
-        for (long[] row : mFoundMillis) {
-            Arrays.fill(row, NOT_FOUND);
+        mDetectionMillis = new long[deployment.vms()][deployment.targets()];
+        for (long[] row : mDetectionMillis) {
+            Arrays.fill(row, NOT_DETECTED);
         }
     }
 
@@ -55,13 +55,13 @@
         }
     }
 
-    /** Notes whether a sick target gets no more work from a VM. */
+    /** Records the detection time if the VM's weight for a faulty target has dropped far enough. */
     void recordWeight(int vm, int target, long nowMillis) {
         if (nowMillis >= mFaultMillis
-                && mFoundMillis[vm][target] == NOT_FOUND
+                && mDetectionMillis[vm][target] == NOT_DETECTED
                 && mFault.isFaulty(mDeployment, vm, target)
                 && mVms.get(vm).mSelector.weight(target) <= mFault.detectedAtWeight()) {
-            mFoundMillis[vm][target] = nowMillis - mFaultMillis;
+            mDetectionMillis[vm][target] = nowMillis - mFaultMillis;
         }
     }
 
@@ -81,32 +81,32 @@
                 mHealthyEjectedSeconds += Experiment.TICK_MILLIS / 1_000.0 / mDeployment.vms();
             }
         }
-        mLowestHealthy = Math.min(mLowestHealthy, healthy);
+        mMinHealthyTargets = Math.min(mMinHealthyTargets, healthy);
     }
 
     /**
-     * Returns the detection times, in milliseconds, of the VMs and sick targets that were found.
+     * Returns the detection times, in milliseconds, of the VM and target pairs that were detected.
      */
     List<Long> detectionMillis() {
         List<Long> times = new ArrayList<>();
-        forEachSick((vm, target) -> addFound(times, mFoundMillis[vm][target]));
+        forEachFaulty((vm, target) -> addDetected(times, mDetectionMillis[vm][target]));
         return times;
     }
 
-    /** Returns for how many pairs of a VM and a sick target there was something to find. */
+    /** Returns the number of pairs of a running VM and a faulty target. */
     int faultyPairs() {
         int[] pairs = new int[1];
-        forEachSick((vm, target) -> pairs[0]++);
+        forEachFaulty((vm, target) -> pairs[0]++);
         return pairs[0];
     }
 
-    private static void addFound(List<Long> times, long millis) {
-        if (millis != NOT_FOUND) {
+    private static void addDetected(List<Long> times, long millis) {
+        if (millis != NOT_DETECTED) {
             times.add(millis);
         }
     }
 
-    private void forEachSick(Pair action) {
+    private void forEachFaulty(PairAction action) {
         for (int vm = 0; vm < mDeployment.vms(); vm++) {
             for (int target = 0; target < mDeployment.targets(); target++) {
                 if (!mFault.isVmLost(vm) && mFault.isFaulty(mDeployment, vm, target)) {
@@ -121,7 +121,7 @@
     }
 
     int minHealthyTargets() {
-        return mLowestHealthy;
+        return mMinHealthyTargets;
     }
 
     int requests() {
@@ -144,7 +144,7 @@
         return mProbes;
     }
 
-    private interface Pair {
+    private interface PairAction {
         void accept(int vm, int target);
     }
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyMain.java
@@ -15,7 +15,7 @@
 import org.dahliapass.kernel.OperationException;
 import org.dahliapass.kernel.Program;
 
-/** Prints how the decisions do against plainer ones, over a table of faults. */
+/** Compares the production policy with simpler ones over a range of faults. */
 public final class PolicyMain extends Program {
     private final PrintStream mOutput;
 
@@ -32,22 +32,23 @@
 
     @Override
     protected void declareOptions(OptionParser parser) {
-        parser.accepts("seed", "The seed of all runs.")
+        parser.accepts("seed", "Base seed of all runs.")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(1L);
-        parser.accepts("runs", "Runs for each row, with different seeds.")
+        parser.accepts("runs", "Number of runs per row, each with its own seed.")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(2);
-        parser.accepts("json", "Also write the figures to this file.").withRequiredArg();
-        parser.accepts("svg", "Also write the plots into this directory.").withRequiredArg();
-        parser.accepts("fault", "Only faults whose title holds this text.").withRequiredArg();
-        parser.accepts("load", "Only this load, in percent.")
+        parser.accepts("json", "Also writes the results to this JSON file.").withRequiredArg();
+        parser.accepts("svg", "Also writes the plots to this directory.").withRequiredArg();
+        parser.accepts("fault", "Runs only faults whose title contains this text.")
+                .withRequiredArg();
+        parser.accepts("load", "Runs only this load, in percent.")
                 .withRequiredArg()
                 .ofType(Integer.class);
-        parser.accepts("curve-only", "Only the curve over the tolerance.");
-        parser.accepts("no-curve", "Without the curve over the tolerance.");
+        parser.accepts("curve-only", "Runs only the tolerance curve.");
+        parser.accepts("no-curve", "Omits the tolerance curve.");
     }
 
     @Override
@@ -72,7 +73,7 @@
         for (Deployment deployment : List.of(Deployment.HIMAL_DESK, Deployment.VATULELE_RANKINGS)) {
             for (double load : PolicyTable.LOADS) {
                 for (Fault fault : Fault.values()) {
-                    if (isChosen(options, load, fault)) {
+                    if (isSelected(options, load, fault)) {
                         List<ResultRow> added = table.rows(deployment, load, fault);
                         added.forEach(mOutput::println);
                         rows.addAll(added);
@@ -84,7 +85,7 @@
         return rows;
     }
 
-    private static boolean isChosen(OptionSet options, double load, Fault fault) {
+    private static boolean isSelected(OptionSet options, double load, Fault fault) {
         if (options.has("load")
                 && (Integer) options.valueOf("load") != (int) Math.round(load * 100)) {
             return false;
@@ -105,21 +106,21 @@
         return curve;
     }
 
-    private static void write(Figures figures, String file) {
+    private static void write(Figures results, String file) {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
         try {
-            mapper.writeValue(new File(file), figures);
+            mapper.writeValue(new File(file), results);
         } catch (IOException failure) {
             throw new OperationException(
-                    "write the figures", file, String.format(Locale.ROOT, "%s", failure));
+                    "write the results", file, String.format(Locale.ROOT, "%s", failure));
         }
     }
 
     /**
-     * The machine-readable copy.
+     * The results, as written to the JSON file.
      *
-     * @param rows the table
-     * @param curve the curve over the tolerance
+     * @param rows the rows of the table
+     * @param curve the points of the tolerance curve
      */
     record Figures(List<ResultRow> rows, List<CurvePoint> curve) {}
 }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyPlots.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.dahliapass.kernel.OperationException;
 
-/** Writes the plots of the policy's measurement as SVG files. */
+/** Writes the results as SVG plots. */
 final class PolicyPlots {
     static final String CURVE_FILE = "policy-curve.svg";
     static final String DETECTION_FILE = "policy-detection.svg";
@@ -16,11 +16,11 @@
     private PolicyPlots() {}
 
     /**
-     * Writes the plots for which there are figures.
+     * Writes the plots for which there are results.
      *
-     * @param directory made if it isn't there
+     * @param directory created if absent
      * @return the files written
-     * @throws OperationException if a file can't be written
+     * @throws OperationException if a file cannot be written
      */
     static List<Path> write(Path directory, List<ResultRow> rows, List<CurvePoint> curve) {
         List<Path> files = new ArrayList<>();
@@ -40,7 +40,7 @@
             throw new OperationException(
                     "write the plots",
                     file.toString(),
-                    "name a directory that can be written: " + failure,
+                    "name a writable directory: " + failure,
                     failure);
         }
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyTable.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyTable.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Runs the experiments of the table and of the curve. */
+/** Runs the experiments for the table and for the tolerance curve. */
 final class PolicyTable {
-    /** The loads, as shares of the capacity. */
+    /** The arrival rates, as shares of the capacity. */
     static final List<Double> LOADS = List.of(0.5, 0.8, 1.1);
 
     /** The tolerances of the curve. */
@@ -18,45 +18,45 @@
     private final int mRuns;
 
     /**
-     * Prepares the table.
+     * Creates a table.
      *
-     * @param runs the runs for each row
+     * @param runs the number of runs per row
      */
     PolicyTable(long seed, int runs) {
         mSeed = seed;
         mRuns = runs;
     }
 
-    /** Returns the rows of one deployment, load and fault, one for each contender. */
+    /** Returns one row per variant for a deployment, load and fault. */
     List<ResultRow> rows(Deployment deployment, double load, Fault fault) {
         return rows(deployment, load, fault, List.of(PolicyVariant.values()));
     }
 
-    /** Returns the row of one contender. */
-    ResultRow row(Deployment deployment, Fault fault, PolicyVariant contender, double load) {
-        return rows(deployment, load, fault, List.of(contender)).get(0);
+    /** Returns the row of one variant. */
+    ResultRow row(Deployment deployment, Fault fault, PolicyVariant variant, double load) {
+        return rows(deployment, load, fault, List.of(variant)).get(0);
     }
 
     private List<ResultRow> rows(
-            Deployment deployment, double load, Fault fault, List<PolicyVariant> contenders) {
-        // Runs share nothing and keep their order, so the sums don't depend on the threads.
+            Deployment deployment, double load, Fault fault, List<PolicyVariant> variants) {
+        // Runs share no state and keep their order, so the sums are deterministic.
         List<Measurement> runs =
-                IntStream.range(0, contenders.size() * mRuns)
+                IntStream.range(0, variants.size() * mRuns)
                         .parallel()
                         .mapToObj(
                                 number ->
                                         new Experiment(
                                                         deployment,
                                                         fault,
-                                                        contenders.get(number / mRuns),
+                                                        variants.get(number / mRuns),
                                                         load,
                                                         mSeed + number % mRuns * SEED_STEP)
                                                 .run())
                         .toList();
         List<ResultRow> rows = new ArrayList<>();
-        for (int index = 0; index < contenders.size(); index++) {
-            List<Measurement> own = runs.subList(index * mRuns, (index + 1) * mRuns);
-            rows.add(ResultRow.of(deployment, fault, contenders.get(index), load, own));
+        for (int index = 0; index < variants.size(); index++) {
+            List<Measurement> variantRuns = runs.subList(index * mRuns, (index + 1) * mRuns);
+            rows.add(ResultRow.of(deployment, fault, variants.get(index), load, variantRuns));
         }
         return rows;
     }
--- a/lab/src/main/java/org/dahliapass/lab/policy/PolicyVariant.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/PolicyVariant.java
@@ -1,29 +1,29 @@
 package org.dahliapass.lab.policy;
 
-/** Who decides which targets get work. */
+/** A variant of the policy that selects targets. */
 enum PolicyVariant {
-    /** The production decisions. */
+    /** The production policy. */
     CELL("cell") {
         @Override
         Selector create(Deployment deployment, int vm) {
             return new HealthSelector(deployment, vm, true);
         }
     },
-    /** The production decisions, each VM on its own evidence. */
+    /** The production policy without evidence from other VMs. */
     OWN_EVIDENCE("own") {
         @Override
         Selector create(Deployment deployment, int vm) {
             return new HealthSelector(deployment, vm, false);
         }
     },
-    /** Three failures in a row, targets in turn. */
+    /** Ejection after consecutive failures, with round robin. */
     CONSECUTIVE_FAILURES("three") {
         @Override
         Selector create(Deployment deployment, int vm) {
             return new ConsecutiveFailuresSelector(deployment, vm);
         }
     },
-    /** Probes only. */
+    /** Ejection by probes only. */
     PROBES("probes") {
         @Override
         Selector create(Deployment deployment, int vm) {
--- a/lab/src/main/java/org/dahliapass/lab/policy/ProbeSelector.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ProbeSelector.java
@@ -2,34 +2,34 @@
 
 import org.dahliapass.decisions.health.HealthReport;
 
-/** Takes a target out after two bad probes in a row, and back after two good ones. */
+/** Ejects a target after two consecutive failed probes and returns it after two successes. */
 final class ProbeSelector extends BaselineSelector {
-    private static final int PROBES = 2;
+    private static final int CONSECUTIVE_PROBES = 2;
     private static final long INTERVAL_MILLIS = 1_000;
 
-    private final int[] mBad;
-    private final int[] mGood;
+    private final int[] mConsecutiveFailures;
+    private final int[] mConsecutiveSuccesses;
 
     ProbeSelector(Deployment deployment, int vm) {
         super(deployment, vm);
-        mBad = new int[deployment.targets()];
-        mGood = new int[deployment.targets()];
+        mConsecutiveFailures = new int[deployment.targets()];
+        mConsecutiveSuccesses = new int[deployment.targets()];
     }
 
     @Override
     public void onProbe(int target, boolean answered, HealthReport report, long nowMillis) {
         super.onProbe(target, answered, report, nowMillis);
         if (answered && report != HealthReport.UNHEALTHY) {
-            mBad[target] = 0;
-            mGood[target]++;
+            mConsecutiveFailures[target] = 0;
+            mConsecutiveSuccesses[target]++;
         } else {
-            mGood[target] = 0;
-            mBad[target]++;
+            mConsecutiveSuccesses[target] = 0;
+            mConsecutiveFailures[target]++;
         }
-        if (mBad[target] >= PROBES) {
-            mOutUntilMillis[target] = Long.MAX_VALUE;
-        } else if (mGood[target] >= PROBES) {
-            mOutUntilMillis[target] = Long.MIN_VALUE;
+        if (mConsecutiveFailures[target] >= CONSECUTIVE_PROBES) {
+            mEjectedUntilMillis[target] = Long.MAX_VALUE;
+        } else if (mConsecutiveSuccesses[target] >= CONSECUTIVE_PROBES) {
+            mEjectedUntilMillis[target] = Long.MIN_VALUE;
         }
     }
 
--- a/lab/src/main/java/org/dahliapass/lab/policy/ResultRow.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/ResultRow.java
@@ -6,23 +6,26 @@
 import java.util.Locale;
 
 /**
- * One row of the table: several runs that differ only in their seed, summed.
+ * One row of the results: the sum of several runs that differ only in their seed.
  *
  * @param deployment the deployment's name
  * @param loadPercent the load, in percent of the capacity
  * @param fault the fault's title
- * @param contender who decided
- * @param detectionMedianMillis the median detection time; -1 if fewer than half were found
- * @param detectionHighMillis the 99th percentile of it; -1 if fewer than 99% were found
- * @param missedPercent how many pairs of VM and sick target were never found
- * @param healthyEjectedSeconds healthy target-seconds out, mean of the VMs, sum of the runs
- * @param lowestHealthy the fewest healthy targets that a VM used
- * @param floor the floor's number of targets
- * @param crossed whether fewer than the floor's healthy targets were used though there were enough
- * @param failedPercent requests that failed
- * @param latePercent requests that were answered late
- * @param refusedPercent requests that were refused
- * @param probesPercent probes for each hundred requests
+ * @param contender the title of the policy variant
+ * @param detectionMedianMillis the median detection time; -1 if fewer than half were detected
+ * @param detectionHighMillis the 99th percentile of the detection time; -1 if fewer than 99% were
+ *     detected
+ * @param missedPercent the pairs of a VM and a faulty target that were never detected, in percent
+ * @param healthyEjectedSeconds healthy target-seconds ejected, as the mean over VMs and the sum
+ *     over runs
+ * @param lowestHealthy the lowest number of healthy targets that any VM used
+ * @param floor the floor, as a number of targets
+ * @param crossed whether fewer healthy targets than the floor were used although enough were
+ *     available
+ * @param failedPercent requests that failed, in percent
+ * @param latePercent requests whose response was late, in percent
+ * @param refusedPercent requests that were refused, in percent
+ * @param probesPercent probes per hundred requests
  */
 record ResultRow(
         String deployment,
@@ -58,48 +61,49 @@
                     "refused",
                     "probes");
 
-    /** Sums up the runs of one cell of the table. */
+    /** Aggregates the runs of one deployment, fault, variant and load. */
     static ResultRow of(
             Deployment deployment,
             Fault fault,
             PolicyVariant contender,
             double load,
             List<Measurement> runs) {
-        List<Long> found = new ArrayList<>();
-        runs.forEach(run -> found.addAll(run.detectionMillis()));
-        Collections.sort(found);
+        List<Long> detectionTimes = new ArrayList<>();
+        runs.forEach(run -> detectionTimes.addAll(run.detectionMillis()));
+        Collections.sort(detectionTimes);
         int pairs = runs.stream().mapToInt(Measurement::faultyPairs).sum();
         double requests = runs.stream().mapToInt(Measurement::requests).sum();
-        int lowest = runs.stream().mapToInt(Measurement::minHealthyTargets).min().orElse(0);
+        int minHealthyTargets =
+                runs.stream().mapToInt(Measurement::minHealthyTargets).min().orElse(0);
         int floor = deployment.floorTargets();
         return new ResultRow(
                 deployment.name(),
                 (int) Math.round(load * 100),
                 fault.title(),
                 contender.title(),
-                percentile(found, pairs, 0.5),
-                percentile(found, pairs, 0.99),
-                pairs == 0 ? 0 : 100.0 * (pairs - found.size()) / pairs,
+                percentile(detectionTimes, pairs, 0.5),
+                percentile(detectionTimes, pairs, 0.99),
+                pairs == 0 ? 0 : 100.0 * (pairs - detectionTimes.size()) / pairs,
                 runs.stream().mapToDouble(Measurement::healthyEjectedSeconds).sum(),
-                lowest,
+                minHealthyTargets,
                 floor,
-                lowest < Math.min(floor, fewestHealthy(deployment, fault)),
+                minHealthyTargets < Math.min(floor, minAvailableTargets(deployment, fault)),
                 100 * runs.stream().mapToInt(Measurement::failed).sum() / requests,
                 100 * runs.stream().mapToInt(Measurement::late).sum() / requests,
                 100 * runs.stream().mapToInt(Measurement::refused).sum() / requests,
                 100 * runs.stream().mapToInt(Measurement::probes).sum() / requests);
     }
 
-    private static int fewestHealthy(Deployment deployment, Fault fault) {
-        int fewest = deployment.targets();
+    private static int minAvailableTargets(Deployment deployment, Fault fault) {
+        int minHealthy = deployment.targets();
         for (int vm = 0; vm < deployment.vms(); vm++) {
             int healthy = 0;
             for (int target = 0; target < deployment.targets(); target++) {
                 healthy += fault.isFaulty(deployment, vm, target) ? 0 : 1;
             }
-            fewest = fault.isVmLost(vm) ? fewest : Math.min(fewest, healthy);
+            minHealthy = fault.isVmLost(vm) ? minHealthy : Math.min(minHealthy, healthy);
         }
-        return fewest;
+        return minHealthy;
     }
 
     private static double percentile(List<Long> sorted, int pairs, double share) {
--- a/lab/src/main/java/org/dahliapass/lab/policy/SvgDrawing.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/SvgDrawing.java
@@ -5,10 +5,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Collects the shapes of one SVG picture.
+ * An SVG drawing, with all lengths in pixels.
  *
- * <p>The background stays transparent, and the colours are of middle lightness, so that a picture
- * reads on white and on dark pages. All lengths are in pixels.
+ * <p>The background is transparent and the colors have medium lightness, so that drawings are
+ * legible on light and dark pages. Not thread-safe.
  */
 final class SvgDrawing {
     static final String TEXT = "#7a7a7a";
@@ -25,38 +25,40 @@
         mHeight = height;
     }
 
-    void line(Point from, Point to, String colour, double width) {
+    void line(Point from, Point to, String color, double width) {
         add(
                 "<line x1=\"%.1f\" y1=\"%.1f\" x2=\"%.1f\" y2=\"%.1f\" stroke=\"%s\""
                         + " stroke-width=\"%.1f\"/>",
-                from.x(), from.y(), to.x(), to.y(), colour, width);
+                from.x(), from.y(), to.x(), to.y(), color, width);
     }
 
-    void path(List<Point> points, String colour) {
-        String corners =
+    void path(List<Point> points, String color) {
+        String coordinates =
                 points.stream()
                         .map(point -> String.format(Locale.ROOT, "%.1f,%.1f", point.x(), point.y()))
                         .collect(Collectors.joining(" "));
         add(
                 "<polyline points=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.5\"/>",
-                corners, colour);
+                coordinates, color);
     }
 
-    void dot(Point at, String colour) {
-        add("<circle cx=\"%.1f\" cy=\"%.1f\" r=\"4\" fill=\"%s\"/>", at.x(), at.y(), colour);
+    void dot(Point position, String color) {
+        add(
+                "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"4\" fill=\"%s\"/>",
+                position.x(), position.y(), color);
     }
 
-    void ring(Point at, double radius, String colour) {
+    void ring(Point position, double radius, String color) {
         add(
                 "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"%.1f\" fill=\"none\" stroke=\"%s\""
                         + " stroke-width=\"2\"/>",
-                at.x(), at.y(), radius, colour);
+                position.x(), position.y(), radius, color);
     }
 
-    void text(Point at, Anchor anchor, String colour, String text) {
+    void text(Point position, Anchor anchor, String color, String text) {
         add(
                 "<text x=\"%.1f\" y=\"%.1f\" text-anchor=\"%s\" fill=\"%s\">%s</text>",
-                at.x(), at.y(), anchor.mName, colour, escape(text));
+                position.x(), position.y(), anchor.mName, color, escape(text));
     }
 
     private void add(String format, Object... values) {
@@ -67,7 +69,7 @@
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    /** Returns the picture as an SVG file's text. */
+    /** Returns the SVG text. */
     @Override
     public String toString() {
         return String.format(
@@ -84,14 +86,14 @@
     }
 
     /**
-     * A place in the picture.
+     * A position in the drawing.
      *
-     * @param x from the left
-     * @param y from the top
+     * @param x the distance from the left
+     * @param y the distance from the top
      */
     record Point(double x, double y) {}
 
-    /** Which part of a text stands at its place. */
+    /** The part of a text that is aligned with its position. */
     enum Anchor {
         START("start"),
         MIDDLE("middle"),
--- a/lab/src/main/java/org/dahliapass/lab/policy/package-info.java
+++ b/lab/src/main/java/org/dahliapass/lab/policy/package-info.java
@@ -1,2 +1,4 @@
-/** Measures the production decisions against plainer ones, on a virtual clock. */
+/**
+ * Discrete-event simulation that compares failure detection in production with simpler policies.
+ */
 package org.dahliapass.lab.policy;
--- a/lab/src/test/java/org/dahliapass/lab/AsymmetricPartitionTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/AsymmetricPartitionTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks what a cut between two VMs does that lets messages pass one way only. */
+/** Tests one-way link failures between two VMs. */
 public final class AsymmetricPartitionTest {
     private static final String SIGN_OFF = "/services/himal/desk/sign-offs/7";
 
-    /** Enough lost pings and answers for several suspicions to run out in a fleet of three. */
+    /** Enough lost pings and acks for several suspicion timeouts in a fleet of three. */
     private static final int LOST_MESSAGES = 40;
 
     private TestFleet mFleet;
@@ -26,7 +26,7 @@
     }
 
     @AfterMethod
-    public void mendLinks() {
+    public void healLinks() {
         mFleet.healLinks();
     }
 
@@ -35,57 +35,53 @@
         mFleet.close();
     }
 
-    // One VM's messages to another are lost while those of the other way pass. Each of the two
-    // misses answers of the other, but the third VM hears both and vouches for them, so nobody is
-    // taken for dead however long it lasts.
+    // Guards against false failure detection while a third VM still reaches both sides.
     @Test
-    public void nobodyIsDeclaredDead() {
+    public void noVmIsDeclaredDead() {
         EntryVm from = mFleet.vms().get(0);
         mFleet.cutOneWay(from, mFleet.vms().get(1));
         mFleet.await(
                 "messages are lost for a while",
                 () -> {
-                    assertNobodyDead();
+                    assertAllMembersListed();
                     return mFleet.lostMessages(from) >= LOST_MESSAGES;
                 });
         mFleet.healLinks();
         mFleet.awaitServing();
     }
 
-    /** The list names no dead VM, so it is short by one if somebody was taken for dead. */
-    private void assertNobodyDead() {
+    /** The membership list omits dead VMs. */
+    private void assertAllMembersListed() {
         for (EntryVm vm : mFleet.vms()) {
             List<String> states = HttpCalls.memberStates(vm.operatorEndpoint());
             assertEquals(states.size(), mFleet.vms().size(), states.toString());
         }
     }
 
-    /** The ways in which home and witness may lose each other, each pair in turn. */
+    /** Home, witness and whether the messages from home are the lost ones. */
     @DataProvider
-    public Object[][] cuts() {
+    public Object[][] partitions() {
         return new Object[][] {{0, 1, true}, {0, 1, false}, {0, 2, true}, {0, 2, false}};
     }
 
-    // A senior signs off through a VM that can't reach the key's witness, or doesn't hear its
-    // answers. Nothing is sent to a target, and the senior is told "not run" with a fresh token.
-    // The sign-off under that token runs, once, although the cut lasts.
-    @Test(dataProvider = "cuts")
+    // Guards against running an operation without its witness; the fresh token must work.
+    @Test(dataProvider = "partitions")
     public void operationWithUnreachableWitnessIsNotRun(
-            int homeIndex, int witnessIndex, boolean lostAtHome) {
+            int homeIndex, int witnessIndex, boolean fromHome) {
         EntryVm home = mFleet.vms().get(homeIndex);
         EntryVm witness = mFleet.vms().get(witnessIndex);
-        String part = "cut-" + homeIndex + witnessIndex + lostAtHome;
-        String key = mFleet.token(home, witness) + "." + part;
-        mFleet.cutOneWay(lostAtHome ? home : witness, lostAtHome ? witness : home);
+        String suffix = "cut-" + homeIndex + witnessIndex + fromHome;
+        String key = mFleet.token(home, witness) + "." + suffix;
+        mFleet.cutOneWay(fromHome ? home : witness, fromHome ? witness : home);
 
-        AggregatedHttpResponse refused = TestFleet.post(home.callerEndpoint(), SIGN_OFF, key);
-        assertEquals(refused.headers().get("x-outcome"), "not-run", refused.contentUtf8());
+        AggregatedHttpResponse refusal = TestFleet.post(home.callerEndpoint(), SIGN_OFF, key);
+        assertEquals(refusal.headers().get("x-outcome"), "not-run", refusal.contentUtf8());
         assertEquals(mFleet.platform().runs(key), 0);
 
-        String fresh = refused.headers().get("x-operation-token") + "." + part;
-        AggregatedHttpResponse repeated = TestFleet.post(home.callerEndpoint(), SIGN_OFF, fresh);
-        assertEquals(repeated.status().code(), 200, fresh + ": " + repeated.contentUtf8());
-        assertEquals(mFleet.platform().runs(fresh), 1);
+        String freshKey = refusal.headers().get("x-operation-token") + "." + suffix;
+        AggregatedHttpResponse repeated = TestFleet.post(home.callerEndpoint(), SIGN_OFF, freshKey);
+        assertEquals(repeated.status().code(), 200, freshKey + ": " + repeated.contentUtf8());
+        assertEquals(mFleet.platform().runs(freshKey), 1);
         assertEquals(mFleet.platform().runs(key), 0);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/ConfigurationRolloutTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ConfigurationRolloutTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Checks how accepted changes come into force on real VMs, with the store there and away. */
+/** Tests the rollout of accepted templates to VMs, with and without the store. */
 public final class ConfigurationRolloutTest {
     private static final String TEMPLATE = "/operations/templates/himal";
 
@@ -26,57 +26,53 @@
         mFleet.close();
     }
 
-    private long numberAt(EntryVm vm) {
+    private long templateNumber(EntryVm vm) {
         String body = TestFleet.get(vm.operatorEndpoint(), TEMPLATE).contentUtf8();
         int start = body.indexOf("\"number\":");
         return start < 0 ? -1 : Long.parseLong(body.substring(start + 9).split("[,}]", -1)[0]);
     }
 
-    private long membersWith(long number) {
-        return mFleet.vms().stream().filter(vm -> numberAt(vm) == number).count();
+    private long vmsWithTemplate(long number) {
+        return mFleet.vms().stream().filter(vm -> templateNumber(vm) == number).count();
     }
 
-    // Two operators change the same template. The first wins and comes into force on the whole cell
-    // of six; the second, who started from the same revision, is told so and changes nothing.
+    // Guards against one of two concurrent changes overwriting the other.
     @Test
-    public void acceptedIsInForceOnTheCellAndTheLoserOfARaceIsTold() {
+    public void acceptedChangeReachesTheCellAndConcurrentChangeConflicts() {
         AcceptOutcome first = mFleet.accept(mFleet.template("29s"), 1);
         assertTrue(first instanceof AcceptOutcome.Accepted, first.toString());
         AcceptOutcome second = mFleet.accept(mFleet.template("28s"), 1);
         assertTrue(second instanceof AcceptOutcome.Conflict, second.toString());
-        mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
+        mFleet.await("six VMs hold change 2", () -> vmsWithTemplate(2) == 6);
     }
 
-    // The store goes away for the rest of the day. A VM is replaced meanwhile: the new one fills
-    // itself from the cell, and serves the newest revision.
+    // Guards against a new VM that can't serve while the store is unavailable.
     @Test
-    public void replacedVmFillsFromPeersWhileTheStoreIsAway() {
+    public void replacementVmLoadsTemplateFromPeersDuringStoreOutage() {
         mFleet.accept(mFleet.template("29s"), 1);
-        mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
+        mFleet.await("six VMs hold change 2", () -> vmsWithTemplate(2) == 6);
         mFleet.store().setFaults(new StoreFaults(true, false, 0, 0));
-        EntryVm fresh = mFleet.startVm(8, LinkFilter.ALLOW_ALL);
-        EntryVm gone = mFleet.vms().remove(0);
-        gone.stopNow().join();
-        mFleet.await("the new VM serves", () -> TestFleet.serves(fresh));
-        mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
+        EntryVm replacement = mFleet.startVm(8, LinkFilter.ALLOW_ALL);
+        EntryVm replaced = mFleet.vms().remove(0);
+        replaced.stopNow().join();
+        mFleet.await("the new VM serves", () -> TestFleet.serves(replacement));
+        mFleet.await("six VMs hold change 2", () -> vmsWithTemplate(2) == 6);
     }
 
-    // An operator's answer is lost after the write took effect. The accept still ends in a plain
-    // yes, because the command reads back its own operation id.
+    // Guards against an unknown outcome when the response to a successful write is lost.
     @Test
-    public void lostAnswerIsResolvedToYes() {
+    public void lostWriteResponseIsResolvedToAccepted() {
         mFleet.store().setFaults(new StoreFaults(false, false, 0, 3));
         AcceptOutcome outcome = mFleet.accept(mFleet.template("27s"), 1);
         assertTrue(outcome instanceof AcceptOutcome.Accepted, outcome.toString());
-        mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
+        mFleet.await("six VMs hold change 2", () -> vmsWithTemplate(2) == 6);
     }
 
-    // Seven VMs in three zones: a waiting watch counts as a call, so only two VMs of each zone may
-    // hold one, however many VMs there are.
+    // Guards against pending watches using up the store's call limit.
     @Test
-    public void onlyTwoVmsOfAZoneWatchTheStore() {
+    public void onlyTwoVmsPerZoneWatchTheStore() {
         mFleet.accept(mFleet.template("29s"), 1);
-        mFleet.await("six VMs hold change 2", () -> membersWith(2) == 6);
+        mFleet.await("six VMs hold change 2", () -> vmsWithTemplate(2) == 6);
         mFleet.await("six watches wait", () -> mFleet.store().pendingWatchCount() == 6);
         assertTrue(mFleet.store().pendingWatchCount() <= 6);
     }
--- a/lab/src/test/java/org/dahliapass/lab/GrayFailureTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GrayFailureTest.java
@@ -14,37 +14,37 @@
 import org.dahliapass.standins.TargetStandIn;
 import org.testng.annotations.Test;
 
-/** Checks that a target that fails its work and answers its probes stops receiving work. */
+/** Tests the ejection of a target that fails its requests but answers its probes. */
 public final class GrayFailureTest {
-    private static final TargetFaults GRAY =
+    private static final TargetFaults GRAY_FAILURE =
             new TargetFaults(1.0, true, 1, false, false, true, null, 0, false);
-    private static final Set<String> OUT = Set.of("ejected", "avoided-here");
-    private static final Set<String> TAKEN_OUT = Set.of("ejected", "avoided");
+    private static final Set<String> EJECTED_STATES = Set.of("ejected", "avoided-here");
+    private static final Set<String> EJECTION_ACTIONS = Set.of("ejected", "avoided");
     private static final int REQUESTS = 300;
 
-    /** Work that tries whether the target is well again, far below its share of a third. */
-    private static final int MOST_TRIALS = 15;
+    /** Far below the target's regular share of a third. */
+    private static final int MAX_TRIAL_REQUESTS = 15;
 
-    // A target answers its health probes and fails every listing. Work alone shows it: the VMs
-    // take it out, and an operator who asks why is told the cause, the evidence and the setting.
-    // From then on it gets only the few requests that try whether it is well again.
+    // Guards against gray failures that probes don't detect, and unexplained ejections.
     @Test
-    public void grayTargetStopsReceivingWorkAndIsExplained() {
+    public void grayTargetIsEjectedAndEjectionIsExplained() {
         try (TestFleet fleet = TestFleet.start(3, 3)) {
             TargetStandIn gray = fleet.targets().get(0);
-            gray.setFaults(GRAY);
+            gray.setFaults(GRAY_FAILURE);
             fleet.await(
-                    "all VMs took it out",
+                    "all VMs eject the target",
                     () -> {
                         send(fleet, 20);
-                        return allTookOut(fleet, gray.endpoint());
+                        return isEjectedByAll(fleet, gray.endpoint());
                     });
             assertExplained(fleet, gray.endpoint());
 
             long before = gray.state().served();
             send(fleet, REQUESTS);
-            long trials = gray.state().served() - before;
-            assertTrue(trials <= MOST_TRIALS, trials + " requests went to it.");
+            long trialRequests = gray.state().served() - before;
+            assertTrue(
+                    trialRequests <= MAX_TRIAL_REQUESTS,
+                    trialRequests + " requests reached the ejected target.");
         }
     }
 
@@ -55,29 +55,29 @@
         }
     }
 
-    private static boolean allTookOut(TestFleet fleet, Endpoint target) {
+    private static boolean isEjectedByAll(TestFleet fleet, Endpoint target) {
         return fleet.vms().stream()
                         .map(vm -> HttpCalls.targetState(vm.operatorEndpoint(), target))
                         .flatMap(Optional::stream)
-                        .filter(OUT::contains)
+                        .filter(EJECTED_STATES::contains)
                         .count()
                 == fleet.vms().size();
     }
 
     private static void assertExplained(TestFleet fleet, Endpoint target) {
-        List<JsonNode> found = new ArrayList<>();
+        List<JsonNode> explanations = new ArrayList<>();
         for (EntryVm vm : fleet.vms()) {
             HttpCalls.json(
                             HttpCalls.get(
                                     vm.operatorEndpoint(),
                                     "/operations/explanations?target=" + target))
-                    .forEach(found::add);
+                    .forEach(explanations::add);
         }
-        found.removeIf(node -> !TAKEN_OUT.contains(node.path("action").asText()));
-        assertFalse(found.isEmpty(), "No VM explains why it took the target out.");
-        for (JsonNode node : found) {
-            for (String part : List.of("cause", "evidence", "setting")) {
-                assertFalse(node.path(part).asText().isBlank(), part + " is missing: " + node);
+        explanations.removeIf(node -> !EJECTION_ACTIONS.contains(node.path("action").asText()));
+        assertFalse(explanations.isEmpty(), "No VM explains the ejection of the target.");
+        for (JsonNode node : explanations) {
+            for (String field : List.of("cause", "evidence", "setting")) {
+                assertFalse(node.path(field).asText().isBlank(), field + " is missing: " + node);
             }
         }
     }
--- a/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/GuardedOperationTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Checks at most once through the whole path, with real HTTP and messages between VMs. */
+/** Tests at-most-once execution end to end, with HTTP and messages between VMs. */
 public final class GuardedOperationTest {
     private static final String SIGN_OFF = "/services/himal/desk/sign-offs/7";
 
@@ -27,10 +27,10 @@
 
     private String token() {
         EntryVm home = mFleet.vms().get(0);
-        AggregatedHttpResponse answer =
+        AggregatedHttpResponse response =
                 TestFleet.post(home.callerEndpoint(), SIGN_OFF, "not a key");
-        assertEquals(answer.status().code(), 428);
-        return answer.headers().get("x-operation-token");
+        assertEquals(response.status().code(), 428);
+        return response.headers().get("x-operation-token");
     }
 
     private int runs(String key) {
@@ -40,25 +40,24 @@
                 .sum();
     }
 
-    // A coach repeats a sign-off at every VM after its first answer. Each VM gives the recorded
-    // answer of the one run, because the key names the VM that ran it.
+    // Guards against a second run when a completed operation is repeated at another VM.
     @Test
-    public void repeatedKeyAtAnyVmGetsRecordedAnswer() {
+    public void repeatedKeyGetsRecordedResponseAtEveryVm() {
         String key = token() + ".repeated";
         AggregatedHttpResponse first =
                 TestFleet.post(mFleet.vms().get(0).callerEndpoint(), SIGN_OFF, key);
         assertEquals(first.status().code(), 200);
         for (EntryVm vm : mFleet.vms()) {
-            AggregatedHttpResponse again = TestFleet.post(vm.callerEndpoint(), SIGN_OFF, key);
-            assertEquals(again.contentUtf8(), first.contentUtf8(), again.headers().toString());
+            AggregatedHttpResponse repeated = TestFleet.post(vm.callerEndpoint(), SIGN_OFF, key);
+            assertEquals(
+                    repeated.contentUtf8(), first.contentUtf8(), repeated.headers().toString());
         }
         assertEquals(runs(key), 1);
     }
 
-    // A caller asks for an outcome before its request arrives. It is told "not run"; the late
-    // request then is refused, so that the answer stays true.
+    // Guards against running an operation whose outcome was already reported as not run.
     @Test
-    public void askedForFirstIsNeverRun() {
+    public void operationQueriedBeforeArrivalIsNeverRun() {
         String key = token() + ".asked-first";
         EntryVm other = mFleet.vms().get(1);
         AggregatedHttpResponse outcome =
--- a/lab/src/test/java/org/dahliapass/lab/HttpCalls.java
+++ b/lab/src/test/java/org/dahliapass/lab/HttpCalls.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.dahliapass.model.Endpoint;
 
-/** What callers and operators ask of a VM over HTTP. */
+/** The HTTP requests of callers and operators to a VM. */
 final class HttpCalls {
     /**
-     * An address that an ask names.
+     * An address from a discovery response.
      *
-     * @param address where to send requests
-     * @param token the beginning of keys for guarded requests to it
+     * @param address the address of a VM
+     * @param token the prefix of idempotency keys for guarded requests to this VM
      */
     record Address(String address, String token) {}
 
@@ -29,17 +29,17 @@
 
     private HttpCalls() {}
 
-    /** Sends a GET request and returns the whole answer. */
+    /** Sends a GET request and returns the complete response. */
     static AggregatedHttpResponse get(Endpoint endpoint, String path) {
         return getAsync(endpoint, path).join();
     }
 
-    /** Sends a GET request; fails if the answer doesn't come whole. */
+    /** Sends a GET request; the future fails if the response is incomplete. */
     static CompletableFuture<AggregatedHttpResponse> getAsync(Endpoint endpoint, String path) {
         return client("http", endpoint).get(path).aggregate();
     }
 
-    /** Sends a guarded request, over a connection of its own. */
+    /** Sends a guarded request over a separate connection. */
     static CompletableFuture<AggregatedHttpResponse> post(
             Endpoint endpoint, String path, String key) {
         RequestHeaders headers =
@@ -49,7 +49,7 @@
                 .aggregate();
     }
 
-    /** Returns a client that waits as long as a test does; {@code h1c} opens own connections. */
+    /** Returns a client with the tests' timeout; {@code h1c} opens separate connections. */
     static WebClient client(String protocol, Endpoint endpoint) {
         return WebClient.builder(protocol + "://" + endpoint)
                 .responseTimeout(TestPlatform.LIMIT)
@@ -57,12 +57,12 @@
                 .build();
     }
 
-    /** Asks a VM which addresses serve {@code himal}'s desk; none if it doesn't answer. */
+    /** Returns the addresses for {@code himal}'s desk; empty if the VM refuses discovery. */
     static List<Address> discover(Endpoint callers) {
-        AggregatedHttpResponse answer = get(callers, "/ask?customer=himal&service=desk");
+        AggregatedHttpResponse response = get(callers, "/ask?customer=himal&service=desk");
         List<Address> addresses = new ArrayList<>();
-        if (answer.status().isSuccess()) {
-            json(answer)
+        if (response.status().isSuccess()) {
+            json(response)
                     .path("addresses")
                     .forEach(
                             node ->
@@ -74,22 +74,22 @@
         return addresses;
     }
 
-    /** Asks a VM what became of an operation of {@code himal}: ran, running, not-run or unknown. */
+    /** Returns the outcome of an operation of {@code himal}: ran, running, not-run or unknown. */
     static String outcome(Endpoint callers, String key) {
         return get(callers, "/outcomes/himal/" + key).headers().get("x-outcome");
     }
 
-    /** Returns how many VMs a VM sees alive. */
+    /** Returns the number of VMs that a VM considers alive. */
     static int aliveMembers(Endpoint operators) {
         return (int) memberStates(operators).stream().filter("alive"::equals).count();
     }
 
-    /** Returns the states in which a VM sees all VMs. */
+    /** Returns the states of all VMs in a VM's membership list. */
     static List<String> memberStates(Endpoint operators) {
         return json(get(operators, "/operations/members")).findValuesAsText("state");
     }
 
-    /** Returns the state in which a VM holds a target; empty if it doesn't know it. */
+    /** Returns a VM's state for a target; empty if the VM doesn't know the target. */
     static Optional<String> targetState(Endpoint operators, Endpoint target) {
         for (JsonNode node : json(get(operators, "/operations/targets"))) {
             if (node.path("target").asText().equals(target.toString())) {
@@ -99,12 +99,13 @@
         return Optional.empty();
     }
 
-    /** Reads an answer as JSON. */
-    static JsonNode json(AggregatedHttpResponse answer) {
+    /** Parses a response as JSON. */
+    static JsonNode json(AggregatedHttpResponse response) {
         try {
-            return MAPPER.readTree(answer.contentUtf8());
+            return MAPPER.readTree(response.contentUtf8());
         } catch (JsonProcessingException failure) {
-            throw new AssertionError("Not JSON: " + answer.contentUtf8(), failure);
+            throw new AssertionError(
+                    "Response is not valid JSON: " + response.contentUtf8(), failure);
         }
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/JournalRecord.java
+++ b/lab/src/test/java/org/dahliapass/lab/JournalRecord.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * What one entry of the journal of measured runs says.
+ * One entry of the journal of measured runs.
  *
  * @param id identifies the entry
- * @param command how it was played
+ * @param command the command that was run
  * @param site the deployment
- * @param head the commit that was played
- * @param vms the VMs of the deployment, 0 if no day was played
- * @param days how many days were played
- * @param brokenRules the rules that any of its days broke
- * @param aborted whether any of its days was not played to its end
+ * @param head the commit that was run
+ * @param vms the number of VMs of the deployment, 0 if no day was run
+ * @param days the number of days that were run
+ * @param brokenRules the rules that any day broke
+ * @param aborted whether any day was aborted
  */
 record JournalRecord(
         String id,
@@ -32,7 +32,7 @@
     private static final ObjectMapper PARSER = new ObjectMapper();
 
     /**
-     * Reads an entry.
+     * Reads an entry from a file.
      *
      * @throws IOException if it is cut or damaged
      */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Reads an entry from its text.
+     * Parses an entry.
      *
      * @throws IOException if it is cut or damaged
      */
@@ -50,12 +50,12 @@
         if (!entry.path("id").isTextual()) {
             throw new IOException("The entry has no id.");
         }
-        Set<String> broken = new TreeSet<>();
-        boolean givenUp = false;
+        Set<String> brokenRules = new TreeSet<>();
+        boolean aborted = false;
         int vms = 0;
         for (JsonNode day : entry.path("days")) {
-            day.path("rules").fieldNames().forEachRemaining(broken::add);
-            givenUp |= !day.path("fault").asText("").isEmpty() && !day.path("fault").isNull();
+            day.path("rules").fieldNames().forEachRemaining(brokenRules::add);
+            aborted |= !day.path("fault").asText("").isEmpty() && !day.path("fault").isNull();
             vms = Math.max(vms, day.path("balancers").asInt());
         }
         return new JournalRecord(
@@ -65,7 +65,7 @@
                 entry.path("head").asText(),
                 vms,
                 entry.path("days").size(),
-                broken,
-                givenUp);
+                brokenRules,
+                aborted);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/LinkFaults.java
+++ b/lab/src/test/java/org/dahliapass/lab/LinkFaults.java
@@ -7,33 +7,33 @@
 import org.dahliapass.wire.Direction;
 import org.dahliapass.wire.LinkFilter;
 
-/** Cuts links of one VM one way while it runs, and counts what is lost by it. */
+/** Injects one-way link failures at one VM and counts the lost messages. */
 final class LinkFaults implements LinkFilter {
     private record Link(Endpoint peer, Direction direction) {}
 
-    private final Set<Link> mCut = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger mLost = new AtomicInteger();
+    private final Set<Link> mCutLinks = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger mLostMessages = new AtomicInteger();
 
-    /** Loses all messages that go this way. */
+    /** Drops all messages to or from a peer in one direction. */
     void cut(Direction direction, Endpoint peer) {
-        mCut.add(new Link(peer, direction));
+        mCutLinks.add(new Link(peer, direction));
     }
 
-    /** Lets everything pass again. */
+    /** Removes all link failures. */
     void healAll() {
-        mCut.clear();
+        mCutLinks.clear();
     }
 
-    /** Returns how many messages were lost so far. */
+    /** Returns the number of messages lost so far. */
     int lostMessages() {
-        return mLost.get();
+        return mLostMessages.get();
     }
 
     @Override
     public boolean allows(Endpoint peer, Direction direction) {
-        boolean passes = !mCut.contains(new Link(peer, direction));
+        boolean passes = !mCutLinks.contains(new Link(peer, direction));
         if (!passes) {
-            mLost.incrementAndGet();
+            mLostMessages.incrementAndGet();
         }
         return passes;
     }
