--- a/lab/src/test/java/org/dahliapass/lab/ProcessFailureTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ProcessFailureTest.java
@@ -14,15 +14,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Checks guarded operations and planned stops against VMs that are killed, frozen and stopped. */
+/** Tests guarded operations and graceful shutdown with killed, frozen and terminated VMs. */
 public final class ProcessFailureTest {
     private static final String SIGN_OFF = "/services/himal/desk/sign-offs/7";
     private static final TargetFaults STALL =
             new TargetFaults(0, false, 1, true, false, false, null, 0, false);
     private static final TargetFaults SLOW =
             new TargetFaults(0, false, 1000, false, false, false, null, 0, false);
-    private static final long BYTES = 64L * 1024 * 1024;
-    private static final int ENDED_BY_SIGTERM = 143;
+    private static final long RESPONSE_BYTES = 64L * 1024 * 1024;
+    private static final int SIGTERM_EXIT_CODE = 143;
 
     private ProcessFleet mFleet;
     private VmProcess mHome;
@@ -43,7 +43,7 @@
     }
 
     @AfterMethod
-    public void mend() {
+    public void restore() {
         mFleet.platform().setFaults(TargetFaults.NONE);
         if (mHome.isAlive()) {
             mHome.resume();
@@ -59,61 +59,55 @@
         return mFleet.platform().runs(key);
     }
 
-    private void awaitRun(String key) {
-        mFleet.platform().await("the operation has begun", () -> runs(key) == 1);
+    private void awaitStarted(String key) {
+        mFleet.platform().await("the operation has started", () -> runs(key) == 1);
     }
 
-    private static String answered(VmProcess vm, String key) {
+    private static String outcomeOfPost(VmProcess vm, String key) {
         return HttpCalls.post(vm.callers(), SIGN_OFF, key).join().headers().get("x-outcome");
     }
 
-    // A sign-off is at a target that doesn't answer when its VM is killed. Whoever asks, before and
-    // after the fleet knows of the death, is told "unknown", since the witness knows that it was
-    // to run; the same key sent to another VM is not run a second time.
+    // Guards against a second run or a false "not run" after the home VM dies in flight.
     @Test
-    public void homeKilledInFlightIsUnknownAndRunsOnce() {
+    public void operationInFlightAtKilledHomeIsUnknownAndRunsOnce() {
         String key = mFleet.key(mHome, mWitness, "killed-in-flight");
         mFleet.platform().setFaults(STALL);
-        CompletableFuture<AggregatedHttpResponse> lost =
+        CompletableFuture<AggregatedHttpResponse> inFlight =
                 HttpCalls.post(mHome.callers(), SIGN_OFF, key);
-        awaitRun(key);
+        awaitStarted(key);
         mHome.kill();
-        assertTrue(lost.handle((answer, failure) -> failure != null).join());
+        assertTrue(inFlight.handle((response, failure) -> failure != null).join());
 
         mFleet.platform()
                 .await(
-                        "the death is known",
+                        "the failure is detected",
                         () -> {
                             assertEquals(HttpCalls.outcome(mThird.callers(), key), "unknown");
                             return HttpCalls.memberStates(mThird.operators()).size() == 2;
                         });
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "unknown");
         assertEquals(HttpCalls.outcome(mWitness.callers(), key), "unknown");
-        assertEquals(answered(mThird, key), "unknown");
+        assertEquals(outcomeOfPost(mThird, key), "unknown");
         assertEquals(runs(key), 1);
     }
 
-    // A VM is killed before a sign-off reaches it. Its caller asks another VM and is told "not
-    // run": the witness never heard of the key and refuses it from now on. The late request is
-    // refused wherever it comes, also by the VM's next life.
+    // Guards against running an operation after its outcome was reported as not run.
     @Test
-    public void homeKilledBeforeArrivalIsNotRun() {
+    public void operationArrivingAfterHomeIsKilledIsNotRun() {
         String key = mFleet.key(mHome, mWitness, "killed-before");
         mHome.kill();
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "not-run");
-        assertEquals(answered(mThird, key), "not-run");
-        assertEquals(answered(mWitness, key), "not-run");
+        assertEquals(outcomeOfPost(mThird, key), "not-run");
+        assertEquals(outcomeOfPost(mWitness, key), "not-run");
         mFleet.startMissing();
-        assertEquals(answered(mFleet.vm(1), key), "not-run");
+        assertEquals(outcomeOfPost(mFleet.vm(1), key), "not-run");
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "not-run");
         assertEquals(runs(key), 0);
     }
 
-    // A sign-off lies unread in the socket of a frozen VM. Its caller asks another VM and is told
-    // "not run". The VM wakes, reads the request and wants to run it: the witness refuses, since
-    // it gave its word, and the first request is told the same.
+    // Guards against a resumed VM running a buffered request that was reported as not run.
     @Test
-    public void frozenHomeThatWakesRunsNothingThatWasToldNotRun() {
+    public void resumedHomeRefusesOperationReportedAsNotRun() {
         String key = mFleet.key(mHome, mWitness, "frozen-before");
         mFleet.freeze(mHome);
         CompletableFuture<AggregatedHttpResponse> first =
@@ -125,16 +119,14 @@
         assertEquals(runs(key), 0);
     }
 
-    // A VM freezes while a target works on its sign-off. Asked at another VM, the outcome is
-    // "unknown", and never "not run". The VM wakes, finds the answer in its socket and hands it to
-    // the caller; from then on everybody is told that it ran.
+    // Guards against "not run" being reported for an operation that a target is running.
     @Test
-    public void frozenHomeThatWakesInFlightDoesNotContradict() {
+    public void resumedHomeNeverReportsStartedOperationAsNotRun() {
         String key = mFleet.key(mHome, mWitness, "frozen-in-flight");
         mFleet.platform().setFaults(SLOW);
         CompletableFuture<AggregatedHttpResponse> first =
                 HttpCalls.post(mHome.callers(), SIGN_OFF, key);
-        awaitRun(key);
+        awaitStarted(key);
         mFleet.freeze(mHome);
         assertEquals(HttpCalls.outcome(mThird.callers(), key), "unknown");
         mHome.resume();
@@ -150,11 +142,9 @@
         assertEquals(runs(key), 1);
     }
 
-    // A VM is killed and started again under its name. Its new life gets two keys of the old one:
-    // one that ran and one that was never sent. It runs neither, since a key names the life that
-    // may run it; nobody is told that the first was not run.
+    // Guards against a restarted VM running operations that belong to its former incarnation.
     @Test
-    public void replacedVmNeverRunsKeysOfItsOldLife() {
+    public void restartedVmNeverRunsKeysOfItsFormerIncarnation() {
         String ran = mFleet.key(mHome, mWitness, "replaced-ran");
         String unsent = mFleet.key(mHome, mWitness, "replaced-unsent");
         AggregatedHttpResponse first = HttpCalls.post(mHome.callers(), SIGN_OFF, ran).join();
@@ -162,43 +152,41 @@
         mHome.kill();
         mFleet.startMissing();
 
-        VmProcess next = mFleet.vm(1);
-        assertEquals(next.identity().name(), mHome.identity().name());
-        assertNotEquals(next.identity(), mHome.identity());
-        assertTrue(Set.of("ran", "unknown").contains(answered(next, ran)));
-        assertEquals(answered(next, unsent), "not-run");
+        VmProcess restarted = mFleet.vm(1);
+        assertEquals(restarted.identity().name(), mHome.identity().name());
+        assertNotEquals(restarted.identity(), mHome.identity());
+        assertTrue(Set.of("ran", "unknown").contains(outcomeOfPost(restarted, ran)));
+        assertEquals(outcomeOfPost(restarted, unsent), "not-run");
         assertEquals(runs(ran), 1);
         assertEquals(runs(unsent), 0);
     }
 
-    // A VM gets SIGTERM while it hands on a long listing and a sign-off is at its target. Asks at
-    // other VMs stop naming it; both answers arrive whole; then the process ends by itself, and
-    // says that it has drained.
+    // Guards against a planned stop cutting off requests in flight.
     @Test
-    public void terminatedVmDeliversWhatIsInFlight() {
+    public void terminatedVmCompletesRequestsInFlight() {
         String key = mFleet.key(mHome, mWitness, "terminated");
         SlowReader listing =
                 SlowReader.start(
                                 mHome.callers(),
-                                "/services/himal/desk/listings/long?bytes=" + BYTES)
+                                "/services/himal/desk/listings/long?bytes=" + RESPONSE_BYTES)
                         .awaitStarted();
         mFleet.platform().setFaults(SLOW);
         CompletableFuture<AggregatedHttpResponse> signOff =
                 HttpCalls.post(mHome.callers(), SIGN_OFF, key);
-        awaitRun(key);
+        awaitStarted(key);
 
         mHome.terminate();
-        mFleet.platform().await("asks stop naming it", () -> !isNamed(mThird, mHome));
+        mFleet.platform().await("discovery omits the VM", () -> !isDiscovered(mThird, mHome));
         assertEquals(signOff.join().status().code(), 200);
-        assertTrue(mHome.isAlive(), "It ended with a listing in flight.");
-        assertEquals(listing.resume().join(), BYTES);
+        assertTrue(mHome.isAlive(), "The VM exited with a listing in flight.");
+        assertEquals(listing.resume().join(), RESPONSE_BYTES);
         String output = mHome.awaitEnd();
         assertTrue(output.contains("Stopped."), output);
-        assertEquals(mHome.exitCode(), ENDED_BY_SIGTERM);
+        assertEquals(mHome.exitCode(), SIGTERM_EXIT_CODE);
         assertEquals(runs(key), 1);
     }
 
-    private static boolean isNamed(VmProcess asked, VmProcess named) {
+    private static boolean isDiscovered(VmProcess asked, VmProcess named) {
         return HttpCalls.discover(asked.callers()).stream()
                 .anyMatch(address -> address.address().equals(named.callers().toString()));
     }
--- a/lab/src/test/java/org/dahliapass/lab/ProcessFleet.java
+++ b/lab/src/test/java/org/dahliapass/lab/ProcessFleet.java
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import org.dahliapass.decisions.once.OperationToken;
 
-/** A fleet whose VMs are processes of their own; the platform stays in the test's process. */
+/** A fleet whose VMs run as separate processes; the platform runs in the test's process. */
 final class ProcessFleet implements AutoCloseable {
     private static final int VMS = 3;
-    private static final Duration ASK_TIME_TO_LIVE = Duration.ofSeconds(1);
+    private static final Duration DISCOVERY_TIME_TO_LIVE = Duration.ofSeconds(1);
 
-    private final TestPlatform mPlatform = new TestPlatform(3, ASK_TIME_TO_LIVE);
+    private final TestPlatform mPlatform = new TestPlatform(3, DISCOVERY_TIME_TO_LIVE);
     private final Path mDirectory;
     private final Map<Integer, VmProcess> mVms = new TreeMap<>();
 
@@ -35,12 +35,12 @@
         return fleet;
     }
 
-    /** Starts the VMs that don't run, under their old names, and waits until all serve. */
+    /** Starts the VMs that are not running, under their names, and waits until all serve. */
     void startMissing() {
         List<VmProcess> started = new ArrayList<>();
         for (int number = 1; number <= VMS; number++) {
-            VmProcess old = mVms.get(number);
-            if (old == null || !old.isAlive()) {
+            VmProcess existing = mVms.get(number);
+            if (existing == null || !existing.isAlive()) {
                 VmProcess vm = VmProcess.start(settings(number));
                 mVms.put(number, vm);
                 started.add(vm);
@@ -69,12 +69,12 @@
         return HttpCalls.get(vm.operators(), "/health").status().isSuccess();
     }
 
-    /** Returns the life of a VM that runs or ran last. */
+    /** Returns the latest process of a VM. */
     VmProcess vm(int number) {
         return mVms.get(number);
     }
 
-    /** Freezes a VM and waits until all of it stands still. */
+    /** Freezes a VM and waits until all its threads are stopped. */
     void freeze(VmProcess vm) {
         vm.freeze();
         mPlatform.await("the VM is frozen", vm::isFrozen);
@@ -82,8 +82,8 @@
 
     /** Returns a key that is bound to this home and this witness. */
     String key(VmProcess home, VmProcess witness, String unique) {
-        long born = mPlatform.clock().millis();
-        return new OperationToken(home.identity(), witness.identity(), born) + "." + unique;
+        long issuedMillis = mPlatform.clock().millis();
+        return new OperationToken(home.identity(), witness.identity(), issuedMillis) + "." + unique;
     }
 
     /** Returns the store, the VM list and the targets. */
--- a/lab/src/test/java/org/dahliapass/lab/ReadyLine.java
+++ b/lab/src/test/java/org/dahliapass/lab/ReadyLine.java
@@ -6,24 +6,24 @@
 import org.dahliapass.model.Endpoint;
 
 /**
- * The line by which a VM says that it has started.
+ * The line that a VM prints when it has started.
  *
- * @param callers where callers reach it
- * @param peers where other VMs reach it
- * @param operators where operators reach it
+ * @param callers the endpoint for callers
+ * @param peers the endpoint for other VMs
+ * @param operators the endpoint for operators
  */
 record ReadyLine(Endpoint callers, Endpoint peers, Endpoint operators) {
-    private static final String FIRST_WORD = "ready ";
+    private static final String PREFIX = "ready ";
 
-    /** Returns whether a line of a VM's output is its ready line. */
+    /** Returns whether a line of a VM's output is the ready line. */
     static boolean is(String line) {
-        return line.startsWith(FIRST_WORD);
+        return line.startsWith(PREFIX);
     }
 
-    /** Reads the line. */
+    /** Parses the line. */
     static ReadyLine parse(String line) {
         Map<String, String> fields =
-                Arrays.stream(line.substring(FIRST_WORD.length()).split(" "))
+                Arrays.stream(line.substring(PREFIX.length()).split(" "))
                         .map(field -> field.split("=", 2))
                         .collect(Collectors.toMap(pair -> pair[0], pair -> pair[1]));
         return new ReadyLine(
--- a/lab/src/test/java/org/dahliapass/lab/ResponseIntegrityTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/ResponseIntegrityTest.java
@@ -19,21 +19,21 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks that every caller gets the whole answer to its own request, or a visible failure. */
+/** Tests that every caller gets the complete response to its own request or an error. */
 public final class ResponseIntegrityTest {
     private static final String LISTINGS = "/services/himal/desk/listings/";
-    private static final TargetFaults CUT =
+    private static final TargetFaults TRUNCATE =
             new TargetFaults(0, false, 1, false, true, false, null, 0, false);
     private static final TargetFaults STALL =
             new TargetFaults(0, false, 1, true, false, false, null, 0, false);
     private static final int ROUNDS = 8;
     private static final int CALLERS = 12;
 
-    /** More than the slots of all targets, and less than the queues hold. */
-    private static final int CROWD = 45;
+    /** More than the slots of all targets, fewer than the queues hold. */
+    private static final int CONCURRENT_CALLERS = 45;
 
-    /** Above this the answer can't lie in the buffers on its way. */
-    private static final long BYTES = 64L * 1024 * 1024;
+    /** Exceeds all buffers on the path. */
+    private static final long RESPONSE_BYTES = 64L * 1024 * 1024;
 
     private TestFleet mFleet;
 
@@ -43,7 +43,7 @@
     }
 
     @AfterMethod
-    public void mendTargets() {
+    public void clearFaults() {
         mFleet.platform().setFaults(TargetFaults.NONE);
     }
 
@@ -52,97 +52,101 @@
         mFleet.close();
     }
 
-    /** Answers that are written at once, and in many pieces. */
+    /** Responses of one chunk and of many chunks. */
     @DataProvider
-    public Object[][] cutPaths() {
+    public Object[][] truncatedPaths() {
         return new Object[][] {{"short"}, {"long?bytes=300000"}};
     }
 
-    // Each target breaks its answer off after half of the body. The caller sees a broken stream or
-    // a refusal, never a status 200 whose body looks whole: what is passed on breaks off as well.
-    @Test(dataProvider = "cutPaths")
-    public void answerCutShortIsNeverPassedOffAsWhole(String path) {
-        mFleet.platform().setFaults(CUT);
+    // Guards against truncated responses that look complete to the caller.
+    @Test(dataProvider = "truncatedPaths")
+    public void truncatedResponseIsNeverForwardedAsComplete(String path) {
+        mFleet.platform().setFaults(TRUNCATE);
         for (EntryVm vm : mFleet.vms()) {
-            CompletableFuture<AggregatedHttpResponse> answer =
+            CompletableFuture<AggregatedHttpResponse> response =
                     HttpCalls.getAsync(vm.callerEndpoint(), LISTINGS + path);
             boolean failed =
-                    answer.handle((whole, failure) -> failure != null || !isGood(whole)).join();
-            assertTrue(failed, "Half a body was passed off as whole.");
+                    response.handle((complete, failure) -> failure != null || !isSuccess(complete))
+                            .join();
+            assertTrue(failed, "A truncated response was forwarded as complete.");
         }
     }
 
-    private static boolean isGood(AggregatedHttpResponse answer) {
-        return answer.status().isSuccess();
+    private static boolean isSuccess(AggregatedHttpResponse response) {
+        return response.status().isSuccess();
     }
 
-    // Many callers ask for different listings at once while each target works at another speed, so
-    // that later requests are answered earlier. Some callers go away halfway. Every answer names
-    // the path that its caller asked for: an answer is bound to the exchange that it came by.
+    // Guards against responses delivered to the wrong caller when they arrive out of order.
     @Test
-    public void lateAnswersReachTheirOwnCallersOnly() {
+    public void reorderedResponsesReachTheirOwnCallers() {
         for (int round = 0; round < ROUNDS; round++) {
-            mixSpeeds(round);
-            Map<String, CompletableFuture<AggregatedHttpResponse>> answers = new LinkedHashMap<>();
+            varySpeeds(round);
+            Map<String, CompletableFuture<AggregatedHttpResponse>> responses =
+                    new LinkedHashMap<>();
             for (int number = 0; number < CALLERS; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/" + round + "-" + number + "-";
-                answers.put(
+                responses.put(
                         path,
                         HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
-                SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES)
+                SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + RESPONSE_BYTES)
                         .awaitStarted()
                         .cancel();
             }
-            answers.forEach(ResponseIntegrityTest::assertOwn);
+            responses.forEach(ResponseIntegrityTest::assertOwnResponse);
         }
     }
 
-    // More callers than slots ask at once, so that most wait in queues or come back from a target
-    // that has no slot for them, while others leave in the middle of their answers. Each gets the
-    // answer to its own path, or the refusal that it was not run.
+    // Guards against responses delivered to the wrong caller after queueing and retries.
     @Test
-    public void crowdedCallersGetTheirOwnAnswerOrRefusal() {
+    public void queuedCallersGetTheirOwnResponseOrRefusal() {
         int served = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            mixSpeeds(round);
-            List<SlowReader> leavers = startLeavers();
-            Map<String, CompletableFuture<AggregatedHttpResponse>> answers = new LinkedHashMap<>();
-            for (int number = 0; number < CROWD; number++) {
+            varySpeeds(round);
+            List<SlowReader> cancelledReaders = startCancelledReaders();
+            Map<String, CompletableFuture<AggregatedHttpResponse>> responses =
+                    new LinkedHashMap<>();
+            for (int number = 0; number < CONCURRENT_CALLERS; number++) {
                 EntryVm vm = mFleet.vms().get(number % mFleet.vms().size());
                 String path = "/listings/crowd-" + round + "-" + number + "-";
-                answers.put(
+                responses.put(
                         path,
                         HttpCalls.getAsync(vm.callerEndpoint(), "/services/himal/desk" + path));
             }
-            leavers.forEach(leaver -> leaver.awaitStarted().cancel());
-            served += countOwn(answers);
+            cancelledReaders.forEach(reader -> reader.awaitStarted().cancel());
+            served += countServed(responses);
         }
-        assertTrue(served >= ROUNDS * CROWD / 2, served + " were served.");
+        assertTrue(served >= ROUNDS * CONCURRENT_CALLERS / 2, served + " requests were served.");
     }
 
-    private List<SlowReader> startLeavers() {
+    private List<SlowReader> startCancelledReaders() {
         return mFleet.vms().stream()
-                .map(vm -> SlowReader.start(vm.callerEndpoint(), LISTINGS + "left?bytes=" + BYTES))
+                .map(
+                        vm ->
+                                SlowReader.start(
+                                        vm.callerEndpoint(),
+                                        LISTINGS + "left?bytes=" + RESPONSE_BYTES))
                 .toList();
     }
 
-    private static int countOwn(Map<String, CompletableFuture<AggregatedHttpResponse>> answers) {
+    private static int countServed(
+            Map<String, CompletableFuture<AggregatedHttpResponse>> responses) {
         int served = 0;
         for (Map.Entry<String, CompletableFuture<AggregatedHttpResponse>> entry :
-                answers.entrySet()) {
-            AggregatedHttpResponse answer = entry.getValue().join();
-            if (answer.status().code() == 503) {
-                assertEquals(answer.headers().get("x-outcome"), "not-run", answer.contentUtf8());
+                responses.entrySet()) {
+            AggregatedHttpResponse response = entry.getValue().join();
+            if (response.status().code() == 503) {
+                assertEquals(
+                        response.headers().get("x-outcome"), "not-run", response.contentUtf8());
             } else {
-                assertOwn(entry.getKey(), entry.getValue());
+                assertOwnResponse(entry.getKey(), entry.getValue());
                 served++;
             }
         }
         return served;
     }
 
-    private void mixSpeeds(int round) {
+    private void varySpeeds(int round) {
         for (int index = 0; index < mFleet.targets().size(); index++) {
             int factor = 1 + 20 * ((index + round) % mFleet.targets().size());
             mFleet.targets()
@@ -153,37 +157,39 @@
         }
     }
 
-    private static void assertOwn(String path, CompletableFuture<AggregatedHttpResponse> answer) {
-        AggregatedHttpResponse whole = answer.join();
-        assertEquals(whole.status().code(), 200, whole.contentUtf8());
-        assertEquals(HttpCalls.json(whole).path("path").asText(), path);
+    private static void assertOwnResponse(
+            String path, CompletableFuture<AggregatedHttpResponse> response) {
+        AggregatedHttpResponse complete = response.join();
+        assertEquals(complete.status().code(), 200, complete.contentUtf8());
+        assertEquals(HttpCalls.json(complete).path("path").asText(), path);
     }
 
-    // A caller closes its connection while the target still works on its listing, and another one
-    // in the middle of the body. Both requests end at the target: the VM passes the cancel on.
+    // Guards against targets running requests whose callers have disconnected.
     @Test
-    public void cancelReachesTarget() {
+    public void cancellationReachesTarget() {
         long before = mFleet.platform().cancelled();
         SlowReader halfway =
                 SlowReader.start(
                                 mFleet.vms().get(0).callerEndpoint(),
-                                LISTINGS + "halfway?bytes=" + BYTES)
+                                LISTINGS + "halfway?bytes=" + RESPONSE_BYTES)
                         .awaitStarted();
         halfway.cancel();
         mFleet.await(
-                "the body's end is cancelled", () -> mFleet.platform().cancelled() >= before + 1);
+                "the partly sent response is cancelled",
+                () -> mFleet.platform().cancelled() >= before + 1);
 
         mFleet.platform().setFaults(STALL);
         long served = mFleet.platform().served();
         var stalled =
                 HttpCalls.client("h1c", mFleet.vms().get(1).callerEndpoint())
                         .get(LISTINGS + "stalled");
-        CompletableFuture<AggregatedHttpResponse> whole = stalled.aggregate();
-        mFleet.await("it has begun", () -> mFleet.platform().served() > served);
-        assertFalse(whole.isDone());
+        CompletableFuture<AggregatedHttpResponse> complete = stalled.aggregate();
+        mFleet.await("the request has started", () -> mFleet.platform().served() > served);
+        assertFalse(complete.isDone());
         stalled.abort();
-        expectThrows(CompletionException.class, whole::join);
+        expectThrows(CompletionException.class, complete::join);
         mFleet.await(
-                "the stalled work is cancelled", () -> mFleet.platform().cancelled() >= before + 2);
+                "the stalled request is cancelled",
+                () -> mFleet.platform().cancelled() >= before + 2);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/SlowReader.java
+++ b/lab/src/test/java/org/dahliapass/lab/SlowReader.java
@@ -8,41 +8,38 @@
 import org.reactivestreams.Subscriber;
 import org.reactivestreams.Subscription;
 
-/**
- * A caller that takes the first piece of a long answer, waits until it is told to read on, and
- * checks each byte.
- */
+/** A caller that pauses after the first chunk of a long response and verifies each byte. */
 final class SlowReader implements Subscriber<HttpData> {
-    private final CompletableFuture<Subscription> mBegun = new CompletableFuture<>();
+    private final CompletableFuture<Subscription> mStarted = new CompletableFuture<>();
     private final CompletableFuture<Long> mEnd = new CompletableFuture<>();
     private Subscription mSubscription;
     private long mLength;
 
     private SlowReader() {}
 
-    /** Starts to read over a connection of its own. */
+    /** Sends a request over a separate connection. */
     static SlowReader start(Endpoint endpoint, String path) {
         SlowReader reader = new SlowReader();
-        SplitHttpResponse answer = HttpCalls.client("h1c", endpoint).get(path).split();
-        answer.body().subscribe(reader);
+        SplitHttpResponse response = HttpCalls.client("h1c", endpoint).get(path).split();
+        response.body().subscribe(reader);
         return reader;
     }
 
-    /** Waits for the first piece. */
+    /** Waits for the first chunk. */
     SlowReader awaitStarted() {
-        mBegun.join();
+        mStarted.join();
         return this;
     }
 
-    /** Reads on; the future has the length of the whole answer, or fails if it was cut or wrong. */
+    /** Resumes reading; returns the length, or fails if the response is truncated or corrupt. */
     CompletableFuture<Long> resume() {
-        mBegun.join().request(Long.MAX_VALUE);
+        mStarted.join().request(Long.MAX_VALUE);
         return mEnd;
     }
 
-    /** Goes away in the middle of the answer. */
+    /** Cancels the request in the middle of the response. */
     void cancel() {
-        mBegun.join().cancel();
+        mStarted.join().cancel();
     }
 
     @Override
@@ -52,25 +49,26 @@
     }
 
     @Override
-    public void onNext(HttpData piece) {
-        for (byte value : piece.array()) {
+    public void onNext(HttpData chunk) {
+        for (byte value : chunk.array()) {
             if (value != PatternBody.byteAt(mLength)) {
-                mEnd.completeExceptionally(new AssertionError("Wrong byte at " + mLength));
+                mEnd.completeExceptionally(
+                        new AssertionError("Unexpected byte at offset " + mLength));
             }
             mLength++;
         }
-        mBegun.complete(mSubscription);
+        mStarted.complete(mSubscription);
     }
 
     @Override
     public void onError(Throwable failure) {
-        mBegun.completeExceptionally(failure);
+        mStarted.completeExceptionally(failure);
         mEnd.completeExceptionally(failure);
     }
 
     @Override
     public void onComplete() {
-        mBegun.complete(mSubscription);
+        mStarted.complete(mSubscription);
         mEnd.complete(mLength);
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/StoreOutageTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/StoreOutageTest.java
@@ -8,23 +8,22 @@
 import org.dahliapass.standins.StoreFaults;
 import org.testng.annotations.Test;
 
-/** Checks that the fleet serves on without the configuration store. */
+/** Tests that the fleet keeps serving without the configuration store. */
 public final class StoreOutageTest {
-    private static final StoreFaults AWAY = new StoreFaults(true, true, 0, 0);
+    private static final StoreFaults OUTAGE = new StoreFaults(true, true, 0, 0);
     private static final int ROUNDS = 30;
     private static final int FAILED_CALLS = 6;
 
-    // The store closes every connection from now on. Field teams notice nothing: listings are
-    // served and sign-offs run once at every VM, since neither asks the store anything.
+    // Guards against requests or operations that depend on the store.
     @Test
-    public void requestsAndOperationsGoOn() {
+    public void requestsAndOperationsContinueDuringStoreOutage() {
         try (TestFleet fleet = TestFleet.start(3, 3)) {
             long before = calls(fleet);
-            fleet.store().setFaults(AWAY);
+            fleet.store().setFaults(OUTAGE);
             for (int round = 0; round < ROUNDS; round++) {
                 serveOnce(fleet, round);
             }
-            fleet.await("VMs miss the store", () -> calls(fleet) >= before + FAILED_CALLS);
+            fleet.await("calls to the store fail", () -> calls(fleet) >= before + FAILED_CALLS);
             serveOnce(fleet, ROUNDS);
         }
     }
--- a/lab/src/test/java/org/dahliapass/lab/TargetDrainTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/TargetDrainTest.java
@@ -16,52 +16,58 @@
 import org.dahliapass.standins.TargetStandIn;
 import org.testng.annotations.Test;
 
-/** Checks that a target that drains gets no new work. */
+/** Tests that a draining target gets no new requests. */
 public final class TargetDrainTest {
     private static final TargetFaults SLOW =
             new TargetFaults(0, false, 100, false, false, false, null, 0, false);
     private static final Pattern SHED =
             Pattern.compile("dahliapass_tries_total\\{.*end=\"refused_shed\".*} ([0-9.]+)");
 
-    /** More than the slots of both targets, and less than the queue holds for one customer. */
+    /** More than the slots of both targets, fewer than one customer's queue holds. */
     private static final int BURST = 24;
 
     private static final int REQUESTS = 60;
 
-    // Listings fill all slots and wait in the queue when one of two targets begins to drain. What
-    // it has begun ends there; what waits, what it refuses and what comes later goes to the other
-    // one. Once every VM knows, none sends it anything at all: its first refusal was the sign.
+    // Guards against lost or misdirected requests when a target with queued requests drains.
     @Test
-    public void drainingTargetGetsNothingNew() {
+    public void drainingTargetGetsNoNewRequests() {
         try (TestFleet fleet = TestFleet.start(2, 3)) {
-            TargetStandIn leaver = fleet.targets().get(0);
+            TargetStandIn drainingTarget = fleet.targets().get(0);
             fleet.platform().setFaults(SLOW);
-            List<CompletableFuture<AggregatedHttpResponse>> answers =
+            List<CompletableFuture<AggregatedHttpResponse>> responses =
                     sendBurst(fleet.vms().get(0).callerEndpoint());
-            fleet.await("it has work", () -> leaver.state().served() > 0);
+            fleet.await("the target has requests", () -> drainingTarget.state().served() > 0);
 
-            leaver.setDraining(true);
-            long served = leaver.state().served();
-            answers.forEach(answer -> assertServed(answer.join()));
-            fleet.await("all VMs know", () -> allKnow(fleet, leaver.endpoint()));
+            drainingTarget.setDraining(true);
+            long served = drainingTarget.state().served();
+            responses.forEach(response -> assertServed(response.join()));
+            fleet.await(
+                    "all VMs know that the target drains",
+                    () -> isKnownAsLeaving(fleet, drainingTarget.endpoint()));
             int refused = refusals(fleet);
 
             fleet.platform().setFaults(TargetFaults.NONE);
-            sendOneByOne(fleet);
-            assertEquals(leaver.state().served(), served, "It began new work.");
-            assertEquals(refusals(fleet), refused, "It was sent work after all VMs knew.");
+            sendSequentially(fleet);
+            assertEquals(
+                    drainingTarget.state().served(),
+                    served,
+                    "The draining target served new requests.");
+            assertEquals(
+                    refusals(fleet),
+                    refused,
+                    "The draining target was sent requests after all VMs knew.");
         }
     }
 
     private static List<CompletableFuture<AggregatedHttpResponse>> sendBurst(Endpoint vm) {
-        List<CompletableFuture<AggregatedHttpResponse>> answers = new ArrayList<>();
+        List<CompletableFuture<AggregatedHttpResponse>> responses = new ArrayList<>();
         for (int number = 0; number < BURST; number++) {
-            answers.add(HttpCalls.getAsync(vm, "/services/himal/desk/listings/before-" + number));
+            responses.add(HttpCalls.getAsync(vm, "/services/himal/desk/listings/before-" + number));
         }
-        return answers;
+        return responses;
     }
 
-    private static void sendOneByOne(TestFleet fleet) {
+    private static void sendSequentially(TestFleet fleet) {
         for (int number = 0; number < REQUESTS; number++) {
             EntryVm vm = fleet.vms().get(number % fleet.vms().size());
             assertServed(
@@ -69,11 +75,11 @@
         }
     }
 
-    private static void assertServed(AggregatedHttpResponse answer) {
-        assertTrue(answer.status().isSuccess(), answer.contentUtf8());
+    private static void assertServed(AggregatedHttpResponse response) {
+        assertTrue(response.status().isSuccess(), response.contentUtf8());
     }
 
-    private static boolean allKnow(TestFleet fleet, Endpoint target) {
+    private static boolean isKnownAsLeaving(TestFleet fleet, Endpoint target) {
         Optional<String> leaving = Optional.of("leaving");
         return fleet.vms().stream()
                 .allMatch(
--- a/lab/src/test/java/org/dahliapass/lab/TestFleet.java
+++ b/lab/src/test/java/org/dahliapass/lab/TestFleet.java
@@ -21,15 +21,15 @@
 import org.dahliapass.wire.LinkFilter;
 
 /**
- * A whole small fleet in one process for failure tests: store, VM list, targets and VMs on
- * loopback, on ports that the system gives. Waiting is for conditions, never for a time.
+ * A fleet in one process for failure tests: store, VM list, targets and VMs on ephemeral loopback
+ * ports.
  */
 final class TestFleet implements AutoCloseable {
-    private static final Duration ASK_TIME_TO_LIVE = Duration.ofSeconds(1);
+    private static final Duration DISCOVERY_TIME_TO_LIVE = Duration.ofSeconds(1);
 
     private final TestPlatform mPlatform;
     private final List<EntryVm> mVms = new ArrayList<>();
-    private final Map<EntryVm, LinkFaults> mCuts = new HashMap<>();
+    private final Map<EntryVm, LinkFaults> mLinkFaults = new HashMap<>();
 
     private TestFleet(TestPlatform platform) {
         mPlatform = platform;
@@ -37,22 +37,22 @@
 
     /** Starts a fleet whose customer {@code himal} has one service {@code desk}. */
     static TestFleet start(int targets, int vms) {
-        return start(targets, vms, ASK_TIME_TO_LIVE);
+        return start(targets, vms, DISCOVERY_TIME_TO_LIVE);
     }
 
-    /** Starts a fleet whose answers to asks hold for so long. */
-    static TestFleet start(int targets, int vms, Duration askTimeToLive) {
-        TestFleet fleet = new TestFleet(new TestPlatform(targets, askTimeToLive));
+    /** Starts a fleet with the given time to live of discovery responses. */
+    static TestFleet start(int targets, int vms, Duration discoveryTimeToLive) {
+        TestFleet fleet = new TestFleet(new TestPlatform(targets, discoveryTimeToLive));
         fleet.accept(fleet.template("30s"), 0);
         for (int number = 1; number <= vms; number++) {
-            LinkFaults cuts = new LinkFaults();
-            fleet.mCuts.put(fleet.startVm(number, cuts), cuts);
+            LinkFaults linkFaults = new LinkFaults();
+            fleet.mLinkFaults.put(fleet.startVm(number, linkFaults), linkFaults);
         }
         fleet.awaitServing();
         return fleet;
     }
 
-    /** Starts a VM; its zone follows from its number. */
+    /** Starts a VM; its number determines its zone. */
     EntryVm startVm(int number, LinkFilter filter) {
         VmSettings settings =
                 VmSettings.from(IniFile.parse("vm-" + number, mPlatform.settings(number)));
@@ -62,38 +62,38 @@
         return vm;
     }
 
-    /** Begins a planned stop; the VM no longer counts as one of the fleet's. */
+    /** Starts the planned stop of a VM and removes it from {@link #vms}. */
     CompletableFuture<Void> shutDown(EntryVm vm) {
         mVms.remove(vm);
         return vm.leaveAndStop();
     }
 
-    /** Loses all messages from one VM to another; those of the other way pass. */
+    /** Drops all messages from one VM to another, but not those in the other direction. */
     void cutOneWay(EntryVm from, EntryVm to) {
-        mCuts.get(from).cut(Direction.OUT, peers(to));
-        mCuts.get(to).cut(Direction.IN, peers(from));
+        mLinkFaults.get(from).cut(Direction.OUT, peers(to));
+        mLinkFaults.get(to).cut(Direction.IN, peers(from));
     }
 
-    /** Lets all messages of a VM pass again. */
+    /** Removes all link failures. */
     void healLinks() {
-        mCuts.values().forEach(LinkFaults::healAll);
+        mLinkFaults.values().forEach(LinkFaults::healAll);
     }
 
-    /** Returns how many messages a VM lost by cuts so far. */
+    /** Returns the number of a VM's messages lost to link failures so far. */
     int lostMessages(EntryVm vm) {
-        return mCuts.get(vm).lostMessages();
+        return mLinkFaults.get(vm).lostMessages();
     }
 
     private static Endpoint peers(EntryVm vm) {
         return ReadyLine.parse(vm.readyLine()).peers();
     }
 
-    /** Returns a token that binds keys to this home and this witness, as an ask hands out. */
+    /** Returns a token that binds keys to this home and witness, as discovery does. */
     String token(EntryVm home, EntryVm witness) {
         return new OperationToken(home.identity(), witness.identity(), clock().millis()).toString();
     }
 
-    /** Returns the template's text; the deadline tells revisions apart. */
+    /** Returns the template's text; the deadline distinguishes revisions. */
     String template(String deadline) {
         return mPlatform.template(deadline);
     }
@@ -110,27 +110,27 @@
                 () -> mVms.stream().allMatch(vm -> memberCount(vm) == mVms.size() && serves(vm)));
     }
 
-    /** Returns how many VMs a VM sees alive. */
+    /** Returns the number of VMs that a VM considers alive. */
     static int memberCount(EntryVm vm) {
         return HttpCalls.aliveMembers(vm.operatorEndpoint());
     }
 
-    /** Returns whether a VM takes requests. */
+    /** Returns whether a VM accepts requests. */
     static boolean serves(EntryVm vm) {
         return get(vm.operatorEndpoint(), "/health").status().code() == 200;
     }
 
-    /** Waits for a condition; fails by name if it doesn't come. */
-    void await(String what, BooleanSupplier condition) {
-        mPlatform.await(what, condition);
+    /** Waits for a condition; fails with its description after the timeout. */
+    void await(String description, BooleanSupplier condition) {
+        mPlatform.await(description, condition);
     }
 
-    /** Sends a GET request and returns the whole answer. */
+    /** Sends a GET request and returns the complete response. */
     static AggregatedHttpResponse get(Endpoint endpoint, String path) {
         return HttpCalls.get(endpoint, path);
     }
 
-    /** Sends a guarded request and returns the whole answer. */
+    /** Sends a guarded request and returns the complete response. */
     static AggregatedHttpResponse post(Endpoint endpoint, String path, String key) {
         return HttpCalls.post(endpoint, path, key).join();
     }
@@ -155,15 +155,12 @@
         return mPlatform.store();
     }
 
-    /** Returns the clock that all parts follow. */
+    /** Returns the clock of all components. */
     Clock clock() {
         return mPlatform.clock();
     }
 
-    /**
-     * Begins to stop everything. Nobody waits for the end: each HTTP server's threads keep a quiet
-     * period of two seconds, and nothing of this fleet is used again.
-     */
+    /** Starts to stop all components without waiting for their two-second quiet periods. */
     @Override
     public void close() {
         CompletableFuture<Void> unused =
--- a/lab/src/test/java/org/dahliapass/lab/TestPlatform.java
+++ b/lab/src/test/java/org/dahliapass/lab/TestPlatform.java
@@ -29,24 +29,24 @@
 
 /** The store, the VM list and the targets of a failure test, on loopback in the test's process. */
 final class TestPlatform implements AutoCloseable {
-    /** How long a test waits for anything at most. */
+    /** The timeout of every wait in a test. */
     static final Duration LIMIT = Duration.ofSeconds(60);
 
     private static final ServiceId DESK = new ServiceId("himal", "desk");
     private static final int CELL_SIZE = 6;
     private static final long POLL_MILLIS = 20;
-    private static final Executor LATER =
+    private static final Executor POLL_EXECUTOR =
             CompletableFuture.delayedExecutor(POLL_MILLIS, TimeUnit.MILLISECONDS);
 
     private final Clock mClock = new MonotonicClock();
     private final StoreStandIn mStore = new StoreStandIn(0, mClock, new SplittableRandom(1));
     private final VmListStandIn mVmList = new VmListStandIn(0, mClock);
     private final List<TargetStandIn> mTargets = new ArrayList<>();
-    private final Duration mAskTimeToLive;
+    private final Duration mDiscoveryTimeToLive;
 
-    /** Starts the platform with targets of 3 slots that take 2 ms for a request. */
-    TestPlatform(int targets, Duration askTimeToLive) {
-        mAskTimeToLive = askTimeToLive;
+    /** Starts the platform with targets of 3 slots and a service time of 2 ms. */
+    TestPlatform(int targets, Duration discoveryTimeToLive) {
+        mDiscoveryTimeToLive = discoveryTimeToLive;
         mStore.start();
         mVmList.start();
         for (int number = 0; number < targets; number++) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Returns the settings of a VM; its zone follows from its number. */
+    /** Returns the settings of a VM; its number determines its zone. */
     String settings(int number) {
         return String.join(
                 "\n",
@@ -74,12 +74,12 @@
                 "vm-list = " + mVmList.endpoint(),
                 "announce = yes",
                 "[control]",
-                "ask-time-to-live = " + mAskTimeToLive.toSeconds() + "s",
+                "ask-time-to-live = " + mDiscoveryTimeToLive.toSeconds() + "s",
                 "gossip-period = 200ms",
                 "control-period = 50ms");
     }
 
-    /** Returns the text of the template of {@code himal}; the deadline tells revisions apart. */
+    /** Returns the text of the template of {@code himal}; the deadline distinguishes revisions. */
     String template(String deadline) {
         List<String> targets = new ArrayList<>();
         for (TargetStandIn target : mTargets) {
@@ -155,18 +155,18 @@
         return store.run(new AcceptProtocol(request, Head.RING_CAPACITY), action -> {}).join();
     }
 
-    /** Waits for a condition; fails by name if it doesn't come. */
-    void await(String what, BooleanSupplier condition) {
+    /** Waits for a condition; fails with its description after the timeout. */
+    void await(String description, BooleanSupplier condition) {
         Instant end = mClock.instant().plus(LIMIT);
         while (!condition.getAsBoolean()) {
             if (mClock.instant().isAfter(end)) {
-                throw new AssertionError("Did not come true: " + what);
+                throw new AssertionError("Condition not met in time: " + description);
             }
-            CompletableFuture.runAsync(() -> {}, LATER).join();
+            CompletableFuture.runAsync(() -> {}, POLL_EXECUTOR).join();
         }
     }
 
-    /** Returns how often a key's operation ran at all targets together. */
+    /** Returns the total number of runs of an operation at all targets. */
     int runs(String key) {
         return mTargets.stream()
                 .map(target -> target.state().runs())
@@ -174,12 +174,12 @@
                 .sum();
     }
 
-    /** Returns how many requests began real work at all targets together. */
+    /** Returns the total number of requests that all targets started. */
     long served() {
         return mTargets.stream().mapToLong(target -> target.state().served()).sum();
     }
 
-    /** Returns how many requests were cancelled at all targets together. */
+    /** Returns the total number of requests that were cancelled at all targets. */
     long cancelled() {
         return mTargets.stream().mapToLong(target -> target.state().cancelled()).sum();
     }
@@ -199,7 +199,7 @@
         return mStore;
     }
 
-    /** Returns the clock that all parts in this process follow. */
+    /** Returns the clock of all components in this process. */
     Clock clock() {
         return mClock;
     }
--- a/lab/src/test/java/org/dahliapass/lab/VmProcess.java
+++ b/lab/src/test/java/org/dahliapass/lab/VmProcess.java
@@ -13,7 +13,7 @@
 import org.dahliapass.model.Endpoint;
 import org.dahliapass.model.VmIdentity;
 
-/** One VM as a process of its own, which tests kill, freeze and stop by signals. */
+/** A VM in a separate process, which tests kill, freeze and stop by signals. */
 final class VmProcess {
     private static final String FROZEN = "T";
 
@@ -27,7 +27,7 @@
         mOutput = CompletableFuture.supplyAsync(this::readOutput, task -> new Thread(task).start());
     }
 
-    /** Starts a VM by its settings file. */
+    /** Starts a VM with a settings file. */
     static VmProcess start(Path settings) {
         List<String> command =
                 List.of(
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Reads on to the end, since a full pipe would hold up the VM. */
+    /** Reads to the end, since a full pipe would block the VM. */
     private String readOutput() {
         StringBuilder output = new StringBuilder();
         try (BufferedReader reader =
@@ -60,14 +60,15 @@
                 }
             }
         } catch (IOException failure) {
-            // The stream of a killed process may break off; what was read counts.
+            // The output of a killed process may be truncated.
             output.append(failure.getMessage());
         }
-        mReady.completeExceptionally(new AssertionError("Ended early: " + output));
+        mReady.completeExceptionally(
+                new AssertionError("VM exited before it was ready: " + output));
         return output.toString();
     }
 
-    /** Waits until the VM has started. */
+    /** Waits until the VM has started and reads its identity. */
     void awaitReady() {
         ReadyLine ready = mReady.orTimeout(TestPlatform.LIMIT.toSeconds(), TimeUnit.SECONDS).join();
         String identity =
@@ -77,52 +78,52 @@
         mIdentity = VmIdentity.parse(identity).orElseThrow();
     }
 
-    /** Returns this life of the VM. */
+    /** Returns the identity of this incarnation of the VM. */
     VmIdentity identity() {
         return mIdentity;
     }
 
-    /** Returns where callers reach the VM. */
+    /** Returns the endpoint for callers. */
     Endpoint callers() {
         return mReady.join().callers();
     }
 
-    /** Returns where operators reach the VM. */
+    /** Returns the endpoint for operators. */
     Endpoint operators() {
         return mReady.join().operators();
     }
 
-    /** Returns whether the process has not ended. */
+    /** Returns whether the process is running. */
     boolean isAlive() {
         return mProcess.isAlive();
     }
 
-    /** Kills it by SIGKILL and waits for its end. */
+    /** Kills the process with SIGKILL and waits for its exit. */
     void kill() {
         mProcess.destroyForcibly().onExit().join();
     }
 
-    /** Asks it to stop by SIGTERM; by its handle, so that what it writes can still be read. */
+    /** Sends SIGTERM through the process handle, which leaves the output readable. */
     void terminate() {
         boolean unused = mProcess.toHandle().destroy();
     }
 
-    /** Waits for its end and returns all that it wrote. */
+    /** Waits for the process to exit and returns its output. */
     String awaitEnd() {
         return mOutput.orTimeout(TestPlatform.LIMIT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
-    /** Returns the exit code once it has ended. */
+    /** Waits for the process to exit and returns its exit code. */
     int exitCode() {
         return mProcess.onExit().join().exitValue();
     }
 
-    /** Freezes it by SIGSTOP. */
+    /** Freezes the process with SIGSTOP. */
     void freeze() {
         signal("-STOP");
     }
 
-    /** Wakes it by SIGCONT. */
+    /** Resumes the process with SIGCONT. */
     void resume() {
         signal("-CONT");
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /** Returns whether all of it stands still. */
+    /** Returns whether all threads of the process are stopped. */
     boolean isFrozen() {
         try (var tasks = Files.list(Path.of("/proc", Long.toString(mProcess.pid()), "task"))) {
             return tasks.allMatch(task -> state(task).equals(FROZEN));
@@ -151,7 +152,7 @@
     private static String state(Path task) {
         try {
             String status = Files.readString(task.resolve("stat"));
-            // The name before it is in parentheses and may hold any character.
+            // The preceding name is in parentheses and may contain any character.
             int start = status.lastIndexOf(')') + 2;
             return status.substring(start, start + 1);
         } catch (IOException failure) {
--- /dev/null
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/FleetSimulationTest.java
@@ -0,0 +1,127 @@
+package org.dahliapass.lab.fleet;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertThrows;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import java.util.function.ToDoubleFunction;
+import java.util.stream.LongStream;
+import org.dahliapass.kernel.OperationException;
+import org.dahliapass.kernel.SettingsException;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Tests request placement under gray failures, on a virtual clock with fixed seeds. */
+public final class FleetSimulationTest {
+    private static final int RUNS = 4;
+
+    @Test
+    public void sameSeedGivesSameResult() {
+        Scenario scenario = Scenario.ofName("mixed-errors");
+        assertEquals(
+                FleetSimulation.simulate(scenario, PlacementStrategy.PRODUCTION, 7),
+                FleetSimulation.simulate(scenario, PlacementStrategy.PRODUCTION, 7));
+    }
+
+    /** Guards against fast errors attracting requests because the failing target looks idle. */
+    @Test
+    public void atMostOnceRequestsAvoidTargetsThatReturnErrors() {
+        double failed = mean("locks-errors", PlacementStrategy.PRODUCTION, FleetResult::failed);
+        assertTrue(failed < 0.03, "failed: " + failed);
+        double powerOfTwo =
+                mean("locks-errors", PlacementStrategy.POWER_OF_TWO, FleetResult::failed);
+        assertTrue(powerOfTwo > 0.15, "failed with power of two: " + powerOfTwo);
+    }
+
+    /** Guards against hedges of slow responses using up the retry budget. */
+    @Test
+    public void retriesOfReadsAreNotSpentOnHedges() {
+        double served = mean("reads-errors", PlacementStrategy.PRODUCTION, FleetResult::served);
+        assertTrue(served > 0.97, "served: " + served);
+        double extraAttempts =
+                mean("reads-errors", PlacementStrategy.PRODUCTION, FleetResult::extraAttempts);
+        assertTrue(extraAttempts < 0.08, "extra attempts: " + extraAttempts);
+    }
+
+    /**
+     * Guards against healthy reports from peers hiding a broken path between one VM and a target.
+     */
+    @Test
+    public void atMostOnceRequestsAvoidLossyPaths() {
+        double failed = mean("cut-paths", PlacementStrategy.PRODUCTION, FleetResult::failed);
+        assertTrue(failed < 0.035, "failed: " + failed);
+    }
+
+    /** Guards against placement starving healthy targets that have no recent responses. */
+    @Test
+    public void usedTargetsStayAboveFloorWhileResponsesAreLost() {
+        double windowsBelowFloor =
+                mean("lost-answers", PlacementStrategy.PRODUCTION, FleetResult::windowsBelowFloor);
+        assertEquals(windowsBelowFloor, 0.0, "windows below the floor");
+    }
+
+    /** Guards against a poison request crashing one target after another. */
+    @Test
+    public void poisonRequestIsQuarantined() {
+        double crashes = mean("poison", PlacementStrategy.PRODUCTION, FleetResult::poisonCrashes);
+        assertTrue(crashes <= 6, "targets crashed: " + crashes);
+        double lateDeliveries =
+                mean("poison", PlacementStrategy.PRODUCTION, FleetResult::latePoisonDeliveries);
+        assertEquals(
+                lateDeliveries,
+                0.0,
+                "poison requests delivered more than 3 s after the third crash");
+        double powerOfTwo =
+                mean("poison", PlacementStrategy.POWER_OF_TWO, FleetResult::poisonCrashes);
+        assertTrue(powerOfTwo > 30, "targets crashed with power of two: " + powerOfTwo);
+    }
+
+    /** Guards against a rack failure being taken for poison requests. */
+    @Test
+    public void identicalReadsAreNotQuarantinedAfterRackFailure() {
+        double quarantined =
+                mean("rack-lost", PlacementStrategy.PRODUCTION, FleetResult::quarantined);
+        assertEquals(quarantined, 0.0, "harmless requests quarantined");
+    }
+
+    @DataProvider
+    public Object[][] scenarios() {
+        return FleetMain.SCENARIOS.stream()
+                .map(name -> new Object[] {name})
+                .toArray(Object[][]::new);
+    }
+
+    /**
+     * Guards against scenarios in which production placement is worse than power of two choices.
+     */
+    @Test(dataProvider = "scenarios")
+    public void payoffIsNoLowerThanWithPowerOfTwo(String name) {
+        double payoffRatio = mean(name, PlacementStrategy.PRODUCTION, FleetResult::payoffRatio);
+        double powerOfTwo = mean(name, PlacementStrategy.POWER_OF_TWO, FleetResult::payoffRatio);
+        assertTrue(
+                payoffRatio > powerOfTwo - 0.005,
+                payoffRatio + " is below power of two, " + powerOfTwo);
+    }
+
+    @Test
+    public void unknownScenarioIsRejected() {
+        assertThrows(OperationException.class, () -> Scenario.ofName("none"));
+    }
+
+    @Test
+    public void scenarioWithoutTargetsIsRejected() {
+        assertThrows(SettingsException.class, () -> Scenario.read("x", "[fleet]\nvms = 2\n"));
+    }
+
+    private static double mean(
+            String name, PlacementStrategy strategy, ToDoubleFunction<FleetResult> metric) {
+        Scenario scenario = Scenario.ofName(name);
+        List<FleetResult> runs =
+                LongStream.rangeClosed(1, RUNS)
+                        .parallel()
+                        .mapToObj(seed -> FleetSimulation.simulate(scenario, strategy, seed))
+                        .toList();
+        return runs.stream().mapToDouble(metric).average().orElseThrow();
+    }
+}
--- a/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/fleet/IdentityFuzzTest.java
@@ -28,46 +28,48 @@
 import org.dahliapass.traffic.SlotRequest;
 import org.testng.annotations.Test;
 
-/** Lets addresses change their service often, before VMs whose news are late, with fixed seeds. */
+/** Fuzzes the reassignment of addresses between services while VMs see outdated target lists. */
 public final class IdentityFuzzTest {
     private static final int SEEDS = 200;
     private static final int ADDRESSES = 6;
-    private static final int LATEST_NEWS_MILLIS = 3_000;
-    private static final int CHANGE_MILLIS = 700;
+    private static final int MAX_UPDATE_DELAY_MILLIS = 3_000;
+    private static final int REASSIGN_MILLIS = 700;
     private static final int REQUEST_MILLIS = 40;
     private static final long WORK_MILLIS = 200;
     private static final Duration LENGTH = Duration.ofSeconds(20);
     private static final RequestKind KIND = Scenario.ofName("mixed-errors").loads().get(0).kind();
     private static final List<String> SERVICES = List.of("x", "y");
 
-    /** Guards against a request that a foreign service runs, at an address that changed hands. */
+    /** Guards against a request reaching another service at a reassigned address. */
     @Test
-    public void noRequestRunsAtAForeignService() {
-        int byAddress = 0;
+    public void reassignedAddressNeverRunsRequestsOfItsFormerService() {
+        int misroutedByAddress = 0;
         int sent = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             Run run = new Run(seed);
-            run.mTimeline.runFor(LENGTH);
-            assertEquals(run.mForeign, 0, "seed " + seed);
-            byAddress += run.mForeignByAddress;
+            run.mScheduler.runFor(LENGTH);
+            assertEquals(run.mMisrouted, 0, "seed " + seed);
+            misroutedByAddress += run.mMisroutedByAddress;
             sent += run.mSent;
         }
         assertTrue(sent > SEEDS * 100, "requests sent: " + sent);
-        assertTrue(byAddress > SEEDS, "requests that an address alone would mislead: " + byAddress);
+        assertTrue(
+                misroutedByAddress > SEEDS,
+                "requests misrouted if identified by address alone: " + misroutedByAddress);
     }
 
-    /** Who has an address. */
+    /** The service and the target instance at an address. */
     private record Owner(String service, TargetInstance instance) {}
 
     private static final class Run {
-        private final EventScheduler mTimeline = new EventScheduler();
+        private final EventScheduler mScheduler = new EventScheduler();
         private final SplittableRandom mRandom;
         private final Map<Endpoint, Owner> mOwners = new LinkedHashMap<>();
         private final Map<String, ServiceRuntime> mRuntimes = new LinkedHashMap<>();
         private int mStarts;
         private int mSent;
-        private int mForeign;
-        private int mForeignByAddress;
+        private int mMisrouted;
+        private int mMisroutedByAddress;
 
         private Run(long seed) {
             mRandom = new SplittableRandom(seed);
@@ -77,10 +79,10 @@
             }
             for (String service : SERVICES) {
                 mRuntimes.put(service, newRuntime(service));
-                view(service);
-                arrive(service);
+                updateTargets(service);
+                startRequests(service);
             }
-            mTimeline.schedulePeriodically(CHANGE_MILLIS, this::change);
+            mScheduler.schedulePeriodically(REASSIGN_MILLIS, this::reassignAddress);
         }
 
         private Owner newOwner(Endpoint address) {
@@ -89,17 +91,18 @@
             return new Owner(service, new TargetInstance(address, name, name + "@0"));
         }
 
-        /** Gives an address to a new start, perhaps of another service; the VM hears of it late. */
-        private void change() {
+        /** Assigns an address to a new instance of a random service; VMs see it after a delay. */
+        private void reassignAddress() {
             List<Endpoint> addresses = new ArrayList<>(mOwners.keySet());
             Endpoint address = addresses.get(mRandom.nextInt(addresses.size()));
             mOwners.put(address, newOwner(address));
             for (String service : SERVICES) {
-                mTimeline.schedule(mRandom.nextInt(LATEST_NEWS_MILLIS), () -> view(service));
+                mScheduler.schedule(
+                        mRandom.nextInt(MAX_UPDATE_DELAY_MILLIS), () -> updateTargets(service));
             }
         }
 
-        private void view(String service) {
+        private void updateTargets(String service) {
             List<WeightedTarget> targets =
                     mOwners.values().stream()
                             .filter(owner -> owner.service().equals(service))
@@ -126,22 +129,22 @@
             return new ServiceRuntime(
                     "a",
                     template,
-                    mTimeline.clock(),
+                    mScheduler.clock(),
                     mRandom.split(),
                     new NoOpTargetEventListener(),
                     new EntryMetrics());
         }
 
-        private void arrive(String service) {
-            mTimeline.schedulePeriodically(REQUEST_MILLIS, () -> new Request(service).start());
+        private void startRequests(String service) {
+            mScheduler.schedulePeriodically(REQUEST_MILLIS, () -> new Request(service).start());
         }
 
-        /** One request: waits for a slot, is sent, and perhaps sent once more. */
+        /** A request that is retried when its target refuses it. */
         private final class Request implements SlotRequest {
             private final ServiceRuntime mRuntime;
             private final String mService;
             private final Set<Endpoint> mTried = new HashSet<>();
-            private final long mArrivalMillis = mTimeline.nowMillis();
+            private final long mArrivalMillis = mScheduler.nowMillis();
 
             private Request(String service) {
                 mService = service;
@@ -161,17 +164,17 @@
             private void send(Slot slot) {
                 mSent++;
                 mTried.add(slot.target());
-                mTimeline.schedule(1 + mRandom.nextInt(20), () -> reach(slot));
+                mScheduler.schedule(1 + mRandom.nextInt(20), () -> deliver(slot));
             }
 
-            /** A target runs what names it, and refuses what names another one. */
-            private void reach(Slot slot) {
+            /** Runs the request if it names the instance at the address, else refuses it. */
+            private void deliver(Slot slot) {
                 Owner owner = mOwners.get(slot.target());
-                boolean isForeign = !owner.service().equals(mService);
-                mForeignByAddress += isForeign ? 1 : 0;
+                boolean isMisrouted = !owner.service().equals(mService);
+                mMisroutedByAddress += isMisrouted ? 1 : 0;
                 if (owner.instance().name().equals(slot.instance().name())) {
-                    mForeign += isForeign ? 1 : 0;
-                    mTimeline.schedule(
+                    mMisrouted += isMisrouted ? 1 : 0;
+                    mScheduler.schedule(
                             WORK_MILLIS,
                             () -> mRuntime.release(slot, Outcome.SUCCESS, WORK_MILLIS));
                     return;
--- a/lab/src/test/java/org/dahliapass/lab/policy/ExperimentTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/ExperimentTest.java
@@ -8,43 +8,43 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests {@link Experiment} and the {@link ResultRow} that sums it up. */
+/** Tests {@link Experiment} and {@link ResultRow}. */
 public class ExperimentTest {
     private static final Deployment DEPLOYMENT = Deployment.HIMAL_DESK;
 
     @Test
-    public void sameSeedGivesTheSameRow() {
+    public void sameSeedGivesSameRow() {
         ResultRow first = row(Fault.FAILS_HALF, PolicyVariant.CELL, 3);
         assertEquals(row(Fault.FAILS_HALF, PolicyVariant.CELL, 3), first);
     }
 
     @Test
-    public void otherSeedGivesAnotherRow() {
+    public void differentSeedGivesDifferentRow() {
         ResultRow first = row(Fault.FAILS_HALF, PolicyVariant.CELL, 3);
         assertNotEquals(row(Fault.FAILS_HALF, PolicyVariant.CELL, 4), first);
     }
 
     @Test
-    public void failingTargetThatAnswersProbesIsFoundByWorkAndNotByProbes() {
+    public void failingTargetThatAnswersProbesIsDetectedByRequestsOnly() {
         assertTrue(row(Fault.FAILS_ALL, PolicyVariant.CELL, 1).detectionHighMillis() > 0);
         assertEquals(row(Fault.FAILS_ALL, PolicyVariant.PROBES, 1).missedPercent(), 100.0);
     }
 
     @Test
-    public void floorIsKeptByTheDecisionsAndCrossedByTheBaselineWhenAllFail() {
+    public void floorHoldsForProductionButNotForBaselineWhenAllTargetsFail() {
         assertFalse(row(Fault.ALL_FAIL, PolicyVariant.CELL, 1).crossed());
         assertTrue(row(Fault.ALL_FAIL, PolicyVariant.CONSECUTIVE_FAILURES, 1).crossed());
     }
 
     @Test
-    public void nothingIsFoundWhereNothingIsWrong() {
+    public void nothingIsEjectedWithoutFault() {
         ResultRow row = row(Fault.NONE, PolicyVariant.CELL, 1);
         assertEquals(row.detectionMedianMillis(), -1.0);
         assertEquals(row.healthyEjectedSeconds(), 0.0);
     }
 
-    private static ResultRow row(Fault fault, PolicyVariant contender, long seed) {
-        Measurement run = new Experiment(DEPLOYMENT, fault, contender, 0.5, seed).run();
-        return ResultRow.of(DEPLOYMENT, fault, contender, 0.5, List.of(run));
+    private static ResultRow row(Fault fault, PolicyVariant variant, long seed) {
+        Measurement run = new Experiment(DEPLOYMENT, fault, variant, 0.5, seed).run();
+        return ResultRow.of(DEPLOYMENT, fault, variant, 0.5, List.of(run));
     }
 }
--- a/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
+++ b/lab/src/test/java/org/dahliapass/lab/policy/PolicyPlotsTest.java
@@ -20,18 +20,18 @@
 
 /** Tests {@link PolicyPlots}. */
 public class PolicyPlotsTest {
-    private static final CurvePoint SETTING = new CurvePoint("himal", 0.001, true, 475, 6000, 0);
+    private static final CurvePoint CONFIGURED = new CurvePoint("himal", 0.001, true, 475, 6000, 0);
     private static final CurvePoint LOOSER = new CurvePoint("himal", 1, false, 300, 4000, 20);
 
     private Path mDirectory;
 
     @BeforeMethod
-    public void makeDirectory() throws IOException {
+    public void createDirectory() throws IOException {
         mDirectory = Files.createTempDirectory("plots");
     }
 
     @AfterMethod
-    public void removeDirectory() throws IOException {
+    public void deleteDirectory() throws IOException {
         for (String name : List.of(PolicyPlots.CURVE_FILE, PolicyPlots.DETECTION_FILE)) {
             Files.deleteIfExists(mDirectory.resolve(name));
         }
@@ -39,36 +39,37 @@
     }
 
     @Test
-    public void curveRingsTheSettingOfEachSeriesAndNoOtherPoint() throws Exception {
-        int inKey = 1;
+    public void curveMarksOnlyTheConfiguredTolerance() throws Exception {
+        int inLegend = 1;
         int series = 2;
-        assertEquals(circles(curve(List.of(SETTING, LOOSER)), "none"), inKey + series);
+        assertEquals(circles(curve(List.of(CONFIGURED, LOOSER)), "none"), inLegend + series);
         assertEquals(circles(curve(List.of(LOOSER, LOOSER)), "none"), 0);
     }
 
     @Test
-    public void pointsThatLieTogetherShareALabelAndOthersDoNot() throws Exception {
-        CurvePoint near = new CurvePoint("himal", 0.01, false, 470, 5900, 0);
-        String text = curve(List.of(SETTING, near, LOOSER)).getTextContent();
+    public void onlyAdjacentPointsShareLabel() throws Exception {
+        CurvePoint adjacent = new CurvePoint("himal", 0.01, false, 470, 5900, 0);
+        String text = curve(List.of(CONFIGURED, adjacent, LOOSER)).getTextContent();
         assertTrue(text.contains("0.001 to 0.01"), text);
         assertFalse(text.contains("to 1\n"), text);
     }
 
     @Test
-    public void fasterDetectionIsDrawnFurtherLeft() throws Exception {
-        Element drawn =
+    public void fasterDetectionIsPlottedFurtherLeft() throws Exception {
+        Element drawing =
                 detection(row(PolicyVariant.CELL, 80, 475), row(PolicyVariant.PROBES, 80, 1275));
         assertTrue(
-                lastX(drawn, SvgDrawing.BLUE, "fill") < lastX(drawn, SvgDrawing.ORANGE, "stroke"));
+                lastX(drawing, SvgDrawing.BLUE, "fill")
+                        < lastX(drawing, SvgDrawing.ORANGE, "stroke"));
     }
 
     @Test
-    public void faultThatWasNotFoundIsDrawnBeyondTheSlowestThatWas() throws Exception {
-        Element missed =
+    public void undetectedFaultIsPlottedBeyondSlowestDetection() throws Exception {
+        Element drawing =
                 detection(row(PolicyVariant.CELL, 80, -1), row(PolicyVariant.PROBES, 80, 30_000));
         assertTrue(
-                lastX(missed, SvgDrawing.BLUE, "fill")
-                        > lastX(missed, SvgDrawing.ORANGE, "stroke"));
+                lastX(drawing, SvgDrawing.BLUE, "fill")
+                        > lastX(drawing, SvgDrawing.ORANGE, "stroke"));
     }
 
     @Test
@@ -78,18 +79,18 @@
     }
 
     @Test
-    public void rowsOfAnotherLoadGiveNoPlot() {
+    public void rowsOfAnotherLoadAreNotPlotted() {
         List<ResultRow> rows = List.of(row(PolicyVariant.CELL, 50, 475));
         assertTrue(PolicyPlots.write(mDirectory, rows, List.of()).isEmpty());
         assertFalse(Files.exists(mDirectory.resolve(PolicyPlots.DETECTION_FILE)));
     }
 
     @Test
-    public void directoryThatIsAFileIsAnError() throws IOException {
+    public void fileInPlaceOfDirectoryIsRejected() throws IOException {
         Path file = Files.createFile(mDirectory.resolve(PolicyPlots.CURVE_FILE));
         assertThrows(
                 OperationException.class,
-                () -> PolicyPlots.write(file, List.of(), List.of(SETTING)));
+                () -> PolicyPlots.write(file, List.of(), List.of(CONFIGURED)));
     }
 
     private Element curve(List<CurvePoint> points) throws Exception {
@@ -118,24 +119,24 @@
         return count;
     }
 
-    private static double lastX(Element drawing, String colour, String attribute) {
+    private static double lastX(Element drawing, String color, String attribute) {
         var circles = drawing.getElementsByTagName("circle");
         double last = -1;
         for (int index = 0; index < circles.getLength(); index++) {
             Element circle = (Element) circles.item(index);
-            if (circle.getAttribute(attribute).equals(colour)) {
+            if (circle.getAttribute(attribute).equals(color)) {
                 last = Double.parseDouble(circle.getAttribute("cx"));
             }
         }
         return last;
     }
 
-    private static ResultRow row(PolicyVariant contender, int load, double medianMillis) {
+    private static ResultRow row(PolicyVariant variant, int load, double medianMillis) {
         return new ResultRow(
                 "himal",
                 load,
                 "hard stop",
-                contender.title(),
+                variant.title(),
                 medianMillis,
                 medianMillis,
                 medianMillis < 0 ? 100 : 0,
